--- a/src/main/java/reeldeal/decision/AdmissionController.java
+++ b/src/main/java/reeldeal/decision/AdmissionController.java
@@ -1,22 +1,24 @@
 package reeldeal.decision;
 
 /**
- * Sheds load early: a query is rejected when its estimated wait exceeds its share of the time that
- * it has, queries beyond their tenant's quota first, then those of the lowest priority.
+ * Sheds load early: a query is rejected when its estimated wait exceeds a share of the time that it
+ * has left. The share is smallest for queries beyond their tenant's quota, and smaller for queries
+ * of low priority, so these are rejected first.
  */
 final class AdmissionController {
-    /** Share of the longest wait that is allowed to queries beyond their tenant's quota. */
+    /** Share of the maximum wait that is allowed for queries beyond their tenant's quota. */
     private static final double OVER_QUOTA_WAIT_SHARE = 0.4;
 
-    /** Weight of one query in the average priority. */
+    /** Weight of one query in the moving average of the priority. */
     private static final double PRIORITY_SMOOTHING = 0.03;
 
-    /** Bounds of a query's priority relative to the average. */
+    /** Lower bound of a query's priority relative to the average. */
     private static final double MIN_RELATIVE_PRIORITY = 0.7;
 
+    /** Upper bound of a query's priority relative to the average. */
     private static final double MAX_RELATIVE_PRIORITY = 1.5;
 
-    /** Where less than one in so many units of the broker's capacity is free, waits are cut. */
+    /** The maximum wait is shortened once less than 1/8 of the broker's capacity is free. */
     private static final double FREE_CAPACITY_FACTOR = 8;
 
     private final EventClock clock;
@@ -24,7 +26,7 @@
     private final QueryTable queries;
     private final LatencyEstimator latency;
     private final OutlierDetector outliers;
-    private final WaitEstimator waits;
+    private final WaitEstimator waitEstimator;
     private final RateLimitedLog log;
     private double meanPriority;
     private boolean shedding;
@@ -35,21 +37,22 @@
             QueryTable queries,
             LatencyEstimator latency,
             OutlierDetector outliers,
-            WaitEstimator waits,
+            WaitEstimator waitEstimator,
             RateLimitedLog log) {
         this.clock = clock;
         this.maxInFlight = maxInFlight;
         this.queries = queries;
         this.latency = latency;
         this.outliers = outliers;
-        this.waits = waits;
+        this.waitEstimator = waitEstimator;
         this.log = log;
     }
 
     /**
-     * Whether a query that is already in the table, with its time limits set, is admitted.
+     * Returns whether a query is admitted.
      *
-     * @param overQuota whether it exceeds its tenant's quota
+     * @param query a query that is already in the table and has its time limits set
+     * @param overQuota whether the query exceeds its tenant's quota
      */
     boolean admits(QueryState query, boolean overQuota) {
         double priority = query.queryClass.priorityWeight();
@@ -61,10 +64,10 @@
         double waitMs =
                 Math.max(
                         outliers.referenceLatency() * latency.typicalMs(0),
-                        waits.queryWaitMs(query));
+                        waitEstimator.queryWaitMs(query));
         boolean admitted = waitMs <= maxWaitMs(query, priority, overQuota) || queries.size() == 1;
         if (!overQuota) {
-            report(!admitted);
+            logSheddingChange(!admitted);
         }
         return admitted;
     }
@@ -78,12 +81,13 @@
                 * relativePriority
                 * freeCapacityFactor(query)
                 * (overQuota ? OVER_QUOTA_WAIT_SHARE : 1)
-                * waits.availableMs(query);
+                * waitEstimator.availableMs(query);
     }
 
     /**
-     * A broker that fills up takes what passes quickly or may be answered partially: a full one
-     * rejects its clients without a look at their queries.
+     * Returns a factor, at most 1, that shortens the maximum wait as the broker fills up. Queries
+     * that finish quickly or may be answered partially are still admitted; a completely full broker
+     * would have to reject every query whatever it costs.
      */
     private double freeCapacityFactor(QueryState query) {
         if (query.mayBePartial()) {
@@ -93,10 +97,10 @@
         return Math.min(1, FREE_CAPACITY_FACTOR * free);
     }
 
-    private void report(boolean nowShedding) {
+    private void logSheddingChange(boolean nowShedding) {
         if (nowShedding != shedding) {
             shedding = nowShedding;
-            log.log(shedding ? "shedding begins" : "shedding ends");
+            log.log(shedding ? "load shedding started" : "load shedding stopped");
         }
     }
 }
--- a/src/main/java/reeldeal/decision/Attempt.java
+++ b/src/main/java/reeldeal/decision/Attempt.java
@@ -1,21 +1,21 @@
 package reeldeal.decision;
 
-/** One attempt of a shard request at one server. */
+/** One attempt to execute a shard request on one server. */
 final class Attempt {
     final ShardRequestState shardRequest;
     final ServerState server;
     final Call call;
 
-    /** Place within the call, from 0: the server works on a call's shard requests in order. */
+    /** Position within the call, from 0: a server executes a call's shard requests in order. */
     final int position;
 
     final double sentAtMs;
     boolean ended;
 
-    /** Whether its cancellation was requested. */
+    /** Whether cancellation of this attempt was requested. */
     boolean cancelled;
 
-    /** Whether its outcome proves that the shard request was not executed. */
+    /** Whether the outcome proves that this attempt was not executed. */
     boolean neverRan;
 
     Attempt(ShardRequestState shardRequest, ServerState server, Call call) {
--- a/src/main/java/reeldeal/decision/AttemptSender.java
+++ b/src/main/java/reeldeal/decision/AttemptSender.java
@@ -3,12 +3,12 @@
 import reeldeal.decision.DecisionModule.Actions;
 import reeldeal.decision.DecisionModule.Settings;
 
-/** Sends attempts, and counts each one with the budgets that it uses. */
+/** Sends attempts and charges each of them to the budgets that it uses. */
 final class AttemptSender {
     private final EventClock clock;
     private final Actions actions;
     private final RetryBudget retryBudget;
-    private final ProbeLimiter probes;
+    private final ProbeLimiter probeLimiter;
     private final SlowStart slowStart;
     private final int maxShardsPerCall;
     private final double tickMs;
@@ -18,22 +18,23 @@
             EventClock clock,
             Actions actions,
             RetryBudget retryBudget,
-            ProbeLimiter probes,
+            ProbeLimiter probeLimiter,
             SlowStart slowStart) {
         this.clock = clock;
         this.actions = actions;
         this.retryBudget = retryBudget;
-        this.probes = probes;
+        this.probeLimiter = probeLimiter;
         this.slowStart = slowStart;
         this.maxShardsPerCall = settings.layout().maxShardsPerCall();
         this.tickMs = settings.tickMs();
     }
 
     /**
-     * Sends a shard request to a server; the timeout ends when its answer is of no use any more.
+     * Sends a shard request to a server, with a timeout that ends when the query no longer waits
+     * for an answer.
      */
     void send(ShardRequestState shardRequest, ServerState server) {
-        probes.recordSend(server);
+        probeLimiter.recordSend(server);
         if (!shardRequest.attempts.isEmpty()) {
             retryBudget.recordRetry();
         }
--- a/src/main/java/reeldeal/decision/Call.java
+++ b/src/main/java/reeldeal/decision/Call.java
@@ -4,10 +4,10 @@
 final class Call {
     final double sentAtMs;
 
-    /** Shard requests in the call, ended ones included. */
+    /** Number of shard requests in the call, including those that have ended. */
     int shardRequests;
 
-    /** Shard requests of the call that have no outcome yet. */
+    /** Number of shard requests of the call that have no outcome yet. */
     int inFlight;
 
     Call(double sentAtMs) {
--- a/src/main/java/reeldeal/decision/DecisionEngine.java
+++ b/src/main/java/reeldeal/decision/DecisionEngine.java
@@ -4,13 +4,14 @@
 import java.util.List;
 
 /**
- * The decisions of one broker. This class takes the events in order and calls the classes of this
- * package that decide; see {@link DecisionModule} for events and actions. Used by one thread, the
- * broker's event loop. All times are milliseconds of the events' clock.
+ * Makes the decisions of one broker. This class receives the events in order and delegates each
+ * decision to another class of this package; see {@link DecisionModule} for the events and actions.
+ * Confined to one thread, the broker's event loop. All times are in milliseconds of the events'
+ * clock.
  */
 public final class DecisionEngine implements DecisionModule {
-    /** Latency objectives after which a query that load shedding rejects may come again. */
-    private static final double SHED_RETRY_OBJECTIVES = 0.25;
+    /** Retry delay after a rejection by load shedding, in latency objectives. */
+    private static final double SHED_RETRY_AFTER_OBJECTIVES = 0.25;
 
     private final Settings settings;
     private final Actions actions;
@@ -22,22 +23,23 @@
     private final LatencyEstimator latency;
     private final OutlierDetector outliers;
     private final SlowStart slowStart;
-    private final ProbeLimiter probes;
+    private final ProbeLimiter probeLimiter;
     private final RetryBudget retryBudget;
     private final RetryPolicy retryPolicy;
-    private final HedgingPolicy hedging;
-    private final ReplicaSelector selector;
+    private final HedgingPolicy hedgingPolicy;
+    private final ReplicaSelector replicaSelector;
     private final TenantQuotas tenantQuotas;
     private final AdmissionController admissionController;
-    private final UnservedQueries unserved;
+    private final UnservedQueries unservedQueries;
     private final QueryTimers timers;
     private final QueryCompletion completion;
 
     /**
-     * An engine that knows no servers and holds no queries.
+     * Creates an engine without servers and queries.
      *
-     * @param now the first time of the events' clock, in milliseconds
-     * @param actions what the engine calls, on the thread and within the events that it handles
+     * @param now the initial time of the events' clock, in milliseconds
+     * @param actions receives the engine's decisions, on the thread of the event that is handled
+     *     and before the event's method returns
      */
     public DecisionEngine(double now, Settings settings, Actions actions) {
         this.settings = settings;
@@ -56,31 +58,38 @@
         slowStart =
                 new SlowStart(
                         settings, clock, latencyObjectiveMs, registry, queries, recoveryAdmission);
-        probes = new ProbeLimiter(clock);
+        probeLimiter = new ProbeLimiter(clock);
         retryBudget = new RetryBudget(clock, rules, settings.layout(), latencyObjectiveMs, log);
         retryPolicy = new RetryPolicy(clock, settings);
-        hedging = new HedgingPolicy(clock, registry, latency, outliers, limits.hedging());
-        WaitEstimator waits =
+        hedgingPolicy = new HedgingPolicy(clock, registry, latency, outliers, limits.hedging());
+        WaitEstimator waitEstimator =
                 new WaitEstimator(clock, latencyObjectiveMs, registry, latency, slowStart, queries);
         AttemptSender sender =
-                new AttemptSender(settings, clock, actions, retryBudget, probes, slowStart);
+                new AttemptSender(settings, clock, actions, retryBudget, probeLimiter, slowStart);
         ReplicaCandidates candidates =
                 new ReplicaCandidates(
                         clock,
                         settings.layout().maxShardsPerCall(),
                         registry,
-                        waits,
+                        waitEstimator,
                         slowStart,
-                        probes);
-        selector = new ReplicaSelector(settings.zone(), registry, candidates, sender);
+                        probeLimiter);
+        replicaSelector = new ReplicaSelector(settings.zone(), registry, candidates, sender);
         tenantQuotas = new TenantQuotas(clock, settings.tenants(), settings.brokers());
         admissionController =
                 new AdmissionController(
-                        clock, limits.maxInFlight(), queries, latency, outliers, waits, log);
-        unserved = new UnservedQueries(clock, latencyObjectiveMs);
-        timers = new QueryTimers(clock, settings, actions, hedging);
+                        clock,
+                        limits.maxInFlight(),
+                        queries,
+                        latency,
+                        outliers,
+                        waitEstimator,
+                        log);
+        unservedQueries = new UnservedQueries(clock, latencyObjectiveMs);
+        timers = new QueryTimers(clock, settings, actions, hedgingPolicy);
         completion =
-                new QueryCompletion(clock, limits, actions, queries, unserved, retryPolicy, timers);
+                new QueryCompletion(
+                        clock, limits, actions, queries, unservedQueries, retryPolicy, timers);
         if (settings.pollEndpoints()) {
             actions.subscribe();
         }
@@ -115,17 +124,17 @@
                 || query.classIndex() >= settings.classes().size()) {
             return;
         }
-        probes.recordQuery();
+        probeLimiter.recordQuery();
         QueryClass queryClass = settings.classes().get(query.classIndex());
         QueryState state = queries.add(query, queryClass, shardRequests);
-        timers.setLimits(state, unserved.startOf(state));
+        timers.setLimits(state, unservedQueries.startOf(state));
         if (!recoveryAdmission.admits(query.classIndex())) {
             completion.reject(state, recoveryAdmission.retryAfterMs());
             return;
         }
         boolean overQuota = tenantQuotas.recordQuery(query.tenant());
         if (!admissionController.admits(state, overQuota)) {
-            completion.reject(state, latencyObjectiveMs * SHED_RETRY_OBJECTIVES);
+            completion.reject(state, latencyObjectiveMs * SHED_RETRY_AFTER_OBJECTIVES);
             return;
         }
         review(state);
@@ -216,14 +225,14 @@
     }
 
     /**
-     * The admission of queries while a fleet recovers from an outage; to be used by the engine's
-     * thread only.
+     * Returns the limiter of admitted queries while a fleet recovers from an outage. It may be used
+     * only by the engine's thread.
      */
     public RecoveryAdmission admission() {
         return recoveryAdmission;
     }
 
-    /** The servers, for views of this package that export what was observed of them. */
+    /** Returns the servers, for the classes of this package that export observations of them. */
     ServerRegistry registry() {
         return registry;
     }
@@ -232,7 +241,10 @@
         clock.advance(now, queries.unitsInFlight() > 0);
     }
 
-    /** Sends what is unsent, failed or overdue, or ends the query when its time has come. */
+    /**
+     * Sends the shard requests of a query that are unsent, failed or overdue, or ends the query if
+     * it is complete or its time is up.
+     */
     private void review(QueryState query) {
         if (query.ended) {
             return;
@@ -241,26 +253,26 @@
             completion.answer(query);
             return;
         }
-        if (completion.isOver(query)) {
+        if (completion.mustEnd(query)) {
             completion.expire(query);
             return;
         }
         outliers.refresh();
         List<ShardRequestState> toSend = chooseAttempts(query);
         if (!toSend.isEmpty()) {
-            selector.sendAll(query, toSend);
+            replicaSelector.sendAll(query, toSend);
         }
         timers.scheduleReview(query);
     }
 
-    /** The shard requests that get an attempt now, within the retry budget. */
+    /** Returns the shard requests that get an attempt now, within the retry budget. */
     private List<ShardRequestState> chooseAttempts(QueryState query) {
-        // What may be answered partially leaves budget to queries that need every shard.
+        // Queries that may be answered partially leave budget for queries that need every shard.
         double share = query.mayBePartial() ? RetryBudget.PARTIAL_SHARE : 1;
         int retries = retryBudget.remaining(share);
         int hedges = retryBudget.remaining(RetryBudget.HEDGING_SHARE * share);
         List<ShardRequestState> chosen = new ArrayList<>();
-        for (ShardRequestState shardRequest : query.phase) {
+        for (ShardRequestState shardRequest : query.phaseRequests) {
             boolean idle = shardRequest.inFlight == 0;
             if (isFirstAttempt(shardRequest)) {
                 chosen.add(shardRequest);
@@ -272,11 +284,14 @@
                 hedges--;
             }
         }
-        retryBudget.report(retries);
+        retryBudget.logChange(retries);
         return chosen;
     }
 
-    /** Whether a first attempt is due; where another broker has made one, it must be repeatable. */
+    /**
+     * Returns whether the first attempt by this broker is due. If another broker may have sent the
+     * shard request before, it must be safe to repeat.
+     */
     private boolean isFirstAttempt(ShardRequestState shardRequest) {
         return shardRequest.attempts.isEmpty()
                 && (shardRequest.query.query.firstSentAtMs() > clock.now()
@@ -284,21 +299,21 @@
     }
 
     /**
-     * Whether an overdue shard request gets a hedged request. Where hedging is off its last attempt
-     * is cancelled, and the outcome of that brings the retry.
+     * Returns whether a shard request is overdue and gets a hedged request. If hedging is off, the
+     * last attempt is cancelled instead, and the outcome of the cancellation triggers the retry.
      */
     private boolean hedgeOrCancel(ShardRequestState shardRequest) {
-        if (!hedging.isOverdue(shardRequest)) {
+        if (!hedgingPolicy.isOverdue(shardRequest)) {
             return false;
         }
         if (settings.limits().hedging()) {
             return true;
         }
-        int last = shardRequest.attempts.size() - 1;
-        Attempt attempt = shardRequest.attempts.get(last);
+        int lastNumber = shardRequest.attempts.size() - 1;
+        Attempt attempt = shardRequest.attempts.get(lastNumber);
         if (settings.limits().cancel() && !attempt.cancelled) {
             attempt.cancelled = true;
-            actions.cancel(shardRequest.request.id(), last);
+            actions.cancel(shardRequest.request.id(), lastNumber);
         }
         return false;
     }
--- a/src/main/java/reeldeal/decision/DecisionModule.java
+++ b/src/main/java/reeldeal/decision/DecisionModule.java
@@ -3,82 +3,87 @@
 import java.util.List;
 
 /**
- * The decisions of one broker of a sharded search service: events in, {@link Actions} out.
+ * Makes the decisions of one broker of a sharded search service: it receives events and responds
+ * with {@link Actions}.
  *
- * <p>One instance serves one broker and is used by one thread, which also runs the actions, within
- * the events that cause them. Times are milliseconds of any clock that never goes back; an event
- * that carries an earlier time is taken to happen at the latest time seen. All events of one tick
- * carry the same time; what is sent to one server within a tick travels as one call. Events about
- * queries, shard requests, attempts or servers that are not held are ignored.
+ * <p>One instance serves one broker and is used by one thread, which also runs the actions, before
+ * the method for the event that causes them returns. Times are in milliseconds of any clock that
+ * never goes back; an event with an earlier time is handled as if it happened at the latest time
+ * seen. All events of one tick carry the same time; the shard requests that are sent to one server
+ * within a tick travel in one call. Events about unknown queries, shard requests, attempts or
+ * servers are ignored.
  */
 public interface DecisionModule {
 
-    /** What executing a shard request a second time does. */
+    /** The effect of executing a shard request a second time. */
     enum RepeatSafety {
-        /** No harm. */
+        /** A second execution does no harm. */
         IDEMPOTENT,
-        /** No harm while the servers remember its idempotency key and drop the repeat. */
+        /**
+         * A second execution is prevented while the servers remember the idempotency key and drop
+         * the repeat.
+         */
         IDEMPOTENT_WITH_KEY,
-        /** Harm: it is sent again only where it provably did not run. */
+        /** A second execution does harm: a retry is sent only if the first provably did not run. */
         NOT_IDEMPOTENT
     }
 
-    /** How an attempt or a probe ended. */
+    /** The way in which an attempt or a probe ended. */
     enum Outcome {
-        /** Answered. */
+        /** The server answered. */
         OK,
-        /** Answered with an error; it may have run. */
+        /** The server answered with an error; the shard request may have run. */
         ERROR,
-        /** Rejected by the server before any work. */
+        /** The server rejected the shard request before doing any work. */
         REJECTED,
-        /** No answer within the timeout. */
+        /** No answer came within the timeout. */
         TIMEOUT,
-        /** No connection, or none that took the whole request. */
+        /** No connection could be opened, or it failed before the whole request was written. */
         CONNECT_FAILED,
         /** The connection broke after the request was written. */
         RESET,
         /** Cancelled by {@link Actions#cancel}. */
         CANCELLED,
-        /** Kept back by the broker itself: it says nothing of the server. */
+        /** Not sent by the broker itself: no evidence about the server. */
         NEVER_SENT;
 
-        /** Whether this outcome proves that the shard request did not run. */
+        /** Returns whether this outcome proves that the shard request did not run. */
         public boolean neverRan() {
             return this == REJECTED || this == CONNECT_FAILED || this == NEVER_SENT;
         }
     }
 
-    /** What an event about the endpoint list holds. */
+    /** The contents of an endpoint list event. */
     enum EndpointListKind {
-        /** Entries that changed. */
+        /** Only the entries that changed. */
         CHANGES,
         /** The complete list. */
         COMPLETE,
         /** A complete list that may be stale. */
         CACHED,
-        /** Nothing: the list could not be had. */
+        /** No entries: the list could not be fetched. */
         FAILED
     }
 
     /** The state of a server in the endpoint list. */
     enum EndpointState {
-        /** May get work. */
+        /** The server may get work. */
         READY,
-        /** Completes what it has and gets nothing new. */
+        /** The server completes the work it has and gets no new work. */
         DRAINING,
-        /** No longer listed. */
+        /** The server is no longer listed. */
         REMOVED
     }
 
     /**
-     * One server as it is listed.
+     * One server's entry in the endpoint list.
      *
-     * @param id stable for a server, also over restarts of its process
+     * @param id stable for a server, also across restarts of its process
      * @param zone index of its zone
      * @param cell the cell whose shards it holds, from 0
-     * @param startedMs when its process started, in milliseconds of the events' clock; 0 where that
-     *     is long ago
-     * @param size relative capacity
+     * @param startedMs when its process started, in milliseconds of the events' clock; 0 if it
+     *     started long ago
+     * @param size capacity relative to other servers
      * @param kind index of its kind
      * @param state whether it may get work
      */
@@ -92,19 +97,21 @@
             EndpointState state) {}
 
     /**
-     * A class of queries. Shares are of the weight of a query's shard requests, 0 to 1.
+     * A class of queries. Shares are fractions, 0 to 1, of the total weight of a query's shard
+     * requests.
      *
-     * @param latencyObjectiveMs time within which an answer counts in full
-     * @param latencyObjectiveStretch stated and not used
-     * @param deadlineMs time after which clients give up; not below the objective
-     * @param priorityWeight value of an answer in time, 0 or more
+     * @param latencyObjectiveMs time within which an answer has its full value
+     * @param latencyObjectiveStretch accepted in the settings but not used
+     * @param deadlineMs time after which clients give up; not shorter than the objective
+     * @param priorityWeight value of an answer within the objective, 0 or more
      * @param latePriorityWeight value of an answer between objective and deadline, 0 or more
-     * @param repeatSafety what a second execution does
-     * @param deduplicationWindowMs how long servers remember an idempotency key
-     * @param completeShare share of the weight from which an answer is complete
-     * @param minimumShare share of the weight from which a partial answer may be given
+     * @param repeatSafety the effect of a second execution
+     * @param deduplicationWindowMs time for which servers remember an idempotency key
+     * @param completeShare smallest share of the weight with which an answer is complete
+     * @param minimumShare smallest share of the weight with which a partial answer may be given
      * @param partialWeight value of a partial answer relative to a complete one
-     * @param fetchShards shards that the fetch phase queries; 0 where there is none
+     * @param fetchShards number of shards that the fetch phase queries; 0 if there is no fetch
+     *     phase
      */
     record QueryClass(
             double latencyObjectiveMs,
@@ -122,18 +129,18 @@
     /**
      * A tenant.
      *
-     * @param quotaPerSecond queries a second, over all brokers, that are within its quota
+     * @param quotaPerSecond its quota in queries per second, summed over all brokers
      */
     record Tenant(double quotaPerSecond) {}
 
     /**
-     * What this broker may do.
+     * The limits on the actions of this broker.
      *
-     * @param maxAttempts attempts for each shard request, 1 or more
+     * @param maxAttempts most attempts for each shard request, 1 or more
      * @param hedging whether a shard request may have several attempts in flight
      * @param cancel whether attempts may be cancelled
      * @param probe whether servers may be probed
-     * @param maxInFlight queries and shard requests that the broker may hold, 1 or more
+     * @param maxInFlight most queries and shard requests that the broker may hold, 1 or more
      * @param maxRetryAfterMs longest delay that a rejected client may be given
      */
     record Limits(
@@ -145,16 +152,16 @@
             double maxRetryAfterMs) {}
 
     /**
-     * Rules that all brokers of the service keep.
+     * Rules that all brokers of the service follow.
      *
-     * @param drainGraceMs for how long a draining server would still take work
-     * @param slowStartCapacity share of its capacity that a server has when it starts, above 0 to 1
-     * @param slowStartMs time in which the capacity rises to the full one
-     * @param overloadFactor multiple of the present capacity that overloads a starting server
-     * @param overloadWindowMs time over which that is measured
-     * @param freeRetries retries within the window whatever the work
-     * @param retryRatio further retries for each query or shard request in the window
-     * @param retryWindowMs length of the window; 0 where no retry budget is stated
+     * @param drainGraceMs time for which a draining server would still accept work
+     * @param slowStartCapacity share of its full capacity with which a server starts, above 0 to 1
+     * @param slowStartMs time in which a started server reaches its full capacity
+     * @param overloadFactor multiple of its present capacity that overloads a starting server
+     * @param overloadWindowMs window over which such an overload is measured
+     * @param freeRetries retries that are allowed in the window regardless of the work
+     * @param retryRatio additional retries for each query or shard request in the window
+     * @param retryWindowMs length of the retry window; 0 if no retry budget is configured
      * @param maxPollIntervalMs longest interval between two polls of the endpoint list
      */
     record Rules(
@@ -169,32 +176,32 @@
             double maxPollIntervalMs) {}
 
     /**
-     * Where shards are held: shard s by the cells (s + j) mod {@code cells}, j from 0 to {@code
-     * replicas} - 1.
+     * The placement of shards: shard s is held by the cells (s + j) mod {@code cells}, for j from 0
+     * to {@code replicas} - 1.
      *
      * @param cells number of cells, 1 or more
-     * @param replicas cells that hold each shard, at most {@code cells}
-     * @param maxShardsPerCall shard requests in one call, 1 or more
-     * @param callWorkMs work that a call takes beside that of its shard requests
+     * @param replicas number of cells that hold each shard, at most {@code cells}
+     * @param maxShardsPerCall most shard requests in one call, 1 or more
+     * @param callWorkMs work that a call takes in addition to its shard requests
      */
     record Layout(int cells, int replicas, int maxShardsPerCall, double callWorkMs) {}
 
     /**
-     * The settings that a broker starts with.
+     * The settings with which a broker starts.
      *
-     * @param seed of the broker's random choices
+     * @param seed seed of the broker's random choices
      * @param brokerIndex number of this broker, from 0
      * @param brokers number of brokers that share the load
      * @param zone index of this broker's zone
-     * @param tickMs length of an event-loop tick; no timer is more precise
+     * @param tickMs length of an event-loop tick, the resolution of all timers
      * @param pollEndpoints whether the engine subscribes to the endpoint list itself
-     * @param layout where shards are held
-     * @param classes of queries, by index
-     * @param tenants by index; empty where there are no quotas
+     * @param layout the placement of shards
+     * @param classes the classes of queries, by index
+     * @param tenants the tenants, by index; empty if there are no quotas
      * @param overQuotaWeight value of an answer beyond a tenant's quota
-     * @param limits of this broker
-     * @param rules of the service
-     * @param loadColumns names of the figures in the servers' load reports
+     * @param limits the limits of this broker
+     * @param rules the rules of the service
+     * @param loadColumns names of the values in the servers' load reports
      */
     record Settings(
             long seed,
@@ -212,9 +219,10 @@
             List<String> loadColumns) {
 
         /**
-         * Copies the lists and checks ranges.
+         * Copies the lists and checks the ranges of the values.
          *
-         * @throws SettingOutOfRangeException which names the first setting that is out of range
+         * @throws SettingOutOfRangeException if a value is out of range; it names the first such
+         *     setting
          */
         public Settings {
             classes = List.copyOf(classes);
@@ -267,11 +275,11 @@
         }
     }
 
-    /** A setting whose value is out of its range. */
+    /** Thrown when the value of a setting is out of range. */
     final class SettingOutOfRangeException extends IllegalArgumentException {
         private static final long serialVersionUID = 1L;
 
-        /** The setting's key in the settings that the broker is started with. */
+        /** Name of the setting, such as {@code limits.maxAttempts}. */
         public final String setting;
 
         SettingOutOfRangeException(String setting) {
@@ -283,14 +291,14 @@
     /**
      * A query.
      *
-     * @param id of the query, unique among those in flight
+     * @param id identifies the query, unique among those in flight
      * @param classIndex index of its class; a query of an unknown class is ignored
-     * @param tenant index of its tenant; any other number where it has no quota
-     * @param key equal for equal queries: they prefer the same replicas
+     * @param tenant index of its tenant; any number that is not an index if it has no quota
+     * @param key equal for equal queries, so that they prefer the same replicas
      * @param deadlineMs when its client gives up
      * @param retry whether its client marks it as a retry
-     * @param firstSentAtMs when another broker may have sent a shard request of it first; infinite
-     *     where none did
+     * @param firstSentAtMs earliest time at which another broker may have sent a shard request of
+     *     this query; infinite if none did
      */
     record Query(
             long id,
@@ -300,7 +308,7 @@
             double deadlineMs,
             boolean retry,
             double firstSentAtMs) {
-        /** A query of which no shard request was sent before. */
+        /** Creates a query of which no other broker has sent a shard request. */
         public Query(
                 long id, int classIndex, int tenant, long key, double deadlineMs, boolean retry) {
             this(id, classIndex, tenant, key, deadlineMs, retry, Double.POSITIVE_INFINITY);
@@ -310,27 +318,28 @@
     /**
      * The part of a query that concerns one shard.
      *
-     * @param id unique among those in flight
+     * @param id identifies the shard request, unique among those in flight
      * @param shard number of the shard
-     * @param weight share of the query's answer, 0 to 1
+     * @param weight this shard's share of the query's answer, 0 to 1
      * @param key of the request at its shard
      */
     record ShardRequest(long id, int shard, double weight, long key) {}
 
-    /** The endpoint list, or changes of it. */
+    /** Reports the endpoint list, or changes to it. */
     void servers(double now, EndpointListKind kind, List<Server> entries);
 
-    /** A query with the shard requests of its query phase. */
+    /** Submits a query with the shard requests of its query phase. */
     void query(double now, Query query, List<ShardRequest> shardRequests);
 
-    /** The shard requests of a query's fetch phase. */
+    /** Submits the shard requests of a query's fetch phase. */
     void fetchPhase(double now, long query, List<ShardRequest> shardRequests);
 
     /**
-     * The outcome of an attempt.
+     * Reports the outcome of an attempt.
      *
-     * @param attemptNumber from 0, in the order of the sends of the shard request
-     * @param elapsedMs since the send
+     * @param attemptNumber number of the attempt, from 0 in the order in which the attempts of the
+     *     shard request were sent
+     * @param elapsedMs time since the attempt was sent
      * @param load the server's load report in the order of the settings' load columns; may be empty
      */
     void outcome(
@@ -341,39 +350,39 @@
             double elapsedMs,
             double[] load);
 
-    /** The outcome of a probe; for {@code load} see {@link #outcome}. */
+    /** Reports the outcome of a probe; for {@code load} see {@link #outcome}. */
     void probed(double now, long server, Outcome outcome, double elapsedMs, double[] load);
 
-    /** The client of a query has disconnected, or the query is over for another reason. */
+    /** Reports that a query's client has disconnected or the query ended for another reason. */
     void clientDisconnected(double now, long query);
 
-    /** A timer of {@link Actions#scheduleTimer} is due. */
+    /** Reports that a timer of {@link Actions#scheduleTimer} is due. */
     void timer(double now, int token);
 
-    /** What the broker is to do. */
+    /** The actions that the broker carries out for the decision module. */
     interface Actions {
         /**
-         * Sends a shard request to a server; attempts are numbered 0, 1, 2 in the order of the
-         * sends of a shard request.
+         * Sends a shard request to a server. The attempts of a shard request are numbered from 0 in
+         * the order in which they are sent.
          */
         void send(long shardRequest, long server, double timeoutMs);
 
-        /** Stops waiting for an attempt; its outcome follows. */
+        /** Stops waiting for an attempt; the event with its outcome follows. */
         void cancel(long shardRequest, int attemptNumber);
 
-        /** Answers a query from the shard requests that are answered; ends its phase. */
+        /** Answers a query from the shard requests answered so far, and ends its phase. */
         void answer(long query, boolean complete);
 
-        /** Rejects a query: a retry after this delay does no harm. */
+        /** Rejects a query, which its client may safely retry after this delay. */
         void reject(long query, double retryAfterMs);
 
-        /** Fails a query: whether it ran is unknown. */
+        /** Fails a query of which it is unknown whether it ran. */
         void fail(long query);
 
-        /** Asks for a {@link DecisionModule#timer} event after this delay. */
+        /** Requests a {@link DecisionModule#timer} event after this delay. */
         void scheduleTimer(double delayMs, int token);
 
-        /** Probes a server; {@link DecisionModule#probed} follows. */
+        /** Probes a server; a {@link DecisionModule#probed} event follows. */
         void probe(long server);
 
         /** Subscribes to the endpoint list. */
--- a/src/main/java/reeldeal/decision/EventClock.java
+++ b/src/main/java/reeldeal/decision/EventClock.java
@@ -1,14 +1,15 @@
 package reeldeal.decision;
 
 /**
- * The time of the event that is being handled, and whether the broker's event loop stalled before
- * it. Advanced by {@link DecisionEngine} only; milliseconds of the events' clock.
+ * Holds the time of the event that is being handled, and whether the broker's event loop stalled
+ * before that event. Advanced by {@link DecisionEngine} only; times are in milliseconds of the
+ * events' clock.
  */
 final class EventClock {
-    /** Ticks between two reviews of a query that waits. */
+    /** Ticks between two reviews of a waiting query. */
     static final double REVIEW_INTERVAL_TICKS = 4;
 
-    /** Review intervals without any event after which the broker itself has stalled. */
+    /** Review intervals without any event after which the broker's event loop has stalled. */
     private static final double STALL_REVIEW_INTERVALS = 3;
 
     private final double stallAfterMs;
@@ -25,18 +26,18 @@
     }
 
     /**
-     * Whether the current tick follows a stall of the broker: silence and late answers that are
-     * found in it are not the servers' fault.
+     * Returns whether the current tick follows a stall of the broker. Missing and late answers that
+     * are found in such a tick are not the servers' fault.
      */
     boolean stalled() {
         return stalled;
     }
 
     /**
-     * Moves to the time of an event; an earlier time is ignored.
+     * Advances to the time of an event; an earlier time is ignored.
      *
-     * @param queriesInFlight whether queries are in flight: their timers bring an event at least
-     *     every review interval, so a longer gap means that the event loop stood still
+     * @param queriesInFlight whether queries are in flight: their timers cause an event at least
+     *     every review interval, so a much longer gap means that the event loop stalled
      */
     void advance(double eventMs, boolean queriesInFlight) {
         if (eventMs > nowMs) {
--- a/src/main/java/reeldeal/decision/HedgingPolicy.java
+++ b/src/main/java/reeldeal/decision/HedgingPolicy.java
@@ -3,15 +3,18 @@
 import reeldeal.decision.DecisionModule.RepeatSafety;
 
 /**
- * When a shard request whose attempts are in flight is overdue, so that it is hedged or, where
- * hedging is off, cancelled and sent again: against silence, stalls and slow servers alike. Holds
- * no state.
+ * Decides when a shard request with attempts in flight is overdue. An overdue shard request is
+ * hedged or, if hedging is off, cancelled and sent again, which guards against silent, stalled and
+ * slow servers alike. Holds no state.
  */
 final class HedgingPolicy {
-    /** Times the typical latency after which an attempt is overdue. */
+    /** Multiple of the typical latency after which an attempt can be overdue. */
     private static final double OVERDUE_FACTOR = 2;
 
-    /** Times the latency of most of its query's shard requests after which one is the tail. */
+    /**
+     * An attempt is in the tail of its query after this multiple of the time in which most of the
+     * query's shard requests were answered.
+     */
     private static final double TAIL_FACTOR = 3;
 
     private final EventClock clock;
@@ -33,12 +36,15 @@
         this.hedging = hedging;
     }
 
-    /** Earliest time at which an attempt can be overdue. */
+    /** Returns the earliest time at which an attempt can be overdue. */
     double overdueAtMs(Attempt attempt) {
         return attempt.sentAtMs + overdueAfterMs(attempt);
     }
 
-    /** Whether all attempts in flight of a shard request are overdue and another one is in time. */
+    /**
+     * Returns whether all attempts in flight of a shard request are overdue and another attempt
+     * could still meet the latency objective.
+     */
     boolean isOverdue(ShardRequestState shardRequest) {
         QueryState query = shardRequest.query;
         if (clock.stalled()
@@ -55,9 +61,10 @@
     }
 
     /**
-     * Overdue at an outlier, or in a query's tail: much later than most of its own shard requests
-     * were. The latter judges where a broker meets each server too seldom to know it, and stays
-     * quiet where all replicas are alike.
+     * Returns whether an attempt is overdue: either its server is an outlier, or the attempt is in
+     * the tail of its query, that is, much later than most of the query's other shard requests. The
+     * second rule applies where a broker sends to each server too rarely to detect outliers, and it
+     * has no effect where all replicas are equally slow.
      */
     private boolean isOverdue(Attempt attempt) {
         double waitedMs = clock.now() - attempt.sentAtMs;
@@ -65,7 +72,9 @@
             return false;
         }
         boolean tail =
-                hedging && waitedMs > TAIL_FACTOR * attempt.shardRequest.query.mostAnsweredAfterMs;
+                hedging
+                        && waitedMs
+                                > TAIL_FACTOR * attempt.shardRequest.query.majorityAnsweredAfterMs;
         return tail || (attempt.server.health.outlierFactor > 1 && hasBetterReplica(attempt));
     }
 
--- a/src/main/java/reeldeal/decision/LatencyEstimator.java
+++ b/src/main/java/reeldeal/decision/LatencyEstimator.java
@@ -2,15 +2,15 @@
 
 import reeldeal.decision.DecisionModule.Layout;
 
-/** The fleet's typical latency by the position of a shard request in its call. */
+/** Estimates the fleet's typical latency by the position of a shard request in its call. */
 final class LatencyEstimator {
-    /** Weight of one answer in the average, once enough have come. */
+    /** Weight of one answer in the moving average, once there are enough answers. */
     private static final double SMOOTHING = 0.03;
 
-    /** An answer counts as at most so many times the typical latency. */
+    /** Upper bound of one answer's latency, as a multiple of the typical latency. */
     private static final double MAX_SAMPLE_FACTOR = 4;
 
-    /** Of the latency objective: the typical latency before any answer has come. */
+    /** Share of the latency objective that is assumed before the first answer. */
     private static final double INITIAL_SHARE = 0.2;
 
     private final double initialMs;
@@ -25,12 +25,12 @@
         this.samples = new int[typicalMs.length];
     }
 
-    /** Whether an answer of the first position has come. */
+    /** Returns whether an answer at the first position was recorded. */
     boolean hasSamples() {
         return samples[0] > 0;
     }
 
-    /** The typical latency at a position; of the nearest one before it where none was seen. */
+    /** Returns the typical latency at a position, or at the nearest earlier one with samples. */
     double typicalMs(int position) {
         for (int i = position; i >= 0; i--) {
             if (samples[i] > 0) {
@@ -40,9 +40,9 @@
         return initialMs;
     }
 
-    /** Takes the latency of one answer. */
+    /** Records the latency of one answer. */
     void record(int position, double elapsedMs) {
-        // An answer takes a call's work at least: a shorter time is that of a broker that stalled.
+        // An answer takes at least the call's own work: a shorter time comes from a stalled broker.
         double latency = Math.max(elapsedMs, callWorkMs);
         double sample =
                 samples[position] == 0
--- a/src/main/java/reeldeal/decision/OutlierDetector.java
+++ b/src/main/java/reeldeal/decision/OutlierDetector.java
@@ -6,49 +6,50 @@
 import reeldeal.decision.DecisionModule.Outcome;
 
 /**
- * Finds servers that are slow, stalled, hung, vanished, crashed or failing by one measure: latency
- * relative to the median server and to the other replicas of the same shards, from answers and from
- * silence while work is in flight. Where all servers look bad (a slowdown of all, the broker's own
- * network, a hot shard) the reference rises and none is an outlier. Owns every {@link
- * ServerHealth}.
+ * Detects servers that are slow, stalled, hung, unreachable, crashed or failing by a single
+ * measure: latency relative to the median server and to the other replicas of the same shards. The
+ * latency is that of answers, or the time without an answer while work is in flight. If all servers
+ * look bad (a general slowdown, a fault of the broker's own network, a hot shard), the reference
+ * latency rises and no server is an outlier. Maintains every {@link ServerHealth}.
  */
 final class OutlierDetector {
-    /** Times the reference latency from which a server is an outlier. */
+    /** Multiple of the reference latency from which a server is an outlier. */
     private static final double OUTLIER_FACTOR = 3;
 
-    /** Times the typical latency that a failed attempt counts as. */
+    /** Latency that a failed attempt counts as at least, as a multiple of the typical one. */
     private static final double FAILURE_LATENCY = 6;
 
-    /** A single outcome counts as at most so many times the typical latency. */
+    /** Upper bound of the latency of a single outcome, as a multiple of the typical one. */
     private static final double MAX_SAMPLE_LATENCY = 2 * FAILURE_LATENCY;
 
-    /** Times the typical latency without an answer that count as a relative latency of 1. */
+    /** Wait without an answer, in typical latencies, that counts as a relative latency of 1. */
     private static final double SILENCE_FACTOR = 1.5;
 
-    /** Lowest reference latency. */
+    /** Lower bound of the reference latency. */
     private static final double MIN_REFERENCE = 0.7;
 
-    /** Successes in a row by which an ejected server is trusted again. */
+    /** Consecutive successes after which an ejected server is trusted again. */
     private static final int SUCCESSES_TO_READMIT = 3;
 
-    /** Latency objectives before the first probe request after an ejection. */
+    /** Delay of the first probe request after an ejection, in latency objectives. */
     private static final double PROBE_DELAY_OBJECTIVES = 2;
 
-    /** How often failed probe requests double that delay at most. */
+    /** Maximum number of times that the delay before a probe request is doubled. */
     private static final double MAX_PROBE_DELAY_DOUBLINGS = 3;
 
-    /** Latency objectives with which evidence on a server fades. */
+    /** Time constant of the decay of evidence about a server, in latency objectives. */
     private static final double FADE_OBJECTIVES = 3;
 
-    /** Weight of one outcome in a server's average, with fresh and with faded evidence. */
+    /** Weight of one outcome in a server's average latency while the evidence is fresh. */
     private static final double FRESH_SMOOTHING = 0.3;
 
+    /** Weight of one outcome in a server's average latency once the evidence has faded. */
     private static final double FADED_SMOOTHING = 0.5;
 
-    /** Weight of one interval between two answers in its average. */
+    /** Weight of one interval in the moving average of the interval between answers. */
     private static final double INTERVAL_SMOOTHING = 0.1;
 
-    /** Times the typical latency for which a server that rejects or is unreachable gets nothing. */
+    /** Backoff after a rejection or a broken connection, in typical latencies. */
     private static final double BACKOFF_FACTOR = 0.5;
 
     private final EventClock clock;
@@ -79,22 +80,22 @@
         refreshedAtMs = -1;
     }
 
-    /** Relative latency of the median server as of the last {@link #refresh}, at least 0.7. */
+    /** Returns the median server's relative latency at the last {@link #refresh}, at least 0.7. */
     double referenceLatency() {
         return referenceLatency;
     }
 
-    /** Whether an outcome says anything of its server. */
+    /** Returns whether an outcome is evidence about its server. */
     boolean isEvidence(Outcome outcome) {
-        boolean waited = outcome == Outcome.OK || outcome == Outcome.TIMEOUT;
-        return outcome != Outcome.NEVER_SENT && !(clock.stalled() && waited);
+        boolean latencyMatters = outcome == Outcome.OK || outcome == Outcome.TIMEOUT;
+        return outcome != Outcome.NEVER_SENT && !(clock.stalled() && latencyMatters);
     }
 
     /**
-     * Takes the outcome of an attempt. Failures count as very late answers, so that fast errors
+     * Records the outcome of an attempt. Failures count as very late answers, so that fast errors
      * never make a server look idle.
      *
-     * @param elapsedMs from the send to the outcome
+     * @param elapsedMs time from the send to the outcome
      * @param typicalMs typical latency at the attempt's position before this outcome
      */
     void recordOutcome(Attempt attempt, Outcome outcome, double elapsedMs, double typicalMs) {
@@ -126,17 +127,21 @@
 
     private void recordAnswer(ServerState server) {
         ServerHealth health = server.health;
-        double sinceMs = clock.now() - Math.max(health.lastAnswerAtMs, server.busySinceMs);
+        double intervalMs = clock.now() - Math.max(health.lastAnswerAtMs, server.busySinceMs);
         if (!server.inFlight.isEmpty()) {
             double meanMs = health.meanAnswerIntervalMs;
             health.meanAnswerIntervalMs =
-                    meanMs == 0 ? sinceMs : meanMs + (sinceMs - meanMs) * INTERVAL_SMOOTHING;
+                    meanMs == 0 ? intervalMs : meanMs + (intervalMs - meanMs) * INTERVAL_SMOOTHING;
         }
         health.lastAnswerAtMs = clock.now();
         health.unresponsive = false;
     }
 
-    /** Backs off: otherwise shard requests would use up their attempts on what is full or down. */
+    /**
+     * Records a failure. Unless the server answered with an error, it gets nothing for the backoff
+     * time: otherwise shard requests would use up their attempts at a server that is overloaded or
+     * down.
+     */
     private void recordFailure(Attempt attempt, Outcome outcome) {
         ServerHealth health = attempt.server.health;
         health.unresponsive |=
@@ -146,8 +151,8 @@
     }
 
     /**
-     * The older the last evidence is, the more the new one weighs: one of many brokers meets a
-     * server seldom.
+     * Adds a latency to the server's moving average. The older the previous evidence is, the more
+     * the new latency weighs: with many brokers, each of them sends to a server only rarely.
      */
     private void smoothLatency(ServerHealth health, double relativeLatency) {
         double freshness = Math.exp((health.relativeLatencyAtMs - clock.now()) / fadeMs);
@@ -159,8 +164,8 @@
     }
 
     /**
-     * One attempt suffices to detect silence while other servers answer: one of many brokers meets
-     * the server seldom again.
+     * Returns whether a failed attempt shows that the server is silent. One attempt is enough while
+     * other servers answer: with many brokers, each of them may not send to the server again soon.
      */
     private boolean isSilence(
             ServerHealth health, Outcome outcome, double elapsedMs, double typicalMs) {
@@ -171,7 +176,11 @@
                 && elapsedMs > OUTLIER_FACTOR * referenceLatency * typicalMs;
     }
 
-    /** Each failed probe request delays the next one, since it risks a query: against flapping. */
+    /**
+     * Ejects a server, or keeps it ejected. Each ejection and each failed probe request doubles the
+     * delay before the next probe request, up to a limit: a probe request puts a query at risk, and
+     * a flapping server would otherwise be probed again and again.
+     */
     private void eject(ServerHealth health) {
         if (health.trusted || health.nextProbeAtMs <= clock.now()) {
             double factor = Math.pow(2, Math.min(health.ejections++, MAX_PROBE_DELAY_DOUBLINGS));
@@ -194,22 +203,25 @@
                         * Math.exp((health.relativeLatencyAtMs - clock.now()) / fadeMs);
     }
 
-    /** Brings all servers' health to the present time, and ejects those that became outliers. */
+    /**
+     * Updates the health of all servers to the present time, and ejects silent servers that became
+     * outliers.
+     */
     void refresh() {
         if (refreshedAtMs == clock.now()) {
             return;
         }
         refreshedAtMs = clock.now();
         double[] latencies = new double[registry.servers().size()];
-        int counted = 0;
+        int count = 0;
         for (ServerState server : registry.servers()) {
             refreshLatency(server);
-            if (server.ready && !server.health.quiet) {
-                latencies[counted++] = server.health.currentRelativeLatency;
+            if (server.ready && !server.health.silent) {
+                latencies[count++] = server.health.currentRelativeLatency;
             }
         }
-        Arrays.sort(latencies, 0, counted);
-        referenceLatency = counted == 0 ? 1 : Math.max(MIN_REFERENCE, latencies[counted / 2]);
+        Arrays.sort(latencies, 0, count);
+        referenceLatency = count == 0 ? 1 : Math.max(MIN_REFERENCE, latencies[count / 2]);
         for (ServerState server : registry.servers()) {
             refreshOutlierFactor(server);
         }
@@ -218,20 +230,20 @@
     private void refreshLatency(ServerState server) {
         ServerHealth health = server.health;
         boolean waiting = !server.inFlight.isEmpty() && !clock.stalled();
-        double silence = 0;
+        double silenceLatency = 0;
         if (waiting) {
             Attempt oldest = server.inFlight.get(0);
-            silence =
+            silenceLatency =
                     (clock.now() - oldest.sentAtMs)
                             / latency.typicalMs(oldest.position)
                             / SILENCE_FACTOR;
         }
-        health.currentRelativeLatency = Math.max(fadedLatency(health), silence);
-        double quietMs = clock.now() - Math.max(health.lastAnswerAtMs, server.busySinceMs);
-        health.quiet =
+        health.currentRelativeLatency = Math.max(fadedLatency(health), silenceLatency);
+        double silentMs = clock.now() - Math.max(health.lastAnswerAtMs, server.busySinceMs);
+        health.silent =
                 health.unresponsive
                         || (waiting
-                                && quietMs
+                                && silentMs
                                         > OUTLIER_FACTOR
                                                 * Math.max(
                                                         latency.typicalMs(0),
@@ -241,29 +253,32 @@
     private void refreshOutlierFactor(ServerState server) {
         ServerHealth health = server.health;
         double current = health.currentRelativeLatency;
-        // A server that answers nothing at all is not excused by its replicas' latency.
+        // The latency of other replicas does not excuse a server that answers nothing at all.
         double reference =
-                health.quiet || current < OUTLIER_FACTOR * referenceLatency
+                health.silent || current < OUTLIER_FACTOR * referenceLatency
                         ? referenceLatency
                         : Math.max(referenceLatency, replicasLatency(server));
         health.outlierFactor = current / reference;
         if (health.outlierFactor < OUTLIER_FACTOR) {
             health.outlierFactor = 1;
         } else if (health.trusted
-                && health.quiet
+                && health.silent
                 && fadedLatency(health) / reference >= OUTLIER_FACTOR) {
-            // A slow server that answers stays: its factor limits what it is given.
+            // A slow server that answers is not ejected: its outlier factor limits its load.
             eject(health);
             log.log("server " + server.id + " ejected");
         }
     }
 
-    /** Lower median of the replicas' latencies: a hot shard is no single replica's fault. */
+    /**
+     * Returns the lower median of the latencies of all servers that share shards with this one: a
+     * hot shard is not the fault of a single replica.
+     */
     private double replicasLatency(ServerState server) {
         List<Double> latencies = new ArrayList<>();
-        int reach = registry.neighbourCells();
-        for (int offset = -reach; offset <= reach; offset++) {
-            for (ServerState replica : registry.cell(server.listed.cell() + offset)) {
+        int neighbourCells = registry.neighbourCells();
+        for (int offset = -neighbourCells; offset <= neighbourCells; offset++) {
+            for (ServerState replica : registry.cell(server.listEntry.cell() + offset)) {
                 latencies.add(replica.health.currentRelativeLatency);
             }
         }
--- a/src/main/java/reeldeal/decision/ProbeLimiter.java
+++ b/src/main/java/reeldeal/decision/ProbeLimiter.java
@@ -1,15 +1,15 @@
 package reeldeal.decision;
 
 /**
- * Limits probe requests, the shard requests that are sent to servers which are not trusted. They
- * follow the rate of the broker's own queries: otherwise, with many faulty servers and few queries,
- * each query would meet one.
+ * Limits probe requests, that is, shard requests that are sent to servers which are not trusted.
+ * Their rate follows the rate of the broker's own queries: otherwise, with many faulty servers and
+ * few queries, each query would be sent to a faulty server.
  */
 final class ProbeLimiter {
-    /** Queries in whose time one ejected server is probed. */
+    /** Number of mean query intervals between two probe requests to ejected servers. */
     private static final double QUERIES_PER_PROBE = 4;
 
-    /** Weight of one interval between two queries in its average. */
+    /** Weight of one interval in the moving average of the interval between queries. */
     private static final double INTERVAL_SMOOTHING = 0.3;
 
     private final EventClock clock;
@@ -22,21 +22,21 @@
         this.lastQueryAtMs = clock.now();
     }
 
-    /** Counts a query that came in. */
+    /** Records the arrival of a query. */
     void recordQuery() {
         meanQueryIntervalMs +=
                 (clock.now() - lastQueryAtMs - meanQueryIntervalMs) * INTERVAL_SMOOTHING;
         lastQueryAtMs = clock.now();
     }
 
-    /** Counts a send; one to an ejected server is a probe. */
+    /** Records an attempt; an attempt at an ejected server is a probe request. */
     void recordSend(ServerState server) {
         if (server.health.ejected()) {
             nextProbeAtMs = clock.now() + QUERIES_PER_PROBE * meanQueryIntervalMs;
         }
     }
 
-    /** Whether a server that is not trusted may get one call now. */
+    /** Returns whether a server that is not trusted may get one call now. */
     boolean mayProbe(ServerState server) {
         ServerHealth health = server.health;
         if (server.callsInFlight > 0) {
--- a/src/main/java/reeldeal/decision/QueryCompletion.java
+++ b/src/main/java/reeldeal/decision/QueryCompletion.java
@@ -4,16 +4,16 @@
 import reeldeal.decision.DecisionModule.Limits;
 import reeldeal.decision.DecisionModule.RepeatSafety;
 
-/** When a query ends, and with which final answer; each query gets one at most. */
+/** Decides when a query ends and with which final answer; a query gets at most one. */
 final class QueryCompletion {
-    /** Share of what a broker may hold from which it waits for no late answer. */
-    private static final double FULL_SHARE = 0.4;
+    /** Share of the broker's capacity in use above which it does not wait for late answers. */
+    private static final double LATE_ANSWER_MAX_FILL = 0.4;
 
     private final EventClock clock;
     private final Limits limits;
     private final Actions actions;
     private final QueryTable queries;
-    private final UnservedQueries unserved;
+    private final UnservedQueries unservedQueries;
     private final RetryPolicy retryPolicy;
     private final QueryTimers timers;
 
@@ -22,50 +22,52 @@
             Limits limits,
             Actions actions,
             QueryTable queries,
-            UnservedQueries unserved,
+            UnservedQueries unservedQueries,
             RetryPolicy retryPolicy,
             QueryTimers timers) {
         this.clock = clock;
         this.limits = limits;
         this.actions = actions;
         this.queries = queries;
-        this.unserved = unserved;
+        this.unservedQueries = unservedQueries;
         this.retryPolicy = retryPolicy;
         this.timers = timers;
     }
 
-    /** Whether an incomplete query must end now. */
-    boolean isOver(QueryState query) {
+    /** Returns whether an incomplete query must end now. */
+    boolean mustEnd(QueryState query) {
         double now = clock.now();
-        // A broker that fills up would reject new clients for the sake of late answers.
-        boolean full = queries.unitsInFlight() > FULL_SHARE * limits.maxInFlight();
+        // If a broker that fills up waited for late answers, it would have to reject new queries.
+        boolean fillingUp = queries.unitsInFlight() > LATE_ANSWER_MAX_FILL * limits.maxInFlight();
         return now >= query.endAtMs
-                || (now >= query.objectiveAtMs && (query.minimumAnswered() || full))
-                || (now >= query.unsentEndAtMs && query.provenUnsent())
-                || isHopeless(query);
+                || (now >= query.objectiveAtMs && (query.minimumAnswered() || fillingUp))
+                || (now >= query.unsentEndAtMs && query.idleAndProvenNotRun())
+                || isMinimumUnreachable(query);
     }
 
     /**
-     * Whether the answers that can still come are not enough: such a query would take capacity from
-     * others, and its client may retry in time.
+     * Returns whether the minimum share cannot be reached with the answers that may still come.
+     * Such a query would take capacity from others, and its client may still retry in time.
      */
-    private boolean isHopeless(QueryState query) {
+    private boolean isMinimumUnreachable(QueryState query) {
         double possibleWeight = 0;
-        for (ShardRequestState shardRequest : query.phase) {
+        for (ShardRequestState shardRequest : query.phaseRequests) {
             boolean possible =
                     !shardRequest.done
                             && (shardRequest.inFlight > 0 || retryPolicy.mayAttempt(shardRequest));
             possibleWeight += possible ? shardRequest.request.weight() : 0;
         }
-        double minimumWeight = query.queryClass.minimumShare() - QueryState.ROUNDING;
-        return !query.phase.isEmpty()
+        double minimumWeight = query.queryClass.minimumShare() - QueryState.WEIGHT_TOLERANCE;
+        return !query.phaseRequests.isEmpty()
                 && (possibleWeight == 0 || query.answeredWeight + possibleWeight < minimumWeight);
     }
 
-    /** Answers from what is in; a class with a fetch phase goes on with that. */
+    /**
+     * Answers a query from the answers received so far, then starts a fetch phase if it has one.
+     */
     void answer(QueryState query) {
         boolean complete = query.isComplete();
-        if (query.phase.isEmpty()) {
+        if (query.phaseRequests.isEmpty()) {
             actions.fail(query.query.id());
             end(query);
             return;
@@ -80,11 +82,12 @@
     }
 
     /**
-     * Ends a query whose time is up: partially where enough is in, else rejected where nothing that
-     * is not idempotent can have been executed, else failed.
+     * Ends a query whose time is up. It is answered partially if the minimum share is answered;
+     * otherwise it is rejected if a retry does no harm, that is, if it is idempotent or provably
+     * has not run; otherwise it fails.
      */
     void expire(QueryState query) {
-        if (query.minimumAnswered() && !query.phase.isEmpty()) {
+        if (query.minimumAnswered() && !query.phaseRequests.isEmpty()) {
             answer(query);
             return;
         }
@@ -93,19 +96,19 @@
             reject(query, limits.maxRetryAfterMs());
         } else {
             actions.fail(query.query.id());
-            unserved.add(query);
+            unservedQueries.add(query);
             end(query);
         }
     }
 
-    /** Rejects a query: a retry does no harm. */
+    /** Rejects a query that its client may safely retry. */
     void reject(QueryState query, double retryAfterMs) {
         actions.reject(query.query.id(), Math.min(limits.maxRetryAfterMs(), retryAfterMs));
-        unserved.add(query);
+        unservedQueries.add(query);
         end(query);
     }
 
-    /** Forgets a query without an answer, or after it. */
+    /** Removes a query, either after its final answer or without one. */
     void end(QueryState query) {
         query.ended = true;
         queries.remove(query);
--- a/src/main/java/reeldeal/decision/QueryState.java
+++ b/src/main/java/reeldeal/decision/QueryState.java
@@ -5,12 +5,12 @@
 import reeldeal.decision.DecisionModule.Query;
 import reeldeal.decision.DecisionModule.QueryClass;
 
-/** A query in flight: its shard requests, the progress of its phase, and its time limits. */
+/** A query in flight: its shard requests, the progress of its phase and its time limits. */
 final class QueryState {
-    /** By how much sums of weights may fall short of a share. */
-    static final double ROUNDING = 1e-5;
+    /** Tolerance for rounding errors when a sum of weights is compared with a share. */
+    static final double WEIGHT_TOLERANCE = 1e-5;
 
-    /** Share of the phase's shard requests after whose answers the others are its tail. */
+    /** Share of the phase's shard requests; once it is answered, the others are the tail. */
     private static final double TAIL_SHARE = 0.6;
 
     final Query query;
@@ -20,33 +20,34 @@
     /** The shard requests of both phases. */
     final List<ShardRequestState> shardRequests = new ArrayList<>();
 
-    /** Those of the current phase. */
-    List<ShardRequestState> phase = new ArrayList<>();
+    /** The shard requests of the current phase. */
+    List<ShardRequestState> phaseRequests = new ArrayList<>();
 
-    /** Weight and number of the current phase's answers. */
+    /** Total weight of the answered shard requests of the current phase. */
     double answeredWeight;
 
+    /** Number of answered shard requests of the current phase. */
     int answeredCount;
 
-    /** Time in which most of the phase's shard requests were answered; infinite until they are. */
-    double mostAnsweredAfterMs = Double.POSITIVE_INFINITY;
+    /** Time in which most shard requests of the phase were answered; infinite until then. */
+    double majorityAnsweredAfterMs = Double.POSITIVE_INFINITY;
 
-    /** When the query was first submitted; a client's retry keeps the time of the first. */
+    /** When the query was first submitted; a client's retry keeps this time. */
     double startedAtMs;
 
-    /** Until when an answer meets the latency objective. */
+    /** Latest time at which an answer meets the latency objective. */
     double objectiveAtMs;
 
-    /** Until when an answer is waited for. */
+    /** Time at which the broker stops waiting for answers. */
     double endAtMs;
 
-    /** Until when a query of which nothing could be sent is held. */
+    /** Time at which the query ends if nothing is in flight and nothing can have run. */
     double unsentEndAtMs;
 
-    /** Before this time no timer has anything to review. */
+    /** Time before which timers need not review the query. */
     double nextReviewAtMs;
 
-    /** When the earliest scheduled timer is due. */
+    /** Due time of the earliest scheduled timer; infinite if there is none. */
     double timerAtMs = Double.POSITIVE_INFINITY;
 
     boolean inFetchPhase;
@@ -59,28 +60,28 @@
         this.timerToken = timerToken;
     }
 
-    /** Whether an answer that is not complete may be given. */
+    /** Returns whether an incomplete answer may be given. */
     boolean mayBePartial() {
         return queryClass.minimumShare() < queryClass.completeShare();
     }
 
-    /** Whether the answers that are in suffice for an answer, be it a partial one. */
+    /** Returns whether enough is answered for a partial answer. */
     boolean minimumAnswered() {
-        return answeredWeight >= queryClass.minimumShare() - ROUNDING;
+        return answeredWeight >= queryClass.minimumShare() - WEIGHT_TOLERANCE;
     }
 
-    /** Whether the current phase has all answers that a complete answer needs. */
+    /** Returns whether the current phase has all answers that a complete answer needs. */
     boolean isComplete() {
         if (inFetchPhase) {
             return queryPhaseComplete && phaseDone();
         }
         return queryClass.completeShare() < 1
-                ? answeredWeight >= queryClass.completeShare() - ROUNDING
+                ? answeredWeight >= queryClass.completeShare() - WEIGHT_TOLERANCE
                 : phaseDone();
     }
 
     private boolean phaseDone() {
-        for (ShardRequestState shardRequest : phase) {
+        for (ShardRequestState shardRequest : phaseRequests) {
             if (!shardRequest.done) {
                 return false;
             }
@@ -88,13 +89,13 @@
         return true;
     }
 
-    /** Whether the fetch phase has begun and its shard requests are not known yet. */
+    /** Returns whether the fetch phase has begun but its shard requests are not known yet. */
     boolean awaitsFetchPhase() {
-        return inFetchPhase && phase.isEmpty();
+        return inFetchPhase && phaseRequests.isEmpty();
     }
 
-    /** Whether nothing is in flight and nothing can have been executed. */
-    boolean provenUnsent() {
+    /** Returns whether nothing is in flight and provably nothing was executed. */
+    boolean idleAndProvenNotRun() {
         for (ShardRequestState shardRequest : shardRequests) {
             if (shardRequest.inFlight > 0 || !shardRequest.provenNotRun()) {
                 return false;
@@ -103,7 +104,7 @@
         return true;
     }
 
-    /** Whether a shard request of it may have been executed. */
+    /** Returns whether any of the shard requests may have been executed. */
     boolean mayHaveRun() {
         for (ShardRequestState shardRequest : shardRequests) {
             if (!shardRequest.provenNotRun()) {
@@ -113,29 +114,29 @@
         return false;
     }
 
-    /** The next time limit. */
+    /** Returns the next time limit: of the objective, the wait or an unsent query. */
     double nextLimitMs(double nowMs) {
         return Math.min(
                 objectiveAtMs > nowMs ? objectiveAtMs : endAtMs,
                 unsentEndAtMs > nowMs ? unsentEndAtMs : Double.MAX_VALUE);
     }
 
-    /** Takes the first answer to a shard request. */
+    /** Records the first answer to a shard request. */
     void recordAnswer(ShardRequestState shardRequest, double elapsedMs) {
         shardRequest.done = true;
         answeredWeight += shardRequest.request.weight();
-        if (++answeredCount >= TAIL_SHARE * phase.size()) {
-            mostAnsweredAfterMs = Math.min(mostAnsweredAfterMs, elapsedMs);
+        if (++answeredCount >= TAIL_SHARE * phaseRequests.size()) {
+            majorityAnsweredAfterMs = Math.min(majorityAnsweredAfterMs, elapsedMs);
         }
     }
 
-    /** Ends the query phase; the fetch phase's shard requests follow. */
+    /** Starts the fetch phase, whose shard requests are added by a later event. */
     void beginFetchPhase(boolean complete) {
         queryPhaseComplete = complete;
         inFetchPhase = true;
-        phase = new ArrayList<>();
+        phaseRequests = new ArrayList<>();
         answeredWeight = 0;
         answeredCount = 0;
-        mostAnsweredAfterMs = Double.POSITIVE_INFINITY;
+        majorityAnsweredAfterMs = Double.POSITIVE_INFINITY;
     }
 }
--- a/src/main/java/reeldeal/decision/QueryTable.java
+++ b/src/main/java/reeldeal/decision/QueryTable.java
@@ -8,8 +8,8 @@
 import reeldeal.decision.DecisionModule.ShardRequest;
 
 /**
- * The queries in flight and their shard requests. A shard request outlives its query while attempts
- * of it have no outcome.
+ * The queries in flight and their shard requests. After its query has ended, a shard request is
+ * kept until all of its attempts have an outcome.
  */
 final class QueryTable {
     private final Map<Long, QueryState> queries = new HashMap<>();
@@ -19,7 +19,7 @@
     private int largestQueryUnits;
     private int nextTimerToken = 1;
 
-    /** Adds a query in its query phase. */
+    /** Adds a query with the shard requests of its query phase. */
     QueryState add(Query query, QueryClass queryClass, List<ShardRequest> requests) {
         QueryState state = new QueryState(query, queryClass, nextTimerToken++);
         queries.put(query.id(), state);
@@ -30,19 +30,19 @@
         return state;
     }
 
-    /** Adds shard requests to a query's current phase; an id that is in use is ignored. */
+    /** Adds shard requests to a query's current phase; those with an id in use are ignored. */
     void addToPhase(QueryState query, List<ShardRequest> requests) {
         for (ShardRequest request : requests) {
             ShardRequestState state = new ShardRequestState(request, query);
             if (shardRequests.putIfAbsent(request.id(), state) == null) {
-                query.phase.add(state);
+                query.phaseRequests.add(state);
                 query.shardRequests.add(state);
                 unitsInFlight++;
             }
         }
     }
 
-    /** Removes a query that has ended, with its shard requests that have nothing in flight. */
+    /** Removes a query that has ended, and those of its shard requests that are not in flight. */
     void remove(QueryState query) {
         unitsInFlight -= 1 + query.shardRequests.size();
         queries.remove(query.query.id());
@@ -52,48 +52,48 @@
         }
     }
 
-    /** Removes a shard request of an ended query once nothing of it is in flight. */
+    /** Removes a shard request of an ended query if none of its attempts is in flight. */
     void removeIfIdle(ShardRequestState shardRequest) {
         if (shardRequest.inFlight == 0) {
             shardRequests.remove(shardRequest.request.id());
         }
     }
 
-    /** The query of this id, or null. */
+    /** Returns the query with this id, or null. */
     QueryState find(long query) {
         return queries.get(query);
     }
 
-    /** The query of this timer token, or null. */
+    /** Returns the query with this timer token, or null. */
     QueryState findByTimerToken(int token) {
         return byTimerToken.get(token);
     }
 
-    /** The shard request of this id, or null. */
+    /** Returns the shard request with this id, or null. */
     ShardRequestState findShardRequest(long shardRequest) {
         return shardRequests.get(shardRequest);
     }
 
-    /** Queries in flight. */
+    /** Returns the number of queries in flight. */
     int size() {
         return queries.size();
     }
 
-    /** Queries and shard requests in flight, as the settings' bound counts them. */
+    /** Returns the number of queries and shard requests, as {@code maxInFlight} counts them. */
     int unitsInFlight() {
         return unitsInFlight;
     }
 
-    /** The most units that one query has had at its start. */
+    /** Returns the size of the largest query so far, in units, when it was added. */
     int largestQueryUnits() {
         return largestQueryUnits;
     }
 
-    /** Shard requests of a cell that wait for a replica which may take them. */
+    /** Returns the number of shard requests of a cell that wait for an available replica. */
     long waitingInCell(int cell, ServerRegistry registry) {
         long count = 0;
         for (QueryState query : queries.values()) {
-            for (ShardRequestState shardRequest : query.phase) {
+            for (ShardRequestState shardRequest : query.phaseRequests) {
                 boolean inCell = registry.cellOf(shardRequest.request.shard()) == cell;
                 count += inCell && !shardRequest.done && shardRequest.inFlight == 0 ? 1 : 0;
             }
--- a/src/main/java/reeldeal/decision/RateLimitedLog.java
+++ b/src/main/java/reeldeal/decision/RateLimitedLog.java
@@ -2,7 +2,7 @@
 
 import reeldeal.decision.DecisionModule.Actions;
 
-/** The operators' log with a minimum interval between lines; lines that come sooner are dropped. */
+/** Writes to the operators' log, and drops lines that follow the previous one too soon. */
 final class RateLimitedLog {
     private final EventClock clock;
     private final Actions actions;
--- a/src/main/java/reeldeal/decision/ReplicaSelector.java
+++ b/src/main/java/reeldeal/decision/ReplicaSelector.java
@@ -6,9 +6,10 @@
 import java.util.TreeMap;
 
 /**
- * Chooses the replica for each shard request by a greedy set cover: the server that can take the
- * most of what is not sent yet gets it in one call, ties go to the least-loaded server, and a shard
- * request that remains alone goes to its own least-loaded replica. Holds no state of its own.
+ * Chooses the replica for each shard request by a greedy set cover. The server that can take the
+ * largest number of unsent shard requests gets them in one call; ties go to the least-loaded
+ * server. If that server can take only one, the shard request goes to its own least-loaded replica.
+ * Holds no state of its own.
  */
 final class ReplicaSelector {
     private final int zone;
@@ -25,9 +26,10 @@
     }
 
     /**
-     * Sends these shard requests of a query as far as replicas can take them; what cannot be sent
-     * waits for the next review. A class that needs only a share of its shards stops at that share.
-     * The outliers' state must be fresh.
+     * Sends these shard requests of a query as far as replicas can take them; those that cannot be
+     * sent wait for the next review. If the query's class is complete with a share of the shards,
+     * no first attempts beyond that share are sent. {@link OutlierDetector#refresh} must have been
+     * called at the current time.
      */
     void sendAll(QueryState query, List<ShardRequestState> toSend) {
         List<ShardRequestState> unsent = new ArrayList<>(toSend);
@@ -35,18 +37,20 @@
         double neededWeight = neededWeight(query);
         double plannedWeight = plannedWeight(query);
         while (!unsent.isEmpty()) {
-            Pick pick = pick(unsent, query.query.key());
-            if (pick == null) {
+            Assignment assignment = nextAssignment(unsent, query.query.key());
+            if (assignment == null) {
                 return;
             }
-            for (ShardRequestState shardRequest : pick.shardRequests()) {
+            for (ShardRequestState shardRequest : assignment.shardRequests()) {
                 boolean retry = !shardRequest.attempts.isEmpty();
                 if (plannedWeight >= neededWeight && !retry) {
                     return;
                 }
-                boolean alone = pick.shardRequests().size() == 1;
+                boolean single = assignment.shardRequests().size() == 1;
                 ServerState server =
-                        alone ? leastLoaded(shardRequest, pick.server()) : pick.server();
+                        single
+                                ? leastLoaded(shardRequest, assignment.server())
+                                : assignment.server();
                 sender.send(shardRequest, server);
                 unsent.remove(shardRequest);
                 dropCandidatesAt(server, unsent);
@@ -56,26 +60,29 @@
         }
     }
 
-    /** A server and the shard requests that one call takes to it. */
-    private record Pick(ServerState server, List<ShardRequestState> shardRequests) {}
+    /** A server and the shard requests that are sent to it in one call. */
+    private record Assignment(ServerState server, List<ShardRequestState> shardRequests) {}
 
     private static double neededWeight(QueryState query) {
         double share = query.queryClass.completeShare();
         return query.inFetchPhase || share == 1
                 ? Double.POSITIVE_INFINITY
-                : share - QueryState.ROUNDING;
+                : share - QueryState.WEIGHT_TOLERANCE;
     }
 
     private static double plannedWeight(QueryState query) {
         double weight = 0;
-        for (ShardRequestState shardRequest : query.phase) {
+        for (ShardRequestState shardRequest : query.phaseRequests) {
             boolean planned = shardRequest.done || shardRequest.inFlight > 0;
             weight += planned ? shardRequest.request.weight() : 0;
         }
         return weight;
     }
 
-    /** What was sent changes the choice for the shard requests of that server, and no others. */
+    /**
+     * Clears the candidates of the unsent shard requests that this server could take: its load has
+     * changed, which affects the choice for these and no others.
+     */
     private void dropCandidatesAt(ServerState server, List<ShardRequestState> unsent) {
         for (ShardRequestState shardRequest : unsent) {
             if (registry.replicasOf(shardRequest.request.shard()).contains(server)) {
@@ -84,41 +91,49 @@
         }
     }
 
-    /** The server that can take the most; null where none can take anything. */
-    private Pick pick(List<ShardRequestState> unsent, long key) {
+    /**
+     * Returns the server that can take the most shard requests, with these; null if no server can
+     * take any.
+     */
+    private Assignment nextAssignment(List<ShardRequestState> unsent, long key) {
         ServerState best = null;
-        List<ShardRequestState> bestTakes = List.of();
-        int most = 0;
+        List<ShardRequestState> bestShardRequests = List.of();
+        int bestCount = 0;
         for (Map.Entry<ServerState, List<ShardRequestState>> entry :
                 byCandidate(unsent).entrySet()) {
             ServerState server = entry.getKey();
             int count = Math.min(entry.getValue().size(), candidates.availableCapacity(server));
-            if (count > most || (count == most && count > 0 && isPreferred(server, best, key))) {
+            if (count > bestCount
+                    || (count == bestCount && count > 0 && isPreferred(server, best, key))) {
                 best = server;
-                bestTakes = entry.getValue();
-                most = count;
+                bestShardRequests = entry.getValue();
+                bestCount = count;
             }
         }
-        return best == null ? null : new Pick(best, List.copyOf(bestTakes.subList(0, most)));
+        return best == null
+                ? null
+                : new Assignment(best, List.copyOf(bestShardRequests.subList(0, bestCount)));
     }
 
-    /** For each server, in order of id, the shard requests that it may take. */
+    /** Returns the shard requests that each server may take, with the servers in order of id. */
     private Map<ServerState, List<ShardRequestState>> byCandidate(List<ShardRequestState> unsent) {
-        Map<ServerState, List<ShardRequestState>> takes =
+        Map<ServerState, List<ShardRequestState>> shardRequestsByServer =
                 new TreeMap<>((one, other) -> Long.compare(one.id, other.id));
         for (ShardRequestState shardRequest : unsent) {
             if (shardRequest.candidates == null) {
                 shardRequest.candidates = candidates.of(shardRequest);
             }
             for (ServerState server : shardRequest.candidates) {
-                takes.computeIfAbsent(server, any -> new ArrayList<>()).add(shardRequest);
+                shardRequestsByServer
+                        .computeIfAbsent(server, newServer -> new ArrayList<>())
+                        .add(shardRequest);
             }
         }
-        return takes;
+        return shardRequestsByServer;
     }
 
-    private ServerState leastLoaded(ShardRequestState shardRequest, ServerState otherwise) {
-        ServerState best = otherwise;
+    private ServerState leastLoaded(ShardRequestState shardRequest, ServerState initial) {
+        ServerState best = initial;
         for (ServerState server : shardRequest.candidates) {
             if (isPreferred(server, best, shardRequest.query.query.key())) {
                 best = server;
@@ -127,13 +142,16 @@
         return best;
     }
 
-    /** By load, then the broker's own zone, then rendezvous hashing of the query's key. */
+    /**
+     * Compares two servers by load, then by whether they are in the broker's own zone, then by
+     * rendezvous hashing of the query's key.
+     */
     private boolean isPreferred(ServerState server, ServerState other, long key) {
         if (other == null || server.load() != other.load()) {
             return other == null || server.load() < other.load();
         }
-        boolean sameZone = server.listed.zone() == zone;
-        if (sameZone != (other.listed.zone() == zone)) {
+        boolean sameZone = server.listEntry.zone() == zone;
+        if (sameZone != (other.listEntry.zone() == zone)) {
             return sameZone;
         }
         return Long.compareUnsigned(rank(key, server), rank(key, other)) > 0;
--- a/src/main/java/reeldeal/decision/RetryBudget.java
+++ b/src/main/java/reeldeal/decision/RetryBudget.java
@@ -5,20 +5,20 @@
 import reeldeal.decision.DecisionModule.Rules;
 
 /**
- * The budget of retries and hedged requests, exact over a sliding window: a fixed number and a
- * ratio of the work that came in.
+ * The budget for retries and hedged requests, exact over a sliding window: a fixed number plus a
+ * ratio of the work that arrived in the window.
  */
 final class RetryBudget {
-    /** Share of the budget that hedged requests may use; the rest is for failed attempts. */
+    /** Share of the budget that hedged requests may use; the rest is kept for failed attempts. */
     static final double HEDGING_SHARE = 0.7;
 
-    /** Share of the budget for queries that may be answered partially. */
+    /** Share of the budget that queries which may be answered partially can use. */
     static final double PARTIAL_SHARE = 0.75;
 
-    /** Retries per unit of work where the settings state no budget. */
+    /** Retries per unit of work if no budget is configured. */
     private static final double DEFAULT_RATIO = 0.1;
 
-    /** Latency objectives in the window where the settings state no budget. */
+    /** Length of the window, in latency objectives, if no budget is configured. */
     private static final double DEFAULT_WINDOW_OBJECTIVES = 3;
 
     private record Work(double atMs, int units) {}
@@ -39,43 +39,43 @@
             Layout layout,
             double latencyObjectiveMs,
             RateLimitedLog log) {
-        boolean stated = rules.retryWindowMs() > 0;
+        boolean configured = rules.retryWindowMs() > 0;
         this.clock = clock;
         this.log = log;
         this.windowMs =
-                stated ? rules.retryWindowMs() : latencyObjectiveMs * DEFAULT_WINDOW_OBJECTIVES;
-        this.freeRetries = stated ? rules.freeRetries() : layout.maxShardsPerCall();
-        this.ratio = stated ? rules.retryRatio() : DEFAULT_RATIO;
+                configured ? rules.retryWindowMs() : latencyObjectiveMs * DEFAULT_WINDOW_OBJECTIVES;
+        this.freeRetries = configured ? rules.freeRetries() : layout.maxShardsPerCall();
+        this.ratio = configured ? rules.retryRatio() : DEFAULT_RATIO;
     }
 
-    /** Counts queries and shard requests that came in. */
+    /** Records queries and shard requests that arrived. */
     void recordWork(int units) {
         work.add(new Work(clock.now(), units));
         workUnits += units;
-        expire();
+        removeExpired();
     }
 
-    /** Counts a retry or a hedged request that is sent. */
+    /** Records a retry or a hedged request that is sent. */
     void recordRetry() {
         retries.add(clock.now());
     }
 
-    /** What a share of the budget still allows; less than 1 where nothing. */
+    /** Returns how many retries a share of the budget still allows; 0 or less if none. */
     int remaining(double share) {
-        expire();
+        removeExpired();
         double allowed = freeRetries + ratio * workUnits;
         return (int) Math.floor(allowed * share + 1e-9) - retries.size();
     }
 
     /** Logs when the budget is exhausted and when it is restored. */
-    void report(int remaining) {
+    void logChange(int remaining) {
         if (exhausted != (remaining <= 0)) {
             exhausted = !exhausted;
-            log.log(exhausted ? "retry budget spent" : "retry budget restored");
+            log.log(exhausted ? "retry budget exhausted" : "retry budget restored");
         }
     }
 
-    private void expire() {
+    private void removeExpired() {
         double windowStartMs = clock.now() - windowMs;
         while (!retries.isEmpty() && retries.peek() < windowStartMs) {
             retries.poll();
--- a/src/main/java/reeldeal/decision/RetryPolicy.java
+++ b/src/main/java/reeldeal/decision/RetryPolicy.java
@@ -2,7 +2,7 @@
 
 import reeldeal.decision.DecisionModule.Settings;
 
-/** Whether a shard request may be attempted again without harm; holds no state. */
+/** Decides whether a shard request may be attempted again without harm. Holds no state. */
 final class RetryPolicy {
     private final EventClock clock;
     private final int maxAttempts;
@@ -14,7 +14,10 @@
         this.tickMs = settings.tickMs();
     }
 
-    /** Whether another attempt is allowed; a hedged request needs {@link HedgingPolicy} as well. */
+    /**
+     * Returns whether another attempt is allowed. For a hedged request {@link HedgingPolicy} must
+     * allow it as well.
+     */
     boolean mayAttempt(ShardRequestState shardRequest) {
         if (shardRequest.done || shardRequest.attempts.size() >= maxAttempts) {
             return false;
@@ -26,18 +29,21 @@
         };
     }
 
-    /** What may have run is sent again only while the servers still drop repeats of its key. */
+    /**
+     * Returns whether the servers would still drop a repeat with the same idempotency key, so that
+     * a shard request that may have run can be sent again.
+     */
     private boolean inDeduplicationWindow(ShardRequestState shardRequest) {
         QueryState query = shardRequest.query;
         double earliestRunMs =
-                Math.min(query.query.firstSentAtMs(), earliestRunHereMs(shardRequest));
+                Math.min(query.query.firstSentAtMs(), earliestLocalRunMs(shardRequest));
         return earliestRunMs + query.queryClass.deduplicationWindowMs() - tickMs > clock.now();
     }
 
-    private double earliestRunHereMs(ShardRequestState shardRequest) {
+    private double earliestLocalRunMs(ShardRequestState shardRequest) {
         for (Attempt attempt : shardRequest.attempts) {
             if (!attempt.neverRan) {
-                return attempt.sentAtMs; // attempts are in the order of their sends
+                return attempt.sentAtMs; // attempts are in the order in which they were sent
             }
         }
         return clock.now();
--- a/src/main/java/reeldeal/decision/ServerHealth.java
+++ b/src/main/java/reeldeal/decision/ServerHealth.java
@@ -3,18 +3,21 @@
 import reeldeal.decision.ServerStatsSnapshot.ServerStats;
 
 /**
- * What a broker has observed of one server's health. Changed by {@link OutlierDetector} only, apart
- * from {@link #restore}. Latencies are relative to the typical latency of the fleet: 1 is normal.
+ * One server's health as observed by this broker. Changed only by {@link OutlierDetector} and
+ * {@link #restore}. Latencies are relative to the typical latency of the fleet: 1 is normal.
  */
 final class ServerHealth {
-    /** Not ejected, and not new in place of a process that was. */
+    /**
+     * False while the server is ejected, and for a process that replaces an earlier one until it
+     * has answered successfully.
+     */
     boolean trusted;
 
-    /** Whether what it was sent last came to nothing. */
+    /** Whether an attempt failed and the server has answered nothing since that was sent. */
     boolean unresponsive;
 
-    /** Whether it is unresponsive, or has answered nothing for long though work is in flight. */
-    boolean quiet;
+    /** Whether it is unresponsive, or overdue with its next answer while work is in flight. */
+    boolean silent;
 
     int consecutiveSuccesses;
     int ejections;
@@ -24,18 +27,18 @@
 
     double relativeLatencyAtMs;
 
-    /** The present relative latency, with the time that the oldest attempt has waited. */
+    /** The present relative latency, including the wait of the oldest attempt in flight. */
     double currentRelativeLatency = 1;
 
-    /** 1, or for an outlier its present latency relative to healthy servers. */
+    /** For an outlier its present latency relative to healthy servers, otherwise 1. */
     double outlierFactor = 1;
 
-    /** Mean interval between two answers while work is in flight; 0 where none was seen. */
+    /** Mean interval between two answers while work is in flight; 0 if none was observed. */
     double meanAnswerIntervalMs;
 
     double lastAnswerAtMs;
 
-    /** Nothing is sent before: the server rejected work or could not be reached. */
+    /** Time before which nothing is sent, after the server rejected work or was unreachable. */
     double backoffUntilMs;
 
     /** Earliest time of the next probe request after an ejection. */
@@ -45,12 +48,12 @@
         this.trusted = trusted;
     }
 
-    /** Whether it is out of use for its failures, without a success since. */
+    /** Returns whether the server was ejected for failures and has had no success since. */
     boolean ejected() {
         return !trusted && ejections > 0 && consecutiveSuccesses == 0;
     }
 
-    /** Starts from what another broker has observed: an ejected server is due for a probe. */
+    /** Restores another broker's observations; an ejected server is due for a probe at once. */
     void restore(ServerStats stats, double nowMs) {
         if (stats.ejected()) {
             trusted = false;
--- a/src/main/java/reeldeal/decision/ServerRegistry.java
+++ b/src/main/java/reeldeal/decision/ServerRegistry.java
@@ -9,75 +9,76 @@
 import reeldeal.decision.DecisionModule.Layout;
 import reeldeal.decision.DecisionModule.Server;
 
-/** The servers as they are listed, by id, by cell, and as replicas of each shard. */
+/** The servers of the endpoint list, by id, by cell and as replicas of each shard. */
 final class ServerRegistry {
     private final EventClock clock;
     private final Layout layout;
-    private final double forgetAfterMs;
+    private final double retentionMs;
     private final TreeMap<Long, ServerState> servers = new TreeMap<>();
     private final List<List<ServerState>> cells = new ArrayList<>();
     private final List<List<ServerState>> replicas = new ArrayList<>();
 
     /**
-     * An empty registry.
+     * Creates an empty registry.
      *
-     * @param forgetAfterMs how long a server that is not ready keeps its record
+     * @param retentionMs time for which the state of a server that is not ready is kept
      */
-    ServerRegistry(EventClock clock, Layout layout, double forgetAfterMs) {
+    ServerRegistry(EventClock clock, Layout layout, double retentionMs) {
         this.clock = clock;
         this.layout = layout;
-        this.forgetAfterMs = forgetAfterMs;
+        this.retentionMs = retentionMs;
         for (int cell = 0; cell < layout.cells(); cell++) {
             cells.add(new ArrayList<>());
             replicas.add(new ArrayList<>());
         }
     }
 
-    /** Takes a list, or changes of one; not for {@link EndpointListKind#FAILED}. */
+    /** Applies an endpoint list or changes to it; not for {@link EndpointListKind#FAILED}. */
     void update(EndpointListKind kind, List<Server> entries) {
         if (kind != EndpointListKind.CHANGES) {
             servers.values().forEach(server -> server.ready = false);
         }
         for (Server entry : entries) {
             ServerState server = servers.get(entry.id());
-            if (server == null || server.listed.startedMs() != entry.startedMs()) {
-                // A new process has none of the old one's work, and its health is unknown.
+            if (server == null || server.listEntry.startedMs() != entry.startedMs()) {
+                // A new process has none of the old one's work in flight, and its health is
+                // unknown.
                 server = new ServerState(entry.id(), server == null);
                 servers.put(entry.id(), server);
             }
-            server.listed = entry;
-            // Draining servers get nothing new from this moment on; the grace period is not used.
+            server.listEntry = entry;
+            // Draining servers get no new work from now on; the grace period is not used.
             server.ready = entry.state() == EndpointState.READY;
         }
-        forgetRemoved();
+        removeExpired();
         rebuildCells();
     }
 
     /**
-     * A server that may yet return keeps its record for a while; new ones come all day, so none is
-     * kept for good.
+     * Removes servers that have not been ready for the retention time. A server may return, so its
+     * state is kept for a while; new servers keep appearing, so no state is kept forever.
      */
-    private void forgetRemoved() {
+    private void removeExpired() {
         double now = clock.now();
         servers.values()
                 .forEach(
                         server ->
-                                server.removedAtMs =
+                                server.notReadySinceMs =
                                         server.ready
                                                 ? Double.MAX_VALUE
-                                                : Math.min(server.removedAtMs, now));
+                                                : Math.min(server.notReadySinceMs, now));
         servers.values()
                 .removeIf(
                         server ->
                                 server.inFlight.isEmpty()
-                                        && server.removedAtMs + forgetAfterMs < now);
+                                        && server.notReadySinceMs + retentionMs < now);
     }
 
     private void rebuildCells() {
         cells.forEach(List::clear);
         for (ServerState server : servers.values()) {
-            if (server.ready && server.listed.cell() < cells.size()) {
-                cells.get(server.listed.cell()).add(server);
+            if (server.ready && server.listEntry.cell() < cells.size()) {
+                cells.get(server.listEntry.cell()).add(server);
             }
         }
         for (int cell = 0; cell < cells.size(); cell++) {
@@ -88,32 +89,32 @@
         }
     }
 
-    /** All remembered servers in the order of their ids, ready or not. */
+    /** Returns all servers in the registry in order of id, whether ready or not. */
     Collection<ServerState> servers() {
         return servers.values();
     }
 
-    /** The server of this id, or null. */
+    /** Returns the server with this id, or null. */
     ServerState find(long id) {
         return servers.get(id);
     }
 
-    /** The cell in which a shard's replicas begin. */
+    /** Returns the first of the consecutive cells that hold a shard. */
     int cellOf(int shard) {
         return Math.floorMod(shard, cells.size());
     }
 
-    /** The ready servers that hold this shard. */
+    /** Returns the ready servers that hold this shard. */
     List<ServerState> replicasOf(int shard) {
         return replicas.get(cellOf(shard));
     }
 
-    /** The ready servers of this cell; any number is taken modulo the number of cells. */
+    /** Returns the ready servers of a cell; its number is taken modulo the number of cells. */
     List<ServerState> cell(int cell) {
         return cells.get(Math.floorMod(cell, cells.size()));
     }
 
-    /** Cells on either side of a cell that share shards with it, each counted once. */
+    /** Returns how many cells on either side share shards with a cell, each counted once. */
     int neighbourCells() {
         return Math.min(layout.replicas() - 1, (cells.size() - 1) / 2);
     }
--- a/src/main/java/reeldeal/decision/ServerState.java
+++ b/src/main/java/reeldeal/decision/ServerState.java
@@ -4,58 +4,62 @@
 import java.util.List;
 import reeldeal.decision.DecisionModule.Server;
 
-/** One server process: how it is listed, its health, and what this broker has in flight at it. */
+/** One server process: its list entry, its health and this broker's work in flight at it. */
 final class ServerState {
     final long id;
     final ServerHealth health;
 
-    /** The latest list entry, whether it may get work, and since when not. */
-    Server listed;
+    /** The latest entry in the endpoint list. */
+    Server listEntry;
 
+    /** Whether the server may get work. */
     boolean ready;
-    double removedAtMs = Double.MAX_VALUE;
 
-    /** The slow-start bucket, in units of work; changed by {@link SlowStart} only. */
+    /** Since when the server has not been ready; {@code Double.MAX_VALUE} while it is. */
+    double notReadySinceMs = Double.MAX_VALUE;
+
+    /** Tokens in the slow-start bucket, in units of work; changed by {@link SlowStart} only. */
     double slowStartTokens;
 
+    /** When the slow-start bucket was last refilled. */
     double slowStartTokensAtMs = -1;
 
     /** Attempts without an outcome, oldest first. */
     final List<Attempt> inFlight = new ArrayList<>();
 
-    /** Calls with attempts in flight. */
+    /** Number of calls with attempts in flight. */
     int callsInFlight;
 
-    /** Since when something has been in flight without a break. */
+    /** Since when there has been work in flight without interruption. */
     double busySinceMs;
 
     private Call openCall;
 
     /**
-     * A server process as it is first listed.
+     * Creates the state of a server process when it is first listed.
      *
-     * @param trusted whether its health is presumed good: not where it replaces another process
+     * @param trusted whether its health is presumed good; false if it replaces another process
      */
     ServerState(long id, boolean trusted) {
         this.id = id;
         this.health = new ServerHealth(trusted);
     }
 
-    /** Whether what is sent now travels in a call that this tick has begun. */
+    /** Returns whether a shard request sent now joins a call that was begun in this tick. */
     boolean hasOpenCall(double nowMs, int maxShardsPerCall) {
         return openCall != null
                 && openCall.sentAtMs == nowMs
                 && openCall.shardRequests < maxShardsPerCall;
     }
 
-    /** Shard requests that one call can still take now. */
+    /** Returns how many shard requests can still be added to the open or the next call. */
     int remainingInCall(double nowMs, int maxShardsPerCall) {
         return hasOpenCall(nowMs, maxShardsPerCall)
                 ? maxShardsPerCall - openCall.shardRequests
                 : maxShardsPerCall;
     }
 
-    /** Adds an attempt to the open call, or to a new one. */
+    /** Adds an attempt to the open call, or to a new call. */
     Attempt startAttempt(ShardRequestState shardRequest, double nowMs, int maxShardsPerCall) {
         if (!hasOpenCall(nowMs, maxShardsPerCall)) {
             openCall = new Call(nowMs);
@@ -70,7 +74,7 @@
         return attempt;
     }
 
-    /** Removes an attempt that has its outcome. */
+    /** Removes an attempt whose outcome is known. */
     void endAttempt(Attempt attempt, boolean neverRan) {
         attempt.ended = true;
         attempt.neverRan = neverRan;
@@ -82,8 +86,9 @@
     }
 
     /**
-     * Own calls in flight with one more, in the time of a healthy server: an outlier's count by its
-     * latency. With all servers alike this is the number of calls.
+     * Returns the load that one more call would cause: this broker's calls in flight plus one,
+     * multiplied by the outlier factor, so that calls at an outlier count by its latency. While
+     * there are no outliers this is the number of calls.
      */
     double load() {
         return (callsInFlight + 1) * health.outlierFactor;
--- a/src/main/java/reeldeal/decision/ServerStatsSnapshot.java
+++ b/src/main/java/reeldeal/decision/ServerStatsSnapshot.java
@@ -4,25 +4,25 @@
 import java.util.TreeMap;
 
 /**
- * What one broker has observed of servers, for another that starts after it. All methods are to be
- * called by the engine's thread.
+ * Exports one broker's observations of servers, and imports them into a broker that starts later.
+ * All methods must be called on the engine's thread.
  */
 public final class ServerStatsSnapshot {
-    /** Relative latency from which a server that was not ejected is exported. */
+    /** Smallest relative latency at which a server that is not ejected is exported. */
     private static final double MIN_EXPORTED_LATENCY = 1.5;
 
     private ServerStatsSnapshot() {}
 
     /**
-     * What was observed of one server.
+     * The observations of one server.
      *
-     * @param ejected whether it is ejected for its failures
-     * @param unresponsive whether what it was sent last came to nothing
-     * @param relativeLatency its smoothed latency over the typical one; 1 is normal
+     * @param ejected whether it is ejected because of failures
+     * @param unresponsive whether an attempt failed and no answer has come since it was sent
+     * @param relativeLatency its smoothed latency divided by the typical one; 1 is normal
      */
     public record ServerStats(boolean ejected, boolean unresponsive, double relativeLatency) {}
 
-    /** The servers, by id, that are ready and are ejected or slow. */
+    /** Returns the observations of ready servers that are ejected or slow, by server id. */
     public static Map<Long, ServerStats> of(DecisionEngine engine) {
         Map<Long, ServerStats> stats = new TreeMap<>();
         for (ServerState server : engine.registry().servers()) {
@@ -38,11 +38,11 @@
     }
 
     /**
-     * Has an engine start from another broker's observation of a server, unless it has observed
-     * that server itself. An ejected server is due for a probe request, as it would be at the other
-     * broker; its latency fades as an own observation does.
+     * Imports another broker's observations of a server into an engine, unless the engine has
+     * observed that server itself. An ejected server is due for a probe request, as it would be at
+     * the other broker; the imported latency fades like the engine's own observations.
      *
-     * @param now milliseconds of the engine's clock
+     * @param now time in milliseconds of the engine's clock
      */
     public static void importStats(
             DecisionEngine engine, long server, ServerStats stats, double now) {
--- a/src/main/java/reeldeal/decision/ShardRequestState.java
+++ b/src/main/java/reeldeal/decision/ShardRequestState.java
@@ -4,19 +4,19 @@
 import java.util.List;
 import reeldeal.decision.DecisionModule.ShardRequest;
 
-/** A shard request of a query that is held, with its attempts in the order of their sends. */
+/** The state of a shard request, with its attempts in the order in which they were sent. */
 final class ShardRequestState {
     final ShardRequest request;
     final QueryState query;
     final List<Attempt> attempts = new ArrayList<>();
 
-    /** Replicas that {@link ReplicaSelector} may choose from; null until it has looked. */
+    /** Replicas that {@link ReplicaSelector} may choose from; null if not determined. */
     List<ServerState> candidates;
 
-    /** Attempts without an outcome. */
+    /** Number of attempts without an outcome. */
     int inFlight;
 
-    /** Whether an answer is in. */
+    /** Whether an answer was received. */
     boolean done;
 
     ShardRequestState(ShardRequest request, QueryState query) {
@@ -24,7 +24,7 @@
         this.query = query;
     }
 
-    /** Whether no attempt can have been executed. */
+    /** Returns whether provably no attempt was executed. */
     boolean provenNotRun() {
         for (Attempt attempt : attempts) {
             if (!attempt.neverRan) {
@@ -34,7 +34,7 @@
         return true;
     }
 
-    /** Whether this server has, or had, an attempt. */
+    /** Returns whether any attempt, ended or not, was sent to this server. */
     boolean attemptedAt(ServerState server) {
         for (Attempt attempt : attempts) {
             if (attempt.server == server) {
@@ -44,7 +44,7 @@
         return false;
     }
 
-    /** Whether this server has an attempt without an outcome. */
+    /** Returns whether an attempt at this server has no outcome yet. */
     boolean inFlightAt(ServerState server) {
         for (Attempt attempt : attempts) {
             if (attempt.server == server && !attempt.ended) {
--- a/src/main/java/reeldeal/decision/SlowStart.java
+++ b/src/main/java/reeldeal/decision/SlowStart.java
@@ -4,26 +4,31 @@
 import reeldeal.decision.DecisionModule.Settings;
 
 /**
- * Limits what is sent to a server that has just started, by a token bucket for each such server:
- * guards against overloading a server that is warming up, also by very many brokers together.
+ * Limits the work that is sent to a server that has just started, by a token bucket for each such
+ * server. This prevents a server that is warming up from being overloaded, even by very many
+ * brokers together.
  *
- * <p>A token is one unit of work: a shard request, or a call's own work where the settings state
- * that a call takes any. The bucket is filled with this broker's share of the stated multiple of
- * the ramp's present capacity. The full capacity of a server is taken to be at least the work that
- * this broker sees one warm server do. A share below one shard request stays a fraction that the
- * brokers begin at different points.
+ * <p>A token is one unit of work: a shard request, or a call's own work if the settings state that
+ * a call takes any. The bucket is refilled at this broker's share of the server's present capacity
+ * on the ramp, multiplied by the configured overload factor. A server's full capacity is taken to
+ * be at least the work that this broker observes one warm server to do. A share of less than one
+ * shard request accumulates as a fraction of a token, and the brokers start with different
+ * fractions.
  */
 final class SlowStart {
-    /** Share of the stated budget that is used: the rest covers bursts and other brokers. */
+    /** Share of the configured budget that is used; the rest covers bursts and other brokers. */
     private static final double BUDGET_SHARE = 0.7;
 
-    /** Time in which a broker that is full does the work that it holds. */
+    /** Time in which the work that a full broker holds is assumed to be done. */
     private static final double FULL_BROKER_WORK_MS = 4000;
 
-    /** Largest queries that a broker may hold however small its share of the load is. */
+    /**
+     * Number of queries of the largest size that a broker may hold however small its share of the
+     * load is.
+     */
     private static final int MIN_QUERIES_HELD = 4;
 
-    /** Latency objectives with which the count of completed work decays. */
+    /** Time constant of the decay of the completed work, in latency objectives. */
     private static final double DECAY_OBJECTIVES = 2;
 
     private final Settings settings;
@@ -31,12 +36,12 @@
     private final EventClock clock;
     private final ServerRegistry registry;
     private final QueryTable queries;
-    private final RecoveryAdmission admission;
+    private final RecoveryAdmission recoveryAdmission;
     private final double callUnits;
     private final double decayMs;
     private double completedUnits;
     private double completedUnitsAtMs;
-    private double countedAtMs = -1;
+    private double serversCountedAtMs = -1;
     private int readyServers;
     private int warmServers;
 
@@ -46,13 +51,13 @@
             double latencyObjectiveMs,
             ServerRegistry registry,
             QueryTable queries,
-            RecoveryAdmission admission) {
+            RecoveryAdmission recoveryAdmission) {
         this.settings = settings;
         this.rules = settings.rules();
         this.clock = clock;
         this.registry = registry;
         this.queries = queries;
-        this.admission = admission;
+        this.recoveryAdmission = recoveryAdmission;
         this.callUnits = settings.layout().callWorkMs() > 0 ? 1 : 0;
         this.decayMs = DECAY_OBJECTIVES * latencyObjectiveMs;
         this.completedUnitsAtMs = clock.now();
@@ -60,41 +65,41 @@
 
     /** Must be called after each change of the registry. */
     void onServersChanged() {
-        countedAtMs = -1;
+        serversCountedAtMs = -1;
     }
 
-    /** Whether a server's ramp is not over. */
+    /** Returns whether a server is still in slow start. */
     boolean isWarmingUp(ServerState server) {
-        double startedMs = server.listed.startedMs();
+        double startedMs = server.listEntry.startedMs();
         return startedMs > 0 && clock.now() < startedMs + rules.slowStartMs();
     }
 
-    /** Shard requests that a server may be sent now, at most {@code limit}. */
+    /** Returns how many shard requests a server may be sent now, at most {@code limit}. */
     int allowed(ServerState server, int limit, boolean joinsOpenCall) {
         if (!isWarmingUp(server)) {
             return limit;
         }
-        int affordable = (int) (tokens(server) - (joinsOpenCall ? 0 : callUnits));
-        return Math.max(0, Math.min(limit, affordable));
+        int affordableShardRequests = (int) (tokens(server) - (joinsOpenCall ? 0 : callUnits));
+        return Math.max(0, Math.min(limit, affordableShardRequests));
     }
 
-    /** Takes the tokens for an attempt that is sent. */
+    /** Consumes the tokens for an attempt that is sent. */
     void consume(Attempt attempt) {
         if (isWarmingUp(attempt.server)) {
             attempt.server.slowStartTokens -= units(attempt);
         }
     }
 
-    /** Counts the work of an attempt that was answered. */
+    /** Records the work of an attempt that was answered. */
     void recordCompleted(Attempt attempt) {
         addCompleted(units(attempt));
     }
 
-    /** How long a server that is warming up is short of tokens for so many shard requests. */
+    /** Returns the time until a server in slow start has tokens for this many shard requests. */
     double delayMs(ServerState server, long shardRequests) {
         double units = (1 + callUnits) * Math.max(1, shardRequests);
-        double missing = Math.max(0, units - tokens(server));
-        return missing / Math.max(1e-6, tokensPerMs(server));
+        double missingTokens = Math.max(0, units - tokens(server));
+        return missingTokens / Math.max(1e-6, tokensPerMs(server));
     }
 
     private double units(Attempt attempt) {
@@ -104,7 +109,7 @@
     private double tokens(ServerState server) {
         double now = clock.now();
         double rate = tokensPerMs(server);
-        if (server.slowStartTokensAtMs < server.listed.startedMs()) {
+        if (server.slowStartTokensAtMs < server.listEntry.startedMs()) {
             server.slowStartTokens = (1 + callUnits) * initialFraction(server);
             server.slowStartTokensAtMs = now;
         }
@@ -115,35 +120,36 @@
         return server.slowStartTokens;
     }
 
-    /** 0 to 1, different for each broker and server. */
+    /** Returns a pseudo-random fraction from 0 to 1, different for each broker and server. */
     private double initialFraction(ServerState server) {
         long hash = Hashing.mix64(settings.seed() ^ Hashing.mix64(server.id));
         return (hash >>> 11) * 0x1.0p-53;
     }
 
     private double tokensPerMs(ServerState server) {
-        double ageMs = Math.max(0, clock.now() - server.listed.startedMs());
+        double ageMs = Math.max(0, clock.now() - server.listEntry.startedMs());
         double ramp =
                 rules.slowStartCapacity()
                         + (1 - rules.slowStartCapacity())
                                 * Math.min(1, ageMs / rules.slowStartMs());
         addCompleted(0);
         countServers();
-        double observed =
+        double observedCapacity =
                 completedUnits / decayMs / Math.max(1, Math.max(warmServers, readyServers / 2));
         return BUDGET_SHARE
                 * rules.overloadFactor()
                 * ramp
-                * Math.max(observed, statedCapacityShare());
+                * Math.max(observedCapacity, configuredCapacityShare());
     }
 
     /**
-     * This broker's share of a server's full capacity in units a millisecond, by what the settings
-     * let a broker hold: a broker that has just started has seen nothing completed, and all may
-     * have started together. 0 where the settings let it hold little more than a few queries, which
-     * says nothing of its share of the load.
+     * Returns this broker's share of a server's full capacity, in units per millisecond, derived
+     * from the amount of work that the settings allow a broker to hold. It is needed because a
+     * broker that has just started has observed no completed work, and all brokers may have started
+     * together. Returns 0 if the settings allow no more than a few queries, since such a limit does
+     * not reflect the broker's share of the load.
      */
-    private double statedCapacityShare() {
+    private double configuredCapacityShare() {
         int maxInFlight = settings.limits().maxInFlight();
         if (maxInFlight == Integer.MAX_VALUE
                 || maxInFlight <= MIN_QUERIES_HELD * queries.largestQueryUnits()) {
@@ -153,7 +159,7 @@
                 * maxInFlight
                 / FULL_BROKER_WORK_MS
                 / Math.max(1, readyServers)
-                * admission.brokerScale();
+                * recoveryAdmission.brokerScale();
     }
 
     private void addCompleted(double units) {
@@ -163,10 +169,10 @@
     }
 
     private void countServers() {
-        if (countedAtMs == clock.now()) {
+        if (serversCountedAtMs == clock.now()) {
             return;
         }
-        countedAtMs = clock.now();
+        serversCountedAtMs = clock.now();
         readyServers = 0;
         warmServers = 0;
         for (ServerState server : registry.servers()) {
--- a/src/main/java/reeldeal/decision/UnservedQueries.java
+++ b/src/main/java/reeldeal/decision/UnservedQueries.java
@@ -4,11 +4,12 @@
 import java.util.Map;
 
 /**
- * Recent queries that were not served, and when they were first submitted. A client's retry has the
- * time limits of its first attempt: work for an answer that can only be late prolongs an overload.
+ * Remembers recent queries that were not served, and when they were first submitted. A client's
+ * retry keeps the time limits of the original query: work on an answer that can only be late would
+ * prolong an overload.
  */
 final class UnservedQueries {
-    /** Latency objectives for which a query is remembered. */
+    /** Time for which a query is remembered, in latency objectives. */
     private static final double MEMORY_OBJECTIVES = 4;
 
     private final EventClock clock;
@@ -20,10 +21,10 @@
         this.memoryMs = MEMORY_OBJECTIVES * latencyObjectiveMs;
     }
 
-    /** When a query was first submitted: now, unless it is a retry of one that is remembered. */
+    /** Returns when a query was first submitted: now, unless it retries a remembered query. */
     double startOf(QueryState query) {
-        Double first = query.query.retry() ? startedAtMs.get(signature(query)) : null;
-        return first == null ? clock.now() : first;
+        Double firstStartMs = query.query.retry() ? startedAtMs.get(signature(query)) : null;
+        return firstStartMs == null ? clock.now() : firstStartMs;
     }
 
     /** Remembers a query that was not served. */
@@ -36,7 +37,7 @@
     }
 
     private static long signature(QueryState query) {
-        long client = query.query.classIndex() * 65537L + query.query.tenant();
-        return Hashing.mix64(query.query.key() ^ Hashing.mix64(client));
+        long classAndTenant = query.query.classIndex() * 65537L + query.query.tenant();
+        return Hashing.mix64(query.query.key() ^ Hashing.mix64(classAndTenant));
     }
 }
--- a/src/main/java/reeldeal/decision/WaitEstimator.java
+++ b/src/main/java/reeldeal/decision/WaitEstimator.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Estimates how long servers and queries wait for answers; holds no state. */
+/** Estimates how long servers take to answer and queries wait. Holds no state. */
 final class WaitEstimator {
-    /** Share of the remaining time from which a wait is too long. */
+    /** Share of the remaining time above which a wait is too long. */
     static final double MAX_WAIT_SHARE = 0.65;
 
     private record ShardWait(double waitMs, double weight) {}
@@ -32,14 +32,14 @@
         this.queries = queries;
     }
 
-    /** Milliseconds that a query has for its answer: at most the lowest latency objective. */
+    /** Returns the milliseconds left for a query, at most the lowest latency objective. */
     double availableMs(QueryState query) {
         return Math.min(query.objectiveAtMs - clock.now(), latencyObjectiveMs);
     }
 
     /**
-     * Milliseconds until a server would answer a shard request that is sent now: by its present
-     * latency, by what is in flight at it, by its slow start and its backoff.
+     * Returns the milliseconds until a server would answer a shard request that is sent now, from
+     * its present latency, its work in flight, its slow start and its backoff.
      */
     double serverWaitMs(ServerState server) {
         ServerHealth health = server.health;
@@ -52,30 +52,30 @@
                         health.currentRelativeLatency * latency.typicalMs(0),
                         server.inFlight.size() * intervalMs);
         if (slowStart.isWarmingUp(server)) {
-            long waiting = queries.waitingInCell(server.listed.cell(), registry);
+            long waiting = queries.waitingInCell(server.listEntry.cell(), registry);
             waitMs += slowStart.delayMs(server, waiting);
         }
         return waitMs + Math.max(0, health.backoffUntilMs - clock.now());
     }
 
     /**
-     * Milliseconds until the best replicas of as many shards as the query needs would have
-     * answered: one hot shard makes its queries wait, and no others.
+     * Returns the milliseconds until as many shards as the query needs would have been answered by
+     * their fastest replicas. A hot shard therefore delays only the queries that need it.
      */
     double queryWaitMs(QueryState query) {
         List<ShardWait> waits = new ArrayList<>();
-        for (ShardRequestState shardRequest : query.phase) {
-            double leastMs = Double.POSITIVE_INFINITY;
+        for (ShardRequestState shardRequest : query.phaseRequests) {
+            double minMs = Double.POSITIVE_INFINITY;
             for (ServerState server : registry.replicasOf(shardRequest.request.shard())) {
-                leastMs = Math.min(leastMs, serverWaitMs(server));
+                minMs = Math.min(minMs, serverWaitMs(server));
             }
-            waits.add(new ShardWait(leastMs, shardRequest.request.weight()));
+            waits.add(new ShardWait(minMs, shardRequest.request.weight()));
         }
         waits.sort((one, other) -> Double.compare(one.waitMs(), other.waitMs()));
         double weight = 0;
         for (ShardWait wait : waits) {
             weight += wait.weight();
-            if (weight >= query.queryClass.minimumShare() - QueryState.ROUNDING) {
+            if (weight >= query.queryClass.minimumShare() - QueryState.WEIGHT_TOLERANCE) {
                 return wait.waitMs();
             }
         }
--- a/src/test/java/reeldeal/decision/AdmissionControllerTest.java
+++ b/src/test/java/reeldeal/decision/AdmissionControllerTest.java
@@ -63,7 +63,7 @@
         ServerState server = registry.find(1);
         server.health.meanAnswerIntervalMs = 50;
         for (int i = 0; i < attempts; i++) {
-            server.startAttempt(add(10 + i, OBJECTIVE_MS).phase.get(0), clock.now(), 8);
+            server.startAttempt(add(10 + i, OBJECTIVE_MS).phaseRequests.get(0), clock.now(), 8);
         }
     }
 
@@ -81,7 +81,7 @@
     void aQueryWithALongWaitIsRejectedAndSheddingIsLogged() {
         fillServer(14); // 700 ms for an answer each 50 ms, more than 0.65 of the objective
         assertFalse(controller.admits(add(2, OBJECTIVE_MS), false));
-        assertEquals(List.of("shedding begins"), actions.logLines);
+        assertEquals(List.of("load shedding started"), actions.logLines);
     }
 
     @Test
--- a/src/test/java/reeldeal/decision/HedgingPolicyTest.java
+++ b/src/test/java/reeldeal/decision/HedgingPolicyTest.java
@@ -76,7 +76,7 @@
     @Test
     void theTailOfAQueryIsOverdue() {
         ShardRequestState shardRequest = attempted(RepeatSafety.IDEMPOTENT);
-        shardRequest.query.mostAnsweredAfterMs = 90;
+        shardRequest.query.majorityAnsweredAfterMs = 90;
         clock.advance(1270, false);
         assertFalse(hedging.isOverdue(shardRequest));
         clock.advance(1271, false);
--- a/src/test/java/reeldeal/decision/OutlierDetectorTest.java
+++ b/src/test/java/reeldeal/decision/OutlierDetectorTest.java
@@ -92,7 +92,7 @@
         start(0);
         clock.advance(2000, false);
         detector.refresh();
-        assertTrue(health(0).quiet);
+        assertTrue(health(0).silent);
         assertEquals(1000 / TYPICAL_MS / 1.5, health(0).outlierFactor, 1e-9);
     }
 
--- a/src/test/java/reeldeal/decision/QueryStateTest.java
+++ b/src/test/java/reeldeal/decision/QueryStateTest.java
@@ -23,16 +23,16 @@
     @Test
     void isCompleteOnceEveryShardRequestIsAnswered() {
         QueryState query = query(1, 1);
-        query.recordAnswer(query.phase.get(0), 50);
+        query.recordAnswer(query.phaseRequests.get(0), 50);
         assertFalse(query.isComplete());
-        query.recordAnswer(query.phase.get(1), 50);
+        query.recordAnswer(query.phaseRequests.get(1), 50);
         assertTrue(query.isComplete());
     }
 
     @Test
     void aClassThatNeedsAShareIsCompleteAtThatShare() {
         QueryState query = query(0.5, 0.5);
-        query.recordAnswer(query.phase.get(1), 50);
+        query.recordAnswer(query.phaseRequests.get(1), 50);
         assertTrue(query.isComplete());
     }
 
@@ -41,17 +41,17 @@
         QueryState query = query(1, 0.5);
         assertTrue(query.mayBePartial());
         assertFalse(query.minimumAnswered());
-        query.recordAnswer(query.phase.get(0), 50);
+        query.recordAnswer(query.phaseRequests.get(0), 50);
         assertTrue(query.minimumAnswered());
     }
 
     @Test
     void theTailBeginsOnceMostShardRequestsAreAnswered() {
         QueryState query = query(1, 1);
-        query.recordAnswer(query.phase.get(0), 50);
-        assertEquals(Double.POSITIVE_INFINITY, query.mostAnsweredAfterMs);
-        query.recordAnswer(query.phase.get(1), 70);
-        assertEquals(70, query.mostAnsweredAfterMs);
+        query.recordAnswer(query.phaseRequests.get(0), 50);
+        assertEquals(Double.POSITIVE_INFINITY, query.majorityAnsweredAfterMs);
+        query.recordAnswer(query.phaseRequests.get(1), 70);
+        assertEquals(70, query.majorityAnsweredAfterMs);
     }
 
     @Test
--- a/src/test/java/reeldeal/decision/RetryBudgetTest.java
+++ b/src/test/java/reeldeal/decision/RetryBudgetTest.java
@@ -55,10 +55,10 @@
     void exhaustionAndRestorationAreLoggedOnce() {
         RetryBudget budget = budget(1, 0, 5000);
         clock.advance(2000, false);
-        budget.report(0);
-        budget.report(-1);
+        budget.logChange(0);
+        budget.logChange(-1);
         clock.advance(3000, false);
-        budget.report(1);
-        assertEquals(List.of("retry budget spent", "retry budget restored"), actions.logLines);
+        budget.logChange(1);
+        assertEquals(List.of("retry budget exhausted", "retry budget restored"), actions.logLines);
     }
 }
