--- a/src/test/java/reeldeal/decision/AdmissionControllerTest.java
+++ b/src/test/java/reeldeal/decision/AdmissionControllerTest.java
@@ -13,7 +13,7 @@
 import reeldeal.decision.DecisionModule.Settings;
 import reeldeal.decision.DecisionModule.ShardRequest;
 
-/** Admission over one server whose typical latency is 100 ms. */
+/** Tests admission of queries to one server whose typical latency is 100 ms. */
 class AdmissionControllerTest {
     private static final double NOW_MS = 1000;
     private static final double OBJECTIVE_MS = 1000;
@@ -35,20 +35,20 @@
                     registry,
                     queries,
                     new RecoveryAdmission(settings.classes(), 7, 1000));
-    private final WaitEstimator waits =
+    private final WaitEstimator waitEstimator =
             new WaitEstimator(clock, OBJECTIVE_MS, registry, latency, slowStart, queries);
     private final AdmissionController controller =
-            new AdmissionController(clock, 40, queries, latency, outliers, waits, log);
+            new AdmissionController(clock, 40, queries, latency, outliers, waitEstimator, log);
 
     AdmissionControllerTest() {
         registry.update(
                 EndpointListKind.COMPLETE,
                 List.of(DecisionFixture.server(1, 0, 0, EndpointState.READY)));
         latency.record(0, 100);
-        add(1, OBJECTIVE_MS); // the only query in flight is always admitted: there is another one
+        addQuery(1, OBJECTIVE_MS); // a query is always admitted if it is the only one in flight
     }
 
-    private QueryState add(long id, double objectiveMs) {
+    private QueryState addQuery(long id, double objectiveMs) {
         QueryState query =
                 queries.add(
                         new Query(id, 0, 0, 0, 9000, false),
@@ -63,40 +63,41 @@
         ServerState server = registry.find(1);
         server.health.meanAnswerIntervalMs = 50;
         for (int i = 0; i < attempts; i++) {
-            server.startAttempt(add(10 + i, OBJECTIVE_MS).phaseRequests.get(0), clock.now(), 8);
+            server.startAttempt(
+                    addQuery(10 + i, OBJECTIVE_MS).phaseRequests.get(0), clock.now(), 8);
         }
     }
 
     @Test
     void aQueryWithAShortWaitIsAdmitted() {
-        assertTrue(controller.admits(add(2, OBJECTIVE_MS), false));
+        assertTrue(controller.admits(addQuery(2, OBJECTIVE_MS), false));
     }
 
     @Test
     void aQueryWithLessTimeThanTheTypicalLatencyIsRejected() {
-        assertFalse(controller.admits(add(2, 99), false));
+        assertFalse(controller.admits(addQuery(2, 99), false));
     }
 
     @Test
     void aQueryWithALongWaitIsRejectedAndSheddingIsLogged() {
-        fillServer(14); // 700 ms for an answer each 50 ms, more than 0.65 of the objective
-        assertFalse(controller.admits(add(2, OBJECTIVE_MS), false));
+        fillServer(14); // a wait of 700 ms at 50 ms per answer: more than 0.65 of the objective
+        assertFalse(controller.admits(addQuery(2, OBJECTIVE_MS), false));
         assertEquals(List.of("load shedding started"), actions.logLines);
     }
 
     @Test
     void aQueryBeyondItsTenantsQuotaIsRejectedSooner() {
-        fillServer(6); // 300 ms: more than 0.4 of 0.65 of the objective
-        assertTrue(controller.admits(add(2, OBJECTIVE_MS), false));
-        assertFalse(controller.admits(add(3, OBJECTIVE_MS), true));
+        fillServer(6); // a wait of 300 ms: more than 0.4 of 0.65 of the objective
+        assertTrue(controller.admits(addQuery(2, OBJECTIVE_MS), false));
+        assertFalse(controller.admits(addQuery(3, OBJECTIVE_MS), true));
     }
 
     @Test
-    void aBrokerThatIsNearlyFullShortensTheLongestWait() {
+    void aNearlyFullBrokerShortensTheMaximumWait() {
         fillServer(6);
         for (int id = 50; id < 62; id++) {
-            add(id, OBJECTIVE_MS); // 40 units in flight, all that the broker may hold
+            addQuery(id, OBJECTIVE_MS); // 40 units in flight, the maximum for this broker
         }
-        assertFalse(controller.admits(add(2, OBJECTIVE_MS), false));
+        assertFalse(controller.admits(addQuery(2, OBJECTIVE_MS), false));
     }
 }
--- a/src/test/java/reeldeal/decision/DecisionFilesTest.java
+++ b/src/test/java/reeldeal/decision/DecisionFilesTest.java
@@ -15,55 +15,58 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The deploy file's list of the files that hold decisions, and the limits on their text. */
+/** Checks the deploy file's list of files that hold decisions, and the format of these files. */
 class DecisionFilesTest {
-    private static final int LONGEST_LINE = 100;
+    private static final int MAX_LINE_LENGTH = 100;
     private static final Path PACKAGE = Path.of("src/main/java/reeldeal/decision");
 
-    /** Files of the package in which nothing is decided: the interface and the exports of state. */
-    private static final Set<String> NO_DECISIONS =
+    /** Files of the package without decisions: the interface and the exports of state. */
+    private static final Set<String> FILES_WITHOUT_DECISIONS =
             Set.of(
                     "package-info.java",
                     "DecisionModule.java",
                     "EjectionView.java",
                     "ServerStatsSnapshot.java");
 
-    private static List<Path> policyFiles() throws IOException {
-        Matcher policy =
+    private static List<Path> listedFiles() throws IOException {
+        Matcher matcher =
                 Pattern.compile("(?m)^policy = \\[(.*)]$")
                         .matcher(Files.readString(Path.of("deploy/balancer.toml")));
-        assertTrue(policy.find());
-        return Stream.of(policy.group(1).split(", "))
+        assertTrue(matcher.find());
+        return Stream.of(matcher.group(1).split(", "))
                 .map(path -> Path.of(path.replace("\"", "")))
                 .toList();
     }
 
     @Test
-    void deployFileNamesEveryFileThatHoldsDecisionsAndNoOther() throws IOException {
-        List<Path> named = policyFiles();
-        assertTrue(named.contains(PACKAGE.resolve("DecisionEngine.java")));
+    void deployFileListsExactlyTheFilesThatHoldDecisions() throws IOException {
+        List<Path> listed = listedFiles();
+        assertTrue(listed.contains(PACKAGE.resolve("DecisionEngine.java")));
         try (Stream<Path> files = Files.list(PACKAGE)) {
             Set<Path> expected =
-                    files.filter(file -> !NO_DECISIONS.contains(file.getFileName().toString()))
+                    files.filter(
+                                    file ->
+                                            !FILES_WITHOUT_DECISIONS.contains(
+                                                    file.getFileName().toString()))
                             .collect(Collectors.toCollection(TreeSet::new));
-            assertEquals(expected, new TreeSet<>(named));
-            assertEquals(expected.size(), named.size());
+            assertEquals(expected, new TreeSet<>(listed));
+            assertEquals(expected.size(), listed.size());
         }
     }
 
     @Test
-    void linesOfDecisionFilesFitTheLimit() throws IOException {
-        for (Path file : policyFiles()) {
+    void linesOfDecisionFilesDoNotExceedTheLimit() throws IOException {
+        for (Path file : listedFiles()) {
             List<String> lines = Files.readAllLines(file);
             assertEquals(
                     List.of(),
-                    lines.stream().filter(line -> line.length() > LONGEST_LINE).toList());
+                    lines.stream().filter(line -> line.length() > MAX_LINE_LENGTH).toList());
         }
     }
 
     @Test
     void eachDecisionFileHasADocComment() throws IOException {
-        for (Path file : policyFiles()) {
+        for (Path file : listedFiles()) {
             assertTrue(
                     Files.readAllLines(file).stream().anyMatch(line -> line.startsWith("/**")),
                     file + " has no doc comment");
--- a/src/test/java/reeldeal/decision/DecisionFixture.java
+++ b/src/test/java/reeldeal/decision/DecisionFixture.java
@@ -17,18 +17,19 @@
 import reeldeal.decision.DecisionModule.Tenant;
 
 /**
- * An engine under test in virtual time: settings that a test may change before {@link #start}, and
- * a record of the engine's actions. Times are milliseconds.
+ * Runs an engine in virtual time and records its actions. A test may change the settings before
+ * {@link #start}. Times are in milliseconds.
  */
 final class DecisionFixture implements DecisionModule.Actions {
-    /** One send. */
-    record Sent(double at, long shardRequest, long server, double timeoutMs, int attemptNumber) {}
+    /** An attempt that the engine sent. */
+    record Sent(
+            double sentAtMs, long shardRequest, long server, double timeoutMs, int attemptNumber) {}
 
-    /** A final answer: "complete", "partial", "rejected" or "failed". */
-    record Result(double at, long query, String outcome) {}
+    /** The result of a query: "complete", "partial", "rejected" or "failed". */
+    record Result(double atMs, long query, String outcome) {}
 
     /** A timer that is not due yet. */
-    record Timer(double at, int token) {}
+    record Timer(double dueAtMs, int token) {}
 
     final List<Sent> sent = new ArrayList<>();
     final List<Result> results = new ArrayList<>();
@@ -76,26 +77,26 @@
     }
 
     /**
-     * Starts the engine with {@code serversPerCell} ready servers a cell: cell c holds 10c, 10c + 1
-     * and so on.
+     * Starts the engine with {@code serversPerCell} ready servers in each cell: cell c has the
+     * servers 10c, 10c + 1 and so on.
      */
     DecisionFixture start(int serversPerCell) {
         engine = new DecisionEngine(now, settings(), this);
-        List<Server> all = new ArrayList<>();
+        List<Server> servers = new ArrayList<>();
         for (int cell = 0; cell < cells; cell++) {
             for (int i = 0; i < serversPerCell; i++) {
-                all.add(server(10 * cell + i, cell, 0, EndpointState.READY));
+                servers.add(server(10 * cell + i, cell, 0, EndpointState.READY));
             }
         }
-        engine.servers(now, EndpointListKind.CACHED, all);
+        engine.servers(now, EndpointListKind.CACHED, servers);
         return this;
     }
 
-    /** A fixture with three servers a cell that has seen typical latencies of four shards. */
+    /** Returns a fixture with three servers per cell and typical latencies for four shards. */
     static DecisionFixture warmedUp() {
         DecisionFixture fixture = new DecisionFixture();
         fixture.start(3);
-        fixture.learnLatency(40, 0, 1, 2, 3);
+        fixture.establishTypicalLatency(40, 0, 1, 2, 3);
         return fixture;
     }
 
@@ -103,11 +104,11 @@
         return new Server(id, 0, cell, startedMs, 1, 0, state);
     }
 
-    void change(Server... servers) {
+    void changeServers(Server... servers) {
         engine.servers(now, EndpointListKind.CHANGES, List.of(servers));
     }
 
-    /** A query of class 0 for these shards; its shard requests have the ids 100 x query + shard. */
+    /** Submits a query of class 0; its shard requests have the ids 100 x query + shard. */
     void submit(long id, int... shards) {
         submit(id, 0, now + 3000, shards);
     }
@@ -124,37 +125,37 @@
         engine.outcome(now, shardRequest, attemptNumber, outcome, elapsedMs, new double[0]);
     }
 
-    /** Advances the time and delivers the timers that come due. */
+    /** Advances the time and delivers the timers that become due. */
     void advance(double durationMs) {
-        double until = now + durationMs;
+        double untilMs = now + durationMs;
         while (true) {
             Timer next = null;
             for (Timer timer : timers) {
-                if (timer.at <= until && (next == null || timer.at < next.at)) {
+                if (timer.dueAtMs <= untilMs && (next == null || timer.dueAtMs < next.dueAtMs)) {
                     next = timer;
                 }
             }
             if (next == null) {
-                now = until;
+                now = untilMs;
                 return;
             }
             timers.remove(next);
-            now = Math.max(now, next.at);
+            now = Math.max(now, next.dueAtMs);
             engine.timer(now, next.token);
         }
     }
 
     /**
-     * Teaches the engine what is typical: answers after 100 ms, from every shard given, with time
-     * between.
+     * Establishes a typical latency of 100 ms by queries to the given shards that are answered
+     * after that time, with a pause between them.
      */
-    void learnLatency(int rounds, int... shards) {
+    void establishTypicalLatency(int rounds, int... shards) {
         for (int i = 0; i < rounds; i++) {
             long id = 900_000 + i + (long) (now * 100);
-            int from = sent.size();
+            int sentBefore = sent.size();
             submit(id, shards);
             advance(100);
-            for (Sent send : List.copyOf(sent.subList(from, sent.size()))) {
+            for (Sent send : List.copyOf(sent.subList(sentBefore, sent.size()))) {
                 complete(send.shardRequest, send.attemptNumber, Outcome.OK, 100);
             }
             advance(50);
@@ -172,8 +173,8 @@
                 .reduce("", String::concat);
     }
 
-    /** Notes an action; a recorded digest holds these texts, so they stay as they are. */
-    private void note(String action) {
+    /** Records an action; a stored digest depends on these texts, so they must not change. */
+    private void recordAction(String action) {
         transcript.add(now + " " + action);
     }
 
@@ -182,47 +183,47 @@
         int attemptNumber =
                 (int) sent.stream().filter(send -> send.shardRequest == shardRequest).count();
         sent.add(new Sent(now, shardRequest, server, timeoutMs, attemptNumber));
-        note("send " + shardRequest + " " + server + " " + timeoutMs);
+        recordAction("send " + shardRequest + " " + server + " " + timeoutMs);
     }
 
     @Override
     public void cancel(long shardRequest, int attemptNumber) {
         cancelled.add(shardRequest + "/" + attemptNumber);
-        note("cancel " + shardRequest + " " + attemptNumber);
+        recordAction("cancel " + shardRequest + " " + attemptNumber);
     }
 
     @Override
     public void answer(long query, boolean complete) {
         results.add(new Result(now, query, complete ? "complete" : "partial"));
-        note("answer " + query + " " + complete);
+        recordAction("answer " + query + " " + complete);
     }
 
     @Override
     public void reject(long query, double retryAfterMs) {
         results.add(new Result(now, query, "rejected"));
-        note("refuse " + query);
+        recordAction("refuse " + query);
     }
 
     @Override
     public void fail(long query) {
         results.add(new Result(now, query, "failed"));
-        note("fail " + query);
+        recordAction("fail " + query);
     }
 
     @Override
     public void scheduleTimer(double delayMs, int token) {
         timers.add(new Timer(now + Math.max(delayMs, 5), token));
-        note("wake " + delayMs + " " + token);
+        recordAction("wake " + delayMs + " " + token);
     }
 
     @Override
     public void probe(long server) {
-        note("probe " + server);
+        recordAction("probe " + server);
     }
 
     @Override
     public void subscribe() {
-        note("subscribe");
+        recordAction("subscribe");
     }
 
     @Override
--- a/src/test/java/reeldeal/decision/EmbeddingExampleTest.java
+++ b/src/test/java/reeldeal/decision/EmbeddingExampleTest.java
@@ -8,11 +8,11 @@
 import reeldeal.decision.DecisionModule.Query;
 import reeldeal.decision.DecisionModule.ShardRequest;
 
-/** The README's example of embedding. */
+/** Runs the README's example of embedding the engine. */
 class EmbeddingExampleTest {
     @Test
     void theReadmeExampleRuns() {
-        // An embedder's Actions put sends on the network and set timers.
+        // The actions of a real embedder send requests over the network and set timers.
         DecisionFixture actions = new DecisionFixture();
         DecisionModule engine = new DecisionEngine(0, actions.settings(), actions);
         engine.servers(
--- a/src/test/java/reeldeal/decision/EventClockTest.java
+++ b/src/test/java/reeldeal/decision/EventClockTest.java
@@ -10,7 +10,7 @@
     private final EventClock clock = new EventClock(1000, 5);
 
     @Test
-    void neverGoesBack() {
+    void anEarlierTimeIsIgnored() {
         clock.advance(1100, false);
         clock.advance(1050, false);
         assertEquals(1100, clock.now());
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aLongGapWithoutQueriesIsNoStall() {
+    void aLongGapWithoutQueriesIsNotAStall() {
         clock.advance(9000, false);
         assertFalse(clock.stalled());
     }
--- a/src/test/java/reeldeal/decision/HedgingPolicyTest.java
+++ b/src/test/java/reeldeal/decision/HedgingPolicyTest.java
@@ -13,7 +13,10 @@
 import reeldeal.decision.DecisionModule.RepeatSafety;
 import reeldeal.decision.DecisionModule.ShardRequest;
 
-/** Hedging over two replicas whose typical latency is 100 ms: overdue is what waits over 200 ms. */
+/**
+ * Tests hedging with two replicas whose typical latency is 100 ms: an attempt can be overdue after
+ * 200 ms.
+ */
 class HedgingPolicyTest {
     private final Layout layout = new Layout(1, 1, 8, 50);
     private final EventClock clock = new EventClock(1000, 5);
@@ -22,7 +25,7 @@
     private final RateLimitedLog log = new RateLimitedLog(clock, new DecisionFixture(), 0);
     private final OutlierDetector outliers =
             new OutlierDetector(clock, 1000, registry, latency, log);
-    private final HedgingPolicy hedging =
+    private final HedgingPolicy policy =
             new HedgingPolicy(clock, registry, latency, outliers, true);
 
     HedgingPolicyTest() {
@@ -34,8 +37,8 @@
         latency.record(0, 100);
     }
 
-    /** A shard request with an attempt at server 1; its query has two seconds for it. */
-    private ShardRequestState attempted(RepeatSafety repeatSafety) {
+    /** Returns a shard request with an attempt at server 1, of a query with two seconds left. */
+    private ShardRequestState shardRequestWithAttempt(RepeatSafety repeatSafety) {
         QueryState query =
                 new QueryState(
                         new Query(1, 0, 0, 0, 9000, false),
@@ -50,60 +53,60 @@
 
     @Test
     void anAttemptCanBeOverdueAfterTwiceTheTypicalLatency() {
-        ShardRequestState shardRequest = attempted(RepeatSafety.IDEMPOTENT);
-        assertEquals(1200, hedging.overdueAtMs(shardRequest.attempts.get(0)));
+        ShardRequestState shardRequest = shardRequestWithAttempt(RepeatSafety.IDEMPOTENT);
+        assertEquals(1200, policy.overdueAtMs(shardRequest.attempts.get(0)));
     }
 
     @Test
     void anAttemptAtAnOutlierIsOverdue() {
-        ShardRequestState shardRequest = attempted(RepeatSafety.IDEMPOTENT);
+        ShardRequestState shardRequest = shardRequestWithAttempt(RepeatSafety.IDEMPOTENT);
         registry.find(1).health.outlierFactor = 4;
         clock.advance(1200, false);
-        assertFalse(hedging.isOverdue(shardRequest));
+        assertFalse(policy.isOverdue(shardRequest));
         clock.advance(1201, false);
-        assertTrue(hedging.isOverdue(shardRequest));
+        assertTrue(policy.isOverdue(shardRequest));
     }
 
     @Test
     void anAttemptAtAnOutlierIsNotOverdueWithoutABetterReplica() {
-        ShardRequestState shardRequest = attempted(RepeatSafety.IDEMPOTENT);
+        ShardRequestState shardRequest = shardRequestWithAttempt(RepeatSafety.IDEMPOTENT);
         registry.find(1).health.outlierFactor = 4;
         registry.find(2).health.trusted = false;
         clock.advance(1500, false);
-        assertFalse(hedging.isOverdue(shardRequest));
+        assertFalse(policy.isOverdue(shardRequest));
     }
 
     @Test
     void theTailOfAQueryIsOverdue() {
-        ShardRequestState shardRequest = attempted(RepeatSafety.IDEMPOTENT);
+        ShardRequestState shardRequest = shardRequestWithAttempt(RepeatSafety.IDEMPOTENT);
         shardRequest.query.majorityAnsweredAfterMs = 90;
         clock.advance(1270, false);
-        assertFalse(hedging.isOverdue(shardRequest));
+        assertFalse(policy.isOverdue(shardRequest));
         clock.advance(1271, false);
-        assertTrue(hedging.isOverdue(shardRequest));
+        assertTrue(policy.isOverdue(shardRequest));
     }
 
     @Test
     void nothingIsOverdueAfterAStall() {
-        ShardRequestState shardRequest = attempted(RepeatSafety.IDEMPOTENT);
+        ShardRequestState shardRequest = shardRequestWithAttempt(RepeatSafety.IDEMPOTENT);
         registry.find(1).health.outlierFactor = 4;
         clock.advance(1500, true);
-        assertFalse(hedging.isOverdue(shardRequest));
+        assertFalse(policy.isOverdue(shardRequest));
     }
 
     @Test
-    void nothingIsOverdueThatIsNotIdempotent() {
-        ShardRequestState shardRequest = attempted(RepeatSafety.NOT_IDEMPOTENT);
+    void aRequestThatIsNotIdempotentIsNeverOverdue() {
+        ShardRequestState shardRequest = shardRequestWithAttempt(RepeatSafety.NOT_IDEMPOTENT);
         registry.find(1).health.outlierFactor = 4;
         clock.advance(1500, false);
-        assertFalse(hedging.isOverdue(shardRequest));
+        assertFalse(policy.isOverdue(shardRequest));
     }
 
     @Test
-    void nothingIsOverdueWithoutTimeForAnotherAttempt() {
-        ShardRequestState shardRequest = attempted(RepeatSafety.IDEMPOTENT);
+    void anAttemptIsNotOverdueWithoutTimeForAnotherAttempt() {
+        ShardRequestState shardRequest = shardRequestWithAttempt(RepeatSafety.IDEMPOTENT);
         registry.find(1).health.outlierFactor = 4;
         clock.advance(2901, false);
-        assertFalse(hedging.isOverdue(shardRequest));
+        assertFalse(policy.isOverdue(shardRequest));
     }
 }
--- a/src/test/java/reeldeal/decision/HedgingTest.java
+++ b/src/test/java/reeldeal/decision/HedgingTest.java
@@ -6,15 +6,15 @@
 import org.junit.jupiter.api.Test;
 import reeldeal.decision.DecisionModule.Outcome;
 
-/** When attempts in flight are hedged or cancelled. */
+/** Tests when attempts in flight are hedged or cancelled. */
 class HedgingTest {
-    /** Answers all shard requests of a query except those at one server, after this time. */
+    /** Answers all shard requests of a query after a delay, except those at one server. */
     private static void answerAllExceptAt(
-            DecisionFixture fixture, long query, long server, double after) {
-        fixture.advance(after);
-        for (DecisionFixture.Sent s : fixture.sendsOf(query)) {
-            if (s.server() != server) {
-                fixture.complete(s.shardRequest(), s.attemptNumber(), Outcome.OK, after);
+            DecisionFixture fixture, long query, long server, double delayMs) {
+        fixture.advance(delayMs);
+        for (DecisionFixture.Sent send : fixture.sendsOf(query)) {
+            if (send.server() != server) {
+                fixture.complete(send.shardRequest(), send.attemptNumber(), Outcome.OK, delayMs);
             }
         }
     }
@@ -23,7 +23,7 @@
     void aSlowAttemptAtAHealthyServerIsNotHedged() {
         DecisionFixture fixture = DecisionFixture.warmedUp();
         fixture.submit(1, 0);
-        fixture.advance(300); // overdue by hedge time, but no outlier yet
+        fixture.advance(300); // late enough for hedging, but the server is not an outlier yet
         assertEquals(1, fixture.sendsOf(1).size());
     }
 
@@ -33,14 +33,14 @@
         fixture.submit(1, 0, 1, 2, 3);
         long silent = fixture.sendsOf(1).get(3).server();
         answerAllExceptAt(fixture, 1, silent, 100);
-        // 350 ms: no outlier by silence yet, but over 3 times as late as the other shards
+        // 350 ms: the server is not an outlier yet, but over 3 times as late as the other shards
         fixture.advance(250);
         assertEquals(5, fixture.sendsOf(1).size());
         assertTrue(fixture.sendsOf(1).get(4).server() != silent);
     }
 
     @Test
-    void noTailIsHedgedWhereTheWholeQueryIsSlow() {
+    void noTailIsHedgedIfTheWholeQueryIsSlow() {
         DecisionFixture fixture = DecisionFixture.warmedUp();
         fixture.submit(1, 0, 1, 2, 3);
         answerAllExceptAt(fixture, 1, fixture.sendsOf(1).get(3).server(), 220);
@@ -53,7 +53,7 @@
         DecisionFixture fixture = new DecisionFixture();
         fixture.hedging = false;
         fixture.start(3);
-        fixture.learnLatency(40, 0, 1, 2, 3);
+        fixture.establishTypicalLatency(40, 0, 1, 2, 3);
         fixture.submit(1, 0, 1, 2, 3);
         answerAllExceptAt(fixture, 1, fixture.sendsOf(1).get(3).server(), 100);
         fixture.advance(250);
@@ -61,8 +61,8 @@
     }
 
     /**
-     * To cancel the one that answers, for replicas that do not, would lose its answer and gain
-     * none.
+     * If the attempt at the only replica that answers were cancelled in favour of silent replicas,
+     * its answer would be lost and no other would come.
      */
     @Test
     void aLateAttemptIsNotCancelledWithoutATrustedReplica() {
@@ -83,7 +83,7 @@
                         0.9,
                         0));
         fixture.start(2);
-        fixture.learnLatency(40, 0, 1, 2, 3);
+        fixture.establishTypicalLatency(40, 0, 1, 2, 3);
         fixture.submit(1, 0, fixture.now + 6000, 0);
         DecisionFixture.Sent silent = fixture.sendsOf(1).get(0);
         fixture.advance(500);
@@ -91,23 +91,23 @@
         fixture.advance(20);
         DecisionFixture.Sent replica = fixture.sendsOf(1).get(1);
         assertTrue(replica.server() != silent.server());
-        int called = fixture.cancelled.size();
+        int cancelledBefore = fixture.cancelled.size();
         fixture.advance(700);
-        assertEquals(called, fixture.cancelled.size());
+        assertEquals(cancelledBefore, fixture.cancelled.size());
     }
 
     /**
-     * A broker that stalled reads answers that took no time: they must not make all others look
-     * late.
+     * After a stall the broker reads answers that seem to have taken no time. They must not make
+     * all other answers look late.
      */
     @Test
-    void anAnswerFasterThanACallsWorkIsNotTakenAsTypical() {
+    void anAnswerFasterThanACallsWorkDoesNotLowerTheTypicalLatency() {
         DecisionFixture fixture = new DecisionFixture();
         fixture.start(3);
         fixture.submit(1, 0);
         fixture.complete(fixture.sendsOf(1).get(0).shardRequest(), 0, Outcome.OK, 1);
         fixture.submit(2, 0);
-        fixture.advance(140); // below three times a call's work of 50 ms
+        fixture.advance(140); // less than three times a call's work of 50 ms
         assertEquals(1, fixture.sendsOf(2).size());
         fixture.submit(3, 0);
         assertEquals("", fixture.resultOf(3));
--- a/src/test/java/reeldeal/decision/LatencyEstimatorTest.java
+++ b/src/test/java/reeldeal/decision/LatencyEstimatorTest.java
@@ -11,13 +11,13 @@
     private final LatencyEstimator latency = new LatencyEstimator(1000, new Layout(4, 1, 3, 50));
 
     @Test
-    void startsFromAShareOfTheObjective() {
+    void withoutSamplesTheLatencyIsAShareOfTheObjective() {
         assertFalse(latency.hasSamples());
         assertEquals(200, latency.typicalMs(2));
     }
 
     @Test
-    void aPositionWithoutSamplesHasTheLatencyOfTheOneBefore() {
+    void aPositionWithoutSamplesHasTheLatencyOfTheNearestEarlierPosition() {
         latency.record(0, 100);
         assertTrue(latency.hasSamples());
         assertEquals(100, latency.typicalMs(2));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void oneLateAnswerCountsAsFourTimesTheTypicalLatency() {
+    void aLateAnswerCountsAsAtMostFourTimesTheTypicalLatency() {
         latency.record(0, 100);
         latency.record(0, 100_000);
         assertEquals(250, latency.typicalMs(0));
--- a/src/test/java/reeldeal/decision/LoadSheddingTest.java
+++ b/src/test/java/reeldeal/decision/LoadSheddingTest.java
@@ -11,24 +11,27 @@
 import reeldeal.decision.DecisionModule.RepeatSafety;
 import reeldeal.decision.DecisionModule.ShardRequest;
 
-/** Which queries are rejected under load. */
+/** Tests which queries are rejected under load. */
 class LoadSheddingTest {
     @Test
     void oneFaultyServerDoesNotCauseLoadShedding() {
         DecisionFixture fixture = DecisionFixture.warmedUp();
         for (int i = 1; i <= 10; i++) {
             fixture.submit(i, 0);
-            for (DecisionFixture.Sent s : fixture.sendsOf(i)) {
-                if (s.server() != 0) {
+            for (DecisionFixture.Sent send : fixture.sendsOf(i)) {
+                if (send.server() != 0) {
                     fixture.now += 10;
-                    fixture.complete(s.shardRequest(), 0, Outcome.OK, 100);
+                    fixture.complete(send.shardRequest(), 0, Outcome.OK, 100);
                 }
             }
             fixture.advance(20);
         }
         assertTrue(
                 fixture.results.stream()
-                        .noneMatch(e -> e.query() <= 10 && e.outcome().equals("rejected")));
+                        .noneMatch(
+                                result ->
+                                        result.query() <= 10
+                                                && result.outcome().equals("rejected")));
     }
 
     @Test
@@ -37,10 +40,14 @@
         for (int i = 1; i <= 40; i++) { // every replica of shard 0 times out
             fixture.submit(i, 0);
             fixture.advance(45);
-            for (DecisionFixture.Sent s : List.copyOf(fixture.sent)) {
-                if (s.shardRequest() < 5000 && s.at() + s.timeoutMs() <= fixture.now) {
+            for (DecisionFixture.Sent send : List.copyOf(fixture.sent)) {
+                if (send.shardRequest() < 5000
+                        && send.sentAtMs() + send.timeoutMs() <= fixture.now) {
                     fixture.complete(
-                            s.shardRequest(), s.attemptNumber(), Outcome.TIMEOUT, s.timeoutMs());
+                            send.shardRequest(),
+                            send.attemptNumber(),
+                            Outcome.TIMEOUT,
+                            send.timeoutMs());
                 }
             }
         }
@@ -66,7 +73,7 @@
     }
 
     @Test
-    void aQueryWithAShortDeadlineIsNotTakenForARetry() {
+    void aQueryWithAShortDeadlineIsNotTreatedAsARetry() {
         DecisionFixture fixture = DecisionFixture.warmedUp();
         fixture.submit(1, 0, fixture.now + 3000, 0);
         fixture.submit(2, 0, fixture.now + 1900, 1);
@@ -95,7 +102,7 @@
             DecisionFixture fixture = new DecisionFixture();
             fixture.maxInFlight = maxInFlight;
             fixture.start(3);
-            fixture.learnLatency(40, 0, 1, 2, 3);
+            fixture.establishTypicalLatency(40, 0, 1, 2, 3);
             for (int i = 1; i <= 5; i++) {
                 fixture.submit(i, 0, 1, 2, 3);
                 fixture.now += 20;
@@ -105,18 +112,20 @@
     }
 
     @Test
-    void onlyTheShardWithTooMuchInFlightRejects() {
+    void onlyQueriesOfAShardWithTooMuchInFlightAreRejected() {
         DecisionFixture fixture = new DecisionFixture();
         fixture.hedging = false;
         fixture.maxShardsPerCall = 1;
         fixture.start(3);
-        fixture.learnLatency(40, 0, 1, 2, 3);
-        for (int q = 1; q <= 60; q++) {
-            fixture.submit(q, 0);
+        fixture.establishTypicalLatency(40, 0, 1, 2, 3);
+        for (int query = 1; query <= 60; query++) {
+            fixture.submit(query, 0);
         }
-        // At an assumed answer every 50 ms, three servers get at most 0.65 of the time that is
-        // left.
-        assertEquals(39, fixture.sent.stream().filter(s -> s.shardRequest() < 100_000).count());
+        // At an assumed answer every 50 ms, each of three servers gets what it can answer in 0.65
+        // of
+        // the remaining time.
+        assertEquals(
+                39, fixture.sent.stream().filter(send -> send.shardRequest() < 100_000).count());
         assertEquals("", fixture.resultOf(1));
         assertEquals("rejected", fixture.resultOf(60));
         fixture.submit(61, 1);
@@ -128,26 +137,28 @@
     void aQueryThatCouldNotBeSentIsRejectedWithinHalfOfItsTime() {
         DecisionFixture fixture = new DecisionFixture();
         fixture.start(1);
-        fixture.learnLatency(40, 0, 1, 2, 3);
+        fixture.establishTypicalLatency(40, 0, 1, 2, 3);
         fixture.submit(1, 0, fixture.now + 1200, 0);
         fixture.complete(100, 0, Outcome.CONNECT_FAILED, 1);
-        fixture.change(DecisionFixture.server(0, 0, 0, EndpointState.DRAINING));
+        fixture.changeServers(DecisionFixture.server(0, 0, 0, EndpointState.DRAINING));
         fixture.advance(599);
         assertEquals("rejected", fixture.resultOf(1));
     }
 
     @Test
-    void anOverloadedReplicaYieldsToOneThatCanSoonTakeTheRequest() {
+    void anOverloadedReplicaIsSkippedForOneThatCanSoonTakeTheRequest() {
         DecisionFixture fixture = new DecisionFixture();
         fixture.maxShardsPerCall = 1;
         fixture.hedging = false;
         fixture.start(1);
-        fixture.learnLatency(40, 0, 1, 2, 3);
-        for (int q = 1; q <= 13; q++) {
-            fixture.submit(q, 0);
+        fixture.establishTypicalLatency(40, 0, 1, 2, 3);
+        for (int query = 1; query <= 13; query++) {
+            fixture.submit(query, 0);
         }
-        // The warm replica is full; one in slow start has no tokens yet and will have some soon.
-        fixture.change(DecisionFixture.server(1, 0, fixture.now - 5000, EndpointState.READY));
+        // The warm replica is full; the one in slow start has no tokens yet but will have some
+        // soon.
+        fixture.changeServers(
+                DecisionFixture.server(1, 0, fixture.now - 5000, EndpointState.READY));
         fixture.submit(14, 0);
         assertEquals("", fixture.resultOf(14));
         fixture.advance(400);
--- a/src/test/java/reeldeal/decision/OutlierDetectorTest.java
+++ b/src/test/java/reeldeal/decision/OutlierDetectorTest.java
@@ -38,7 +38,7 @@
         latency.record(0, TYPICAL_MS);
     }
 
-    private Attempt start(long server) {
+    private Attempt startAttempt(long server) {
         QueryState query =
                 new QueryState(
                         new Query(1, 0, 0, 0, 9000, false),
@@ -59,37 +59,39 @@
     }
 
     @Test
-    void typicalAnswersLeaveAServerWithoutAnOutlierFactor() {
-        complete(start(0), Outcome.OK, TYPICAL_MS);
+    void aServerWithTypicalAnswersIsNoOutlier() {
+        complete(startAttempt(0), Outcome.OK, TYPICAL_MS);
         detector.refresh();
         assertEquals(1, health(0).outlierFactor);
         assertEquals(1, detector.referenceLatency());
     }
 
     @Test
-    void repeatedErrorsMakeAnOutlier() {
+    void aServerWithRepeatedErrorsIsAnOutlier() {
         for (int i = 0; i < 10; i++) {
-            complete(start(0), Outcome.ERROR, 1);
+            complete(startAttempt(0), Outcome.ERROR, 1);
         }
         detector.refresh();
-        assertTrue(health(0).outlierFactor > 3, "factor " + health(0).outlierFactor);
+        assertTrue(health(0).outlierFactor > 3, "outlier factor " + health(0).outlierFactor);
     }
 
     @Test
-    void aSlownessOfAllServersRaisesTheReferenceAndMakesNoOutlier() {
+    void aSlowdownOfAllServersRaisesTheReferenceAndCausesNoOutlier() {
         for (int server = 0; server < SERVERS; server++) {
             for (int i = 0; i < 10; i++) {
-                complete(start(server), Outcome.OK, 8 * TYPICAL_MS);
+                complete(startAttempt(server), Outcome.OK, 8 * TYPICAL_MS);
             }
         }
         detector.refresh();
-        assertTrue(detector.referenceLatency() > 3, "reference " + detector.referenceLatency());
+        assertTrue(
+                detector.referenceLatency() > 3,
+                "reference latency " + detector.referenceLatency());
         assertEquals(1, health(0).outlierFactor);
     }
 
     @Test
-    void silenceWithWorkInFlightMakesAnOutlier() {
-        start(0);
+    void aSilentServerWithWorkInFlightIsAnOutlier() {
+        startAttempt(0);
         clock.advance(2000, false);
         detector.refresh();
         assertTrue(health(0).silent);
@@ -98,7 +100,7 @@
 
     @Test
     void aTimeoutWithoutAnyAnswerEjectsAServer() {
-        Attempt attempt = start(0);
+        Attempt attempt = startAttempt(0);
         clock.advance(1400, false);
         complete(attempt, Outcome.TIMEOUT, 400);
         assertTrue(health(0).ejected());
@@ -106,38 +108,38 @@
     }
 
     @Test
-    void eachFailedProbeDoublesTheDelayOfTheNextOne() {
-        Attempt attempt = start(0);
+    void aFailedProbeDoublesTheDelayBeforeTheNextProbe() {
+        Attempt attempt = startAttempt(0);
         clock.advance(1400, false);
         complete(attempt, Outcome.TIMEOUT, 400);
         clock.advance(3400, false);
-        complete(start(0), Outcome.ERROR, 10);
+        complete(startAttempt(0), Outcome.ERROR, 10);
         assertEquals(3400 + 4000, health(0).nextProbeAtMs);
     }
 
     @Test
     void threeSuccessesInARowReadmitAServer() {
-        Attempt attempt = start(0);
+        Attempt attempt = startAttempt(0);
         clock.advance(1400, false);
         complete(attempt, Outcome.TIMEOUT, 400);
-        complete(start(0), Outcome.OK, TYPICAL_MS);
-        complete(start(0), Outcome.OK, TYPICAL_MS);
+        complete(startAttempt(0), Outcome.OK, TYPICAL_MS);
+        complete(startAttempt(0), Outcome.OK, TYPICAL_MS);
         assertFalse(health(0).trusted);
-        complete(start(0), Outcome.OK, TYPICAL_MS);
+        complete(startAttempt(0), Outcome.OK, TYPICAL_MS);
         assertTrue(health(0).trusted);
         assertEquals(List.of("server 0 readmitted"), actions.logLines);
     }
 
     @Test
     void aRejectionCausesABackoffAndAnErrorDoesNot() {
-        complete(start(0), Outcome.REJECTED, 1);
+        complete(startAttempt(0), Outcome.REJECTED, 1);
         assertEquals(1000 + 0.5 * TYPICAL_MS, health(0).backoffUntilMs);
-        complete(start(1), Outcome.ERROR, 1);
+        complete(startAttempt(1), Outcome.ERROR, 1);
         assertEquals(0, health(1).backoffUntilMs);
     }
 
     @Test
-    void afterAStallAnswersAndTimeoutsAreNoEvidence() {
+    void afterABrokerStallAnswersAndTimeoutsAreNoEvidence() {
         clock.advance(9000, true);
         assertFalse(detector.isEvidence(Outcome.OK));
         assertFalse(detector.isEvidence(Outcome.TIMEOUT));
--- a/src/test/java/reeldeal/decision/OutlierHandlingTest.java
+++ b/src/test/java/reeldeal/decision/OutlierHandlingTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import reeldeal.decision.DecisionModule.Outcome;
 
-/** How outliers are detected, ejected and probed. */
+/** Tests how outliers are detected, ejected and probed. */
 class OutlierHandlingTest {
     @Test
     void aSilentServerIsAvoidedAndItsRequestHedged() {
@@ -35,17 +35,17 @@
                     0,
                     first.server() == bad ? Outcome.ERROR : Outcome.OK,
                     10);
-            for (DecisionFixture.Sent again : fixture.sendsOf(i)) {
-                fixture.complete(again.shardRequest(), again.attemptNumber(), Outcome.OK, 10);
+            for (DecisionFixture.Sent retry : fixture.sendsOf(i)) {
+                fixture.complete(retry.shardRequest(), retry.attemptNumber(), Outcome.OK, 10);
             }
             fixture.now += 40;
         }
-        long culprit = bad;
-        long toBad =
+        long failing = bad;
+        long sentToFailing =
                 fixture.sent.stream()
-                        .filter(s -> s.shardRequest() < 4000 && s.server() == culprit)
+                        .filter(send -> send.shardRequest() < 4000 && send.server() == failing)
                         .count();
-        assertTrue(toBad <= 6, "sent to the failing server: " + toBad);
+        assertTrue(sentToFailing <= 6, "sent to the failing server: " + sentToFailing);
     }
 
     @Test
@@ -58,7 +58,7 @@
         }
         assertTrue(fixture.sendsOf(6).size() >= 4);
         assertTrue(
-                fixture.logLines.stream().noneMatch(l -> l.contains("ejected")),
+                fixture.logLines.stream().noneMatch(line -> line.contains("ejected")),
                 fixture.logLines.toString());
     }
 
@@ -66,21 +66,24 @@
     void replicasOfAnOverloadedShardAreNotEjected() {
         DecisionFixture fixture = DecisionFixture.warmedUp();
         fixture.logLines.clear();
-        // Every replica of shard 0 answers ten times as late as those of the others.
+        // Every replica of shard 0 takes ten times as long as the replicas of the other shards.
         for (int i = 1; i <= 60; i++) {
             fixture.submit(i, 0);
             fixture.advance(45);
-            for (DecisionFixture.Sent s : List.copyOf(fixture.sent)) {
-                if (s.shardRequest() < 7000
-                        && fixture.now - s.at() >= 900
-                        && fixture.now - s.at() < 945) {
+            for (DecisionFixture.Sent send : List.copyOf(fixture.sent)) {
+                if (send.shardRequest() < 7000
+                        && fixture.now - send.sentAtMs() >= 900
+                        && fixture.now - send.sentAtMs() < 945) {
                     fixture.complete(
-                            s.shardRequest(), s.attemptNumber(), Outcome.OK, fixture.now - s.at());
+                            send.shardRequest(),
+                            send.attemptNumber(),
+                            Outcome.OK,
+                            fixture.now - send.sentAtMs());
                 }
             }
         }
         assertTrue(
-                fixture.logLines.stream().noneMatch(l -> l.contains("ejected")),
+                fixture.logLines.stream().noneMatch(line -> line.contains("ejected")),
                 fixture.logLines.toString());
     }
 
@@ -90,17 +93,17 @@
         fixture.submit(1, 0);
         long bad = fixture.sendsOf(1).get(0).server();
         fixture.advance(10);
-        // A query of shard 0 every 200 ms; one server fails what it gets.
+        // One query for shard 0 every 200 ms; one server fails every shard request.
         for (int i = 1; i < 60; i++) {
-            for (DecisionFixture.Sent s : fixture.sendsOf(i)) {
+            for (DecisionFixture.Sent send : fixture.sendsOf(i)) {
                 fixture.complete(
-                        s.shardRequest(),
-                        s.attemptNumber(),
-                        s.server() == bad ? Outcome.ERROR : Outcome.OK,
+                        send.shardRequest(),
+                        send.attemptNumber(),
+                        send.server() == bad ? Outcome.ERROR : Outcome.OK,
                         10);
             }
-            for (DecisionFixture.Sent again : fixture.sendsOf(i)) {
-                fixture.complete(again.shardRequest(), again.attemptNumber(), Outcome.OK, 10);
+            for (DecisionFixture.Sent retry : fixture.sendsOf(i)) {
+                fixture.complete(retry.shardRequest(), retry.attemptNumber(), Outcome.OK, 10);
             }
             fixture.advance(190);
             fixture.submit(i + 1, 0);
@@ -108,7 +111,7 @@
         }
         long probes =
                 fixture.sent.stream()
-                        .filter(s -> s.shardRequest() < 6100 && s.server() == bad)
+                        .filter(send -> send.shardRequest() < 6100 && send.server() == bad)
                         .count();
         assertTrue(probes >= 1 && probes <= 6, probes + " probes in 60 queries");
     }
@@ -120,40 +123,40 @@
         fixture.submit(1, 0, 1, 2, 3);
         fixture.advance(40);
         fixture.now +=
-                800; // no tick in this time; then all events that came meanwhile, timers first
+                800; // no tick in this time; then all events of that time are handled, timers first
         fixture.advance(0);
         assertEquals(4, fixture.sendsOf(1).size());
-        for (DecisionFixture.Sent s : fixture.sendsOf(1)) {
-            fixture.complete(s.shardRequest(), 0, Outcome.OK, 840);
+        for (DecisionFixture.Sent send : fixture.sendsOf(1)) {
+            fixture.complete(send.shardRequest(), 0, Outcome.OK, 840);
         }
         assertEquals("complete", fixture.resultOf(1));
         assertTrue(fixture.logLines.isEmpty(), fixture.logLines.toString());
     }
 
     @Test
-    void aServerThatAnswersNothingIsAvoidedThoughMostReplicasAreAlike() {
+    void aSilentServerIsAvoidedEvenIfMostReplicasAreSilent() {
         DecisionFixture fixture = new DecisionFixture();
         fixture.cells = 2;
         fixture.maxShardsPerCall = 1;
         fixture.cancel = false;
         fixture.hedging = false;
         fixture.start(3);
-        fixture.learnLatency(40, 0, 1);
-        for (int q = 1; q <= 3; q++) {
-            fixture.submit(q, 0); // one each for the three replicas of this shard
+        fixture.establishTypicalLatency(40, 0, 1);
+        for (int query = 1; query <= 3; query++) {
+            fixture.submit(query, 0); // one for each of the three replicas of this shard
         }
         long healthy = fixture.sendsOf(1).get(0).server();
         fixture.advance(100);
         fixture.complete(100, 0, Outcome.OK, 100);
         fixture.advance(600);
-        for (int q = 4; q <= 6; q++) {
-            fixture.submit(q, 0);
-            assertEquals(healthy, fixture.sendsOf(q).get(0).server(), "query " + q);
+        for (int query = 4; query <= 6; query++) {
+            fixture.submit(query, 0);
+            assertEquals(healthy, fixture.sendsOf(query).get(0).server(), "query " + query);
         }
     }
 
     @Test
-    void aSlowServerStaysAndAFailingOneIsEjected() {
+    void aSlowServerIsNotEjectedAndAFailingOneIs() {
         DecisionFixture fixture = DecisionFixture.warmedUp();
         fixture.hedging = false;
         fixture.submit(1, 0);
@@ -161,38 +164,39 @@
         fixture.advance(500);
         fixture.complete(100, 0, Outcome.OK, 500);
         fixture.advance(1500);
-        for (int q = 2; q <= 6; q++) {
-            fixture.submit(q, 0);
+        for (int query = 2; query <= 6; query++) {
+            fixture.submit(query, 0);
             fixture.advance(450);
-            for (DecisionFixture.Sent s : fixture.sendsOf(q)) {
+            for (DecisionFixture.Sent send : fixture.sendsOf(query)) {
                 fixture.complete(
-                        s.shardRequest(),
-                        s.attemptNumber(),
+                        send.shardRequest(),
+                        send.attemptNumber(),
                         Outcome.OK,
-                        s.server() == bad ? 450 : 100);
+                        send.server() == bad ? 450 : 100);
             }
         }
         assertEquals(
-                List.of(), fixture.logLines.stream().filter(l -> l.contains("ejected")).toList());
-        for (int q = 7; q <= 30; q++) {
-            fixture.submit(q, 0);
-            for (DecisionFixture.Sent s : fixture.sendsOf(q)) {
+                List.of(),
+                fixture.logLines.stream().filter(line -> line.contains("ejected")).toList());
+        for (int query = 7; query <= 30; query++) {
+            fixture.submit(query, 0);
+            for (DecisionFixture.Sent send : fixture.sendsOf(query)) {
                 fixture.complete(
-                        s.shardRequest(),
-                        s.attemptNumber(),
-                        s.server() == bad ? Outcome.RESET : Outcome.OK,
+                        send.shardRequest(),
+                        send.attemptNumber(),
+                        send.server() == bad ? Outcome.RESET : Outcome.OK,
                         100);
             }
             fixture.advance(400);
         }
         assertEquals(
                 List.of("server " + bad + " ejected"),
-                fixture.logLines.stream().filter(l -> l.contains("ejected")).toList());
+                fixture.logLines.stream().filter(line -> line.contains("ejected")).toList());
     }
 
     /**
-     * One of many brokers meets a server once in seconds: a second silence would come when the
-     * first is forgotten.
+     * With many brokers, each of them sends to a server only once in several seconds. If a second
+     * silent attempt were needed, the evidence of the first would have faded by then.
      */
     @Test
     void oneSilentAttemptIsEnoughToAvoidAServer() {
@@ -203,9 +207,11 @@
         fixture.complete(silent.shardRequest(), 0, Outcome.TIMEOUT, 400);
         fixture.advance(50);
         fixture.sendsOf(1).stream()
-                .filter(s -> s.attemptNumber() > 0)
+                .filter(send -> send.attemptNumber() > 0)
                 .forEach(
-                        s -> fixture.complete(s.shardRequest(), s.attemptNumber(), Outcome.OK, 50));
+                        send ->
+                                fixture.complete(
+                                        send.shardRequest(), send.attemptNumber(), Outcome.OK, 50));
         fixture.advance(1000);
         for (int i = 2; i < 6; i++) {
             fixture.submit(i, 0);
--- a/src/test/java/reeldeal/decision/ProbeLimiterTest.java
+++ b/src/test/java/reeldeal/decision/ProbeLimiterTest.java
@@ -7,7 +7,7 @@
 
 class ProbeLimiterTest {
     private final EventClock clock = new EventClock(1000, 5);
-    private final ProbeLimiter probes = new ProbeLimiter(clock);
+    private final ProbeLimiter limiter = new ProbeLimiter(clock);
     private final ServerState ejected = new ServerState(1, false);
 
     ProbeLimiterTest() {
@@ -17,32 +17,32 @@
 
     @Test
     void anEjectedServerIsProbedOnceItsDelayIsOver() {
-        assertFalse(probes.mayProbe(ejected));
+        assertFalse(limiter.mayProbe(ejected));
         clock.advance(2000, false);
-        assertTrue(probes.mayProbe(ejected));
+        assertTrue(limiter.mayProbe(ejected));
     }
 
     @Test
     void aServerWithACallInFlightIsNotProbed() {
         clock.advance(2000, false);
         ejected.callsInFlight = 1;
-        assertFalse(probes.mayProbe(ejected));
+        assertFalse(limiter.mayProbe(ejected));
     }
 
     @Test
-    void theNextProbeWaitsForTheTimeOfFourQueries() {
+    void theNextProbeWaitsForFourQueryIntervals() {
         clock.advance(2000, false);
-        probes.recordQuery(); // an average interval of 0.3 x 1,000 ms
-        probes.recordSend(ejected);
+        limiter.recordQuery(); // the mean interval becomes 0.3 x 1,000 ms
+        limiter.recordSend(ejected);
         clock.advance(3199, false);
-        assertFalse(probes.mayProbe(ejected));
+        assertFalse(limiter.mayProbe(ejected));
         clock.advance(3200, false);
-        assertTrue(probes.mayProbe(ejected));
+        assertTrue(limiter.mayProbe(ejected));
     }
 
     @Test
-    void aServerThatHasSucceededSinceItsEjectionNeedsNoDelay() {
+    void aServerThatHasSucceededSinceItsEjectionIsProbedWithoutDelay() {
         ejected.health.consecutiveSuccesses = 1;
-        assertTrue(probes.mayProbe(ejected));
+        assertTrue(limiter.mayProbe(ejected));
     }
 }
--- a/src/test/java/reeldeal/decision/QueryStateTest.java
+++ b/src/test/java/reeldeal/decision/QueryStateTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void isCompleteOnceEveryShardRequestIsAnswered() {
+    void aQueryIsCompleteOnceEveryShardRequestIsAnswered() {
         QueryState query = query(1, 1);
         query.recordAnswer(query.phaseRequests.get(0), 50);
         assertFalse(query.isComplete());
@@ -30,14 +30,14 @@
     }
 
     @Test
-    void aClassThatNeedsAShareIsCompleteAtThatShare() {
+    void aQueryWhoseClassNeedsAShareIsCompleteAtThatShare() {
         QueryState query = query(0.5, 0.5);
         query.recordAnswer(query.phaseRequests.get(1), 50);
         assertTrue(query.isComplete());
     }
 
     @Test
-    void thePartialAnswerNeedsTheMinimumShare() {
+    void aPartialAnswerNeedsTheMinimumShare() {
         QueryState query = query(1, 0.5);
         assertTrue(query.mayBePartial());
         assertFalse(query.minimumAnswered());
--- a/src/test/java/reeldeal/decision/RandomDayTest.java
+++ b/src/test/java/reeldeal/decision/RandomDayTest.java
@@ -17,28 +17,28 @@
 import reeldeal.decision.DecisionModule.Rules;
 import reeldeal.testing.EventDigest;
 
-/** Long seeded sequences of events; the rules are checked against what the engine did. */
+/** Runs long random sequences of events and checks the engine's actions against the rules. */
 class RandomDayTest {
     private static final List<EndpointState> STATES =
             List.of(EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED);
 
-    /** A query of a random day. */
+    /** A query that was submitted. */
     private record SubmittedQuery(int classIndex, double deadlineMs, int shards) {}
 
-    /** Work that counts for the retry budget: a query and its shard requests. */
-    private record SubmittedWork(double at, int units) {}
+    /** Work that counts towards the retry budget: a query and its shard requests. */
+    private record SubmittedWork(double atMs, int units) {}
 
-    /** A seeded sequence of events, with its own record of what went in. */
-    private static final class RandomDay {
+    /** A seeded random sequence of events, with a record of the events for the checks. */
+    private static final class RandomEventSequence {
         final DecisionFixture fixture = new DecisionFixture();
         final Random random;
-        final Map<Long, Double> stopped = new HashMap<>();
+        final Map<Long, Double> notReadySinceMs = new HashMap<>();
         final Map<Long, SubmittedQuery> queries = new HashMap<>();
         final Map<String, Outcome> outcomes = new HashMap<>();
-        final Map<String, Double> endedAt = new HashMap<>();
+        final Map<String, Double> endedAtMs = new HashMap<>();
         final List<SubmittedWork> submitted = new ArrayList<>();
 
-        RandomDay(long seed) {
+        RandomEventSequence(long seed) {
             random = new Random(seed);
             fixture.hedging = random.nextBoolean();
             fixture.cancel = random.nextBoolean();
@@ -51,16 +51,16 @@
             fixture.start(2);
         }
 
-        void play(int steps) {
+        void run(int steps) {
             for (int i = 0; i < steps; i++) {
                 fixture.advance(random.nextInt(30));
                 int choice = random.nextInt(20);
                 if (choice < 8) {
                     submitQuery(1 + i);
                 } else if (choice < 19) {
-                    completeOne();
+                    completeRandomAttempt();
                 } else {
-                    changeList();
+                    changeEndpointList();
                 }
             }
             fixture.advance(5000);
@@ -75,58 +75,64 @@
             fixture.submit(id, classIndex, deadlineMs, shards);
         }
 
-        private void completeOne() {
+        private void completeRandomAttempt() {
             List<DecisionFixture.Sent> inFlight =
-                    fixture.sent.stream().filter(s -> !outcomes.containsKey(name(s))).toList();
+                    fixture.sent.stream()
+                            .filter(send -> !outcomes.containsKey(attemptName(send)))
+                            .toList();
             if (inFlight.isEmpty()) {
                 return;
             }
-            DecisionFixture.Sent s = inFlight.get(random.nextInt(inFlight.size()));
+            DecisionFixture.Sent send = inFlight.get(random.nextInt(inFlight.size()));
             Outcome[] all = Outcome.values();
             Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length)];
-            outcomes.put(name(s), outcome);
-            endedAt.put(name(s), fixture.now);
-            fixture.complete(s.shardRequest(), s.attemptNumber(), outcome, fixture.now - s.at());
+            outcomes.put(attemptName(send), outcome);
+            endedAtMs.put(attemptName(send), fixture.now);
+            fixture.complete(
+                    send.shardRequest(),
+                    send.attemptNumber(),
+                    outcome,
+                    fixture.now - send.sentAtMs());
         }
 
-        private void changeList() {
+        private void changeEndpointList() {
             long id = 10L * random.nextInt(4) + random.nextInt(2);
             EndpointState state = STATES.get(random.nextInt(STATES.size()));
             if (state == EndpointState.READY) {
-                stopped.remove(id);
+                notReadySinceMs.remove(id);
             } else {
-                stopped.putIfAbsent(id, fixture.now);
+                notReadySinceMs.putIfAbsent(id, fixture.now);
             }
-            fixture.change(
+            fixture.changeServers(
                     DecisionFixture.server(
                             id, (int) id / 10, random.nextBoolean() ? fixture.now : 0, state));
-            recordStopped();
+            recordNotReady();
         }
 
-        private void recordStopped() {
-            stoppedByChange.add(new HashMap<>(stopped));
-            sentBefore.add(fixture.sent.size());
+        private void recordNotReady() {
+            notReadyByChange.add(new HashMap<>(notReadySinceMs));
+            sendsBeforeChange.add(fixture.sent.size());
         }
 
-        final List<Map<Long, Double>> stoppedByChange = new ArrayList<>();
-        final List<Integer> sentBefore = new ArrayList<>();
+        final List<Map<Long, Double>> notReadyByChange = new ArrayList<>();
+        final List<Integer> sendsBeforeChange = new ArrayList<>();
 
-        static String name(DecisionFixture.Sent s) {
-            return s.shardRequest() + "/" + s.attemptNumber();
+        static String attemptName(DecisionFixture.Sent send) {
+            return send.shardRequest() + "/" + send.attemptNumber();
         }
 
-        void check() {
+        void checkRules() {
             Map<Long, DecisionFixture.Result> results = new HashMap<>();
             for (DecisionFixture.Result result : fixture.results) {
                 assertTrue(
                         results.put(result.query(), result) == null,
-                        "two final answers to " + result.query());
+                        "more than one final answer to query " + result.query());
             }
             queries.forEach(
                     (id, query) ->
                             assertTrue(
-                                    results.get(id).at() <= query.deadlineMs() + 20,
-                                    "no answer in time to " + id));
+                                    results.get(id).atMs() <= query.deadlineMs() + 20,
+                                    "no final answer in time to query " + id));
             List<DecisionFixture.Sent> all = fixture.sent;
             for (int i = 0; i < all.size(); i++) {
                 checkSend(all.get(i), all, i, results);
@@ -140,13 +146,13 @@
                 int index,
                 Map<Long, DecisionFixture.Result> results) {
             assertTrue(
-                    send.at() <= results.get(send.shardRequest() / 100).at(),
-                    "sent after the final answer");
-            for (int i = sentBefore.size() - 1; i >= 0; i--) {
-                if (sentBefore.get(i) <= index) {
+                    send.sentAtMs() <= results.get(send.shardRequest() / 100).atMs(),
+                    "a shard request was sent after the final answer");
+            for (int i = sendsBeforeChange.size() - 1; i >= 0; i--) {
+                if (sendsBeforeChange.get(i) <= index) {
                     assertTrue(
-                            !stoppedByChange.get(i).containsKey(send.server()),
-                            "sent to a stopped server");
+                            !notReadyByChange.get(i).containsKey(send.server()),
+                            "a shard request was sent to a server that is not ready");
                     break;
                 }
             }
@@ -159,20 +165,29 @@
                 if (earlier.shardRequest() != send.shardRequest()) {
                     continue;
                 }
-                boolean ended = endedAt.getOrDefault(name(earlier), Double.MAX_VALUE) <= send.at();
+                boolean ended =
+                        endedAtMs.getOrDefault(attemptName(earlier), Double.MAX_VALUE)
+                                <= send.sentAtMs();
                 inFlight += ended ? 0 : 1;
-                boolean provenNotRun = ended && outcomes.get(name(earlier)).neverRan();
+                boolean provenNotRun = ended && outcomes.get(attemptName(earlier)).neverRan();
                 assertTrue(
                         classIndex != 2 || provenNotRun,
                         "a shard request that is not idempotent was sent twice");
                 assertTrue(
-                        classIndex != 1 || provenNotRun || send.at() <= earlier.at() + 2000,
-                        "sent after its deduplication window");
+                        classIndex != 1
+                                || provenNotRun
+                                || send.sentAtMs() <= earlier.sentAtMs() + 2000,
+                        "a shard request was sent again after its deduplication window");
             }
-            assertTrue(inFlight == 0 || fixture.hedging, "two attempts in flight");
+            assertTrue(
+                    inFlight == 0 || fixture.hedging,
+                    "two attempts in flight though hedging is off");
             double units =
                     submitted.stream()
-                            .filter(work -> work.at() <= send.at() && work.at() > send.at() - 5000)
+                            .filter(
+                                    work ->
+                                            work.atMs() <= send.sentAtMs()
+                                                    && work.atMs() > send.sentAtMs() - 5000)
                             .mapToDouble(SubmittedWork::units)
                             .sum();
             long retries =
@@ -180,9 +195,11 @@
                             .filter(
                                     earlier ->
                                             earlier.attemptNumber() > 0
-                                                    && earlier.at() >= send.at() - 5000)
+                                                    && earlier.sentAtMs() >= send.sentAtMs() - 5000)
                             .count();
-            assertTrue(retries <= 3 + 0.1 * units + 1e-6, "budget: " + retries + " of " + units);
+            assertTrue(
+                    retries <= 3 + 0.1 * units + 1e-6,
+                    "retry budget exceeded: " + retries + " retries, units of work: " + units);
         }
 
         private void checkResult(DecisionFixture.Result result) {
@@ -190,8 +207,10 @@
             Set<Long> answered = new HashSet<>();
             boolean mayHaveRun = false;
             for (DecisionFixture.Sent send : fixture.sendsOf(result.query())) {
-                boolean ended = endedAt.getOrDefault(name(send), Double.MAX_VALUE) <= result.at();
-                Outcome outcome = ended ? outcomes.get(name(send)) : null;
+                boolean ended =
+                        endedAtMs.getOrDefault(attemptName(send), Double.MAX_VALUE)
+                                <= result.atMs();
+                Outcome outcome = ended ? outcomes.get(attemptName(send)) : null;
                 mayHaveRun |= outcome == null || !outcome.neverRan();
                 if (outcome == Outcome.OK) {
                     answered.add(send.shardRequest());
@@ -202,41 +221,42 @@
             } else if (result.outcome().equals("partial")) {
                 assertTrue(
                         query.classIndex() == 0 && answered.size() >= 0.5 * query.shards() - 1e-4,
-                        "below the minimum share");
+                        "a partial answer below the minimum share");
             } else if (result.outcome().equals("rejected")) {
                 assertTrue(
-                        query.classIndex() != 2 || !mayHaveRun, "rejected though it may have run");
+                        query.classIndex() != 2 || !mayHaveRun,
+                        "a query that may have run was rejected");
             }
         }
     }
 
     @Test
-    void theRulesHoldOnRandomDays() {
+    void theRulesHoldForRandomEvents() {
         for (long seed = 1; seed <= 30; seed++) {
-            RandomDay day = new RandomDay(seed);
-            day.play(600);
-            day.check();
+            RandomEventSequence sequence = new RandomEventSequence(seed);
+            sequence.run(600);
+            sequence.checkRules();
         }
     }
 
     @Test
-    void randomDaysGiveTheRecordedActions() {
+    void randomEventsCauseTheRecordedActions() {
         EventDigest all = new EventDigest();
         for (long seed = 1; seed <= 60; seed++) {
-            RandomDay day = new RandomDay(seed);
-            day.play(600);
-            day.fixture.transcript.forEach(all::add);
+            RandomEventSequence sequence = new RandomEventSequence(seed);
+            sequence.run(600);
+            sequence.fixture.transcript.forEach(all::add);
         }
         assertEquals("249621803067911f74e87ec7", all.hex(), "recorded on 9332643");
     }
 
     @Test
-    void theSameEventsGiveTheSameActions() {
-        RandomDay one = new RandomDay(5);
-        one.play(400);
-        RandomDay two = new RandomDay(5);
-        two.play(400);
-        assertEquals(one.fixture.transcript, two.fixture.transcript);
-        assertTrue(one.fixture.transcript.size() > 400);
+    void theSameEventsCauseTheSameActions() {
+        RandomEventSequence first = new RandomEventSequence(5);
+        first.run(400);
+        RandomEventSequence second = new RandomEventSequence(5);
+        second.run(400);
+        assertEquals(first.fixture.transcript, second.fixture.transcript);
+        assertTrue(first.fixture.transcript.size() > 400);
     }
 }
--- a/src/test/java/reeldeal/decision/ReplicaSelectorTest.java
+++ b/src/test/java/reeldeal/decision/ReplicaSelectorTest.java
@@ -10,9 +10,9 @@
 import reeldeal.decision.DecisionModule.Outcome;
 import reeldeal.decision.DecisionModule.RepeatSafety;
 
-/** Each clause of the greedy set cover by a small example. */
+/** Tests each rule of the greedy set cover with a small example. */
 class ReplicaSelectorTest {
-    private static Set<Long> servers(DecisionFixture fixture, long query) {
+    private static Set<Long> serversSent(DecisionFixture fixture, long query) {
         return fixture.sendsOf(query).stream()
                 .map(DecisionFixture.Sent::server)
                 .collect(Collectors.toSet());
@@ -23,23 +23,23 @@
         DecisionFixture fixture = new DecisionFixture();
         fixture.replicas = 2;
         fixture.start(1);
-        fixture.submit(1, 0, 1); // shard 0: cells 0 and 1; shard 1: cells 1 and 2
-        assertEquals(Set.of(10L), servers(fixture, 1));
+        fixture.submit(1, 0, 1); // shard 0 is in cells 0 and 1, shard 1 in cells 1 and 2
+        assertEquals(Set.of(10L), serversSent(fixture, 1));
         assertEquals(2, fixture.sendsOf(1).size());
     }
 
     @Test
-    void aPickIsOneCallAndNoLargerThanTheLimit() {
+    void aCallIsNoLargerThanTheLimit() {
         DecisionFixture fixture = new DecisionFixture();
         fixture.cells = 2;
         fixture.maxShardsPerCall = 2;
         fixture.start(2);
         fixture.submit(1, 0, 2, 4, 6); // all in cell 0, held by servers 0 and 1
-        assertEquals(Set.of(0L, 1L), servers(fixture, 1));
+        assertEquals(Set.of(0L, 1L), serversSent(fixture, 1));
     }
 
     @Test
-    void tiesGoToTheFewestCallsInFlight() {
+    void tiesGoToTheServerWithTheFewestCallsInFlight() {
         DecisionFixture fixture = new DecisionFixture();
         fixture.start(2);
         fixture.submit(1, 0);
@@ -62,23 +62,24 @@
             fixture.now += 10;
         }
         fixture.submit(1, 0, 1);
-        assertEquals(Set.of(0L, 20L), servers(fixture, 1));
+        assertEquals(Set.of(0L, 20L), serversSent(fixture, 1));
     }
 
     @Test
-    void aClassThatNeedsAShareOfItsShardsStopsThere() {
+    void aQueryThatNeedsAShareOfItsShardsIsSentToNoMore() {
         DecisionFixture fixture = new DecisionFixture();
         fixture.classes.set(0, DecisionFixture.queryClass(RepeatSafety.IDEMPOTENT, 0.5, 0.5));
         fixture.start(1);
         fixture.submit(1, 0, 1, 2, 3);
         assertEquals(2, fixture.sendsOf(1).size());
         fixture.now += 50;
-        fixture.sendsOf(1).forEach(s -> fixture.complete(s.shardRequest(), 0, Outcome.OK, 50));
+        fixture.sendsOf(1)
+                .forEach(send -> fixture.complete(send.shardRequest(), 0, Outcome.OK, 50));
         assertEquals("complete", fixture.resultOf(1));
     }
 
     @Test
-    void aClassThatAllowsPartialAnswersIsSentInFull() {
+    void aQueryThatAllowsPartialAnswersIsSentInFull() {
         DecisionFixture fixture = new DecisionFixture();
         fixture.classes.set(0, DecisionFixture.queryClass(RepeatSafety.IDEMPOTENT, 1, 0.5));
         fixture.start(1);
@@ -102,13 +103,13 @@
     void aQueryWithoutReplicasOrShardRequestsEndsInTime() {
         DecisionFixture fixture = new DecisionFixture();
         fixture.start(1);
-        fixture.change(DecisionFixture.server(0, 0, 0, EndpointState.REMOVED));
+        fixture.changeServers(DecisionFixture.server(0, 0, 0, EndpointState.REMOVED));
         fixture.submit(1, 0);
         fixture.submit(2);
         fixture.advance(2000);
         assertTrue(fixture.sendsOf(1).isEmpty());
         assertEquals("rejected", fixture.resultOf(1));
         assertTrue(Set.of("rejected", "failed").contains(fixture.resultOf(2)), fixture.resultOf(2));
-        assertTrue(fixture.results.stream().allMatch(e -> e.at() < 2000));
+        assertTrue(fixture.results.stream().allMatch(result -> result.atMs() < 2000));
     }
 }
--- a/src/test/java/reeldeal/decision/RetryBudgetTest.java
+++ b/src/test/java/reeldeal/decision/RetryBudgetTest.java
@@ -35,19 +35,21 @@
     }
 
     @Test
-    void workAndRetriesLeaveTheWindow() {
+    void workAndRetriesExpireWithTheWindow() {
         RetryBudget budget = budget(2, 0.25, 5000);
         budget.recordWork(12);
         budget.recordRetry();
         clock.advance(6000, false);
         assertEquals(
-                1, budget.remaining(1)); // work leaves at the end of the window, a retry after it
+                1,
+                budget.remaining(
+                        1)); // work expires at the end of the window, a retry just after it
         clock.advance(6001, false);
         assertEquals(2, budget.remaining(1));
     }
 
     @Test
-    void withoutAStatedWindowACallsShardRequestsAreFree() {
+    void withoutAConfiguredWindowAsManyRetriesAsShardRequestsInACallAreFree() {
         assertEquals(8, budget(1, 0, 0).remaining(1));
     }
 
--- a/src/test/java/reeldeal/decision/RetryHandlingTest.java
+++ b/src/test/java/reeldeal/decision/RetryHandlingTest.java
@@ -7,15 +7,15 @@
 import reeldeal.decision.DecisionModule.Outcome;
 import reeldeal.decision.DecisionModule.RepeatSafety;
 
-/** Timeouts, retries and their budget. */
+/** Tests timeouts, retries and the retry budget. */
 class RetryHandlingTest {
     @Test
     void theTimeoutEndsWithTheLatencyObjective() {
         DecisionFixture fixture = new DecisionFixture();
         fixture.start(1);
         fixture.submit(1, 0);
-        double timeout = fixture.sendsOf(1).get(0).timeoutMs();
-        assertTrue(timeout <= 1000 && timeout > 900, "timeout " + timeout);
+        double timeoutMs = fixture.sendsOf(1).get(0).timeoutMs();
+        assertTrue(timeoutMs <= 1000 && timeoutMs > 900, "timeout in ms: " + timeoutMs);
     }
 
     @Test
@@ -30,11 +30,11 @@
         fixture.complete(100, 1, Outcome.REJECTED, 5);
         fixture.complete(200, 0, Outcome.REJECTED, 5); // now all three replicas have rejected work
         fixture.advance(20);
-        long tried = (long) fixture.sendsOf(1).size() + fixture.sendsOf(2).size();
+        long sentBefore = (long) fixture.sendsOf(1).size() + fixture.sendsOf(2).size();
         fixture.advance(100);
         assertTrue(
-                fixture.sendsOf(1).size() + fixture.sendsOf(2).size() > tried,
-                "tried again after the rest");
+                fixture.sendsOf(1).size() + fixture.sendsOf(2).size() > sentBefore,
+                "no retry was sent after the backoff");
     }
 
     @Test
@@ -50,25 +50,25 @@
 
     @Test
     void queriesThatNeedEveryShardMayUseMoreOfTheBudget() {
-        int[] used = new int[2];
-        for (int k = 0; k < 2; k++) {
+        int[] retriesUsed = new int[2];
+        for (int run = 0; run < 2; run++) {
             DecisionFixture fixture = new DecisionFixture();
             fixture.cells = 1;
             fixture.rules = new DecisionModule.Rules(250, 0.25, 10000, 2, 2000, 4, 0, 5000, 10000);
             fixture.classes.set(
-                    0, DecisionFixture.queryClass(RepeatSafety.IDEMPOTENT, 1, k == 0 ? 1 : 0.1));
+                    0, DecisionFixture.queryClass(RepeatSafety.IDEMPOTENT, 1, run == 0 ? 1 : 0.1));
             fixture.start(4);
-            for (int q = 1; q <= 6; q++) {
-                fixture.submit(q, 0);
+            for (int query = 1; query <= 6; query++) {
+                fixture.submit(query, 0);
             }
             fixture.advance(10);
-            for (int q = 1; q <= 6; q++) {
-                fixture.complete(100L * q, 0, Outcome.RESET, 10);
+            for (int query = 1; query <= 6; query++) {
+                fixture.complete(100L * query, 0, Outcome.RESET, 10);
             }
             fixture.advance(500);
-            used[k] = fixture.sent.size() - 6;
+            retriesUsed[run] = fixture.sent.size() - 6;
         }
-        assertEquals(4, used[0]);
-        assertEquals(3, used[1]);
+        assertEquals(4, retriesUsed[0]);
+        assertEquals(3, retriesUsed[1]);
     }
 }
--- a/src/test/java/reeldeal/decision/RetryPolicyTest.java
+++ b/src/test/java/reeldeal/decision/RetryPolicyTest.java
@@ -19,7 +19,7 @@
         return new ShardRequestState(new ShardRequest(100, 0, 1, 0), state);
     }
 
-    private ShardRequestState attempted(RepeatSafety safety, boolean neverRan) {
+    private ShardRequestState shardRequestWithAttempt(RepeatSafety safety, boolean neverRan) {
         ShardRequestState shardRequest = shardRequest(safety, Double.POSITIVE_INFINITY);
         server.endAttempt(server.startAttempt(shardRequest, clock.now(), 8), neverRan);
         return shardRequest;
@@ -27,7 +27,7 @@
 
     @Test
     void anIdempotentRequestMayBeAttemptedUpToTheLimit() {
-        ShardRequestState shardRequest = attempted(RepeatSafety.IDEMPOTENT, false);
+        ShardRequestState shardRequest = shardRequestWithAttempt(RepeatSafety.IDEMPOTENT, false);
         assertTrue(policy.mayAttempt(shardRequest));
         server.startAttempt(shardRequest, clock.now(), 8);
         server.startAttempt(shardRequest, clock.now(), 8);
@@ -36,21 +36,22 @@
 
     @Test
     void anAnsweredRequestIsNotAttempted() {
-        ShardRequestState shardRequest = attempted(RepeatSafety.IDEMPOTENT, false);
+        ShardRequestState shardRequest = shardRequestWithAttempt(RepeatSafety.IDEMPOTENT, false);
         shardRequest.done = true;
         assertFalse(policy.mayAttempt(shardRequest));
     }
 
     @Test
     void aNonIdempotentRequestMayBeRepeatedOnlyIfItProvablyDidNotRun() {
-        assertTrue(policy.mayAttempt(attempted(RepeatSafety.NOT_IDEMPOTENT, true)));
-        assertFalse(policy.mayAttempt(attempted(RepeatSafety.NOT_IDEMPOTENT, false)));
+        assertTrue(policy.mayAttempt(shardRequestWithAttempt(RepeatSafety.NOT_IDEMPOTENT, true)));
+        assertFalse(policy.mayAttempt(shardRequestWithAttempt(RepeatSafety.NOT_IDEMPOTENT, false)));
     }
 
     @Test
     void aRequestWithAKeyMayBeRepeatedWithinTheDeduplicationWindow() {
-        ShardRequestState shardRequest = attempted(RepeatSafety.IDEMPOTENT_WITH_KEY, false);
-        clock.advance(2994, false); // the window of 2,000 ms less one tick
+        ShardRequestState shardRequest =
+                shardRequestWithAttempt(RepeatSafety.IDEMPOTENT_WITH_KEY, false);
+        clock.advance(2994, false); // the last millisecond of the window of 2,000 ms less one tick
         assertTrue(policy.mayAttempt(shardRequest));
         clock.advance(2995, false);
         assertFalse(policy.mayAttempt(shardRequest));
--- a/src/test/java/reeldeal/decision/RetryRulesTest.java
+++ b/src/test/java/reeldeal/decision/RetryRulesTest.java
@@ -12,7 +12,7 @@
 import reeldeal.decision.DecisionModule.RepeatSafety;
 import reeldeal.decision.DecisionModule.Rules;
 
-/** The rules of retries and final answers at their edges. */
+/** Tests the boundary cases of the rules for retries and final answers. */
 class RetryRulesTest {
     @Test
     void everyQueryEndsBeforeItsDeadline() {
@@ -65,7 +65,7 @@
 
     @Test
     void aRequestWithAKeyIsRetriedOnlyWithinItsDeduplicationWindow() {
-        for (double wait : new double[] {500, 2100}) {
+        for (double waitMs : new double[] {500, 2100}) {
             DecisionFixture fixture = new DecisionFixture();
             fixture.classes.set(
                     0,
@@ -85,16 +85,16 @@
             fixture.cancel = false;
             fixture.start(2);
             fixture.submit(1, 0, fixture.now + 6000, 0);
-            fixture.advance(wait);
-            fixture.complete(100, 0, Outcome.ERROR, wait);
+            fixture.advance(waitMs);
+            fixture.complete(100, 0, Outcome.ERROR, waitMs);
             fixture.advance(50);
-            assertEquals(wait < 2000 ? 2 : 1, fixture.sendsOf(1).size());
+            assertEquals(waitMs < 2000 ? 2 : 1, fixture.sendsOf(1).size());
         }
     }
 
     @Test
-    void aQueryThatAnotherBrokerBeganHasTheRestOfItsDeduplicationWindow() {
-        for (double ago : new double[] {100, 1700, 2000}) {
+    void theDeduplicationWindowBeginsWithTheFirstSendByAnotherBroker() {
+        for (double agoMs : new double[] {100, 1700, 2000}) {
             DecisionFixture fixture = new DecisionFixture();
             fixture.classes.set(
                     0,
@@ -116,9 +116,9 @@
             fixture.engine.query(
                     fixture.now,
                     new DecisionModule.Query(
-                            1, 0, 0, 5, fixture.now + 6000, true, fixture.now - ago),
+                            1, 0, 0, 5, fixture.now + 6000, true, fixture.now - agoMs),
                     List.of(new DecisionModule.ShardRequest(100, 0, 1, 0)));
-            int first = ago < 1995 ? 1 : 0;
+            int first = agoMs < 1995 ? 1 : 0;
             assertEquals(first, fixture.sendsOf(1).size());
             fixture.advance(500);
             if (first > 0) {
@@ -126,25 +126,27 @@
             }
             fixture.advance(50);
             assertEquals(
-                    ago < 1500 ? 2 : first, fixture.sendsOf(1).size(), "begun " + ago + " ms ago");
+                    agoMs < 1500 ? 2 : first,
+                    fixture.sendsOf(1).size(),
+                    "first sent " + agoMs + " ms ago");
         }
     }
 
     @Test
     void drainingAndRemovedServersGetNothingNew() {
-        for (EndpointState listed :
+        for (EndpointState state :
                 new EndpointState[] {EndpointState.DRAINING, EndpointState.REMOVED}) {
             DecisionFixture fixture = new DecisionFixture();
             fixture.start(2);
             fixture.submit(1, 0);
             long first = fixture.sendsOf(1).get(0).server();
-            fixture.change(
+            fixture.changeServers(
                     DecisionFixture.server(
-                            first, 0, 0, listed)); // it still has an attempt in flight
+                            first, 0, 0, state)); // the server still has an attempt in flight
             fixture.submit(2, 0);
             fixture.submit(3, 0);
-            assertTrue(fixture.sendsOf(2).stream().noneMatch(s -> s.server() == first));
-            assertTrue(fixture.sendsOf(3).stream().noneMatch(s -> s.server() == first));
+            assertTrue(fixture.sendsOf(2).stream().noneMatch(send -> send.server() == first));
+            assertTrue(fixture.sendsOf(3).stream().noneMatch(send -> send.server() == first));
             fixture.now += 20;
             fixture.complete(100, 0, Outcome.OK, 20);
             assertEquals("complete", fixture.resultOf(1));
@@ -152,19 +154,20 @@
     }
 
     @Test
-    void answersBelowTheMinimumAreNotGivenAndPartialOnesAreMarked() {
-        for (int in = 1; in <= 4; in++) {
+    void answersBelowTheMinimumShareAreNotGivenAndPartialOnesAreMarked() {
+        for (int answers = 1; answers <= 4; answers++) {
             DecisionFixture fixture = new DecisionFixture();
             fixture.classes.set(0, DecisionFixture.queryClass(RepeatSafety.IDEMPOTENT, 1, 0.5));
             fixture.start(1);
             fixture.submit(1, 0, 1, 2, 3);
             fixture.now += 50;
-            for (int p = 0; p < in; p++) {
-                fixture.complete(100 + p, 0, Outcome.OK, 50);
+            for (int shard = 0; shard < answers; shard++) {
+                fixture.complete(100 + shard, 0, Outcome.OK, 50);
             }
             fixture.advance(2000);
             assertEquals(
-                    in == 4 ? "complete" : in >= 2 ? "partial" : "rejected", fixture.resultOf(1));
+                    answers == 4 ? "complete" : answers >= 2 ? "partial" : "rejected",
+                    fixture.resultOf(1));
         }
     }
 
@@ -187,12 +190,14 @@
         fixture.cells = 1;
         fixture.rules = new Rules(250, 0.25, 10000, 2, 2000, 2, 0.25, 5000, 10000);
         fixture.start(4);
-        for (int q = 1; q <= 6; q++) { // 6 queries of 1 shard: 12 units of work, so 2 + 3 retries
-            fixture.submit(q, 0);
+        for (int query = 1;
+                query <= 6;
+                query++) { // 6 queries for 1 shard are 12 units of work: 2 + 3 retries
+            fixture.submit(query, 0);
         }
         fixture.now += 10;
-        for (int q = 1; q <= 6; q++) {
-            fixture.complete(100L * q, 0, Outcome.RESET, 10);
+        for (int query = 1; query <= 6; query++) {
+            fixture.complete(100L * query, 0, Outcome.RESET, 10);
         }
         fixture.advance(500);
         assertEquals(6 + 5, fixture.sent.size());
@@ -203,7 +208,7 @@
         DecisionFixture fixture = new DecisionFixture();
         fixture.hedging = false;
         fixture.start(3);
-        fixture.learnLatency(40, 0, 1, 2, 3);
+        fixture.establishTypicalLatency(40, 0, 1, 2, 3);
         fixture.submit(1, 0);
         fixture.advance(800);
         assertEquals(1, fixture.sendsOf(1).size());
@@ -213,12 +218,12 @@
     }
 
     @Test
-    void nothingIsCancelledWhereCancellingIsOff() {
+    void nothingIsCancelledIfCancellationIsOff() {
         DecisionFixture fixture = new DecisionFixture();
         fixture.hedging = false;
         fixture.cancel = false;
         fixture.start(3);
-        fixture.learnLatency(40, 0, 1, 2, 3);
+        fixture.establishTypicalLatency(40, 0, 1, 2, 3);
         fixture.submit(1, 0);
         fixture.advance(900);
         assertTrue(fixture.cancelled.isEmpty());
@@ -235,7 +240,7 @@
     }
 
     @Test
-    void eventsAboutUnknownObjectsChangeNothing() {
+    void eventsAboutUnknownObjectsAreIgnored() {
         DecisionFixture fixture = new DecisionFixture();
         fixture.start(2);
         fixture.submit(1, 0);
@@ -247,6 +252,6 @@
         fixture.engine.timer(fixture.now, 12345);
         fixture.engine.timer(fixture.now - 500, 12345);
         assertEquals(before, fixture.transcript.size());
-        assertFalse(fixture.results.stream().anyMatch(e -> e.query() == 1));
+        assertFalse(fixture.results.stream().anyMatch(result -> result.query() == 1));
     }
 }
--- a/src/test/java/reeldeal/decision/ServerRegistryTest.java
+++ b/src/test/java/reeldeal/decision/ServerRegistryTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void drainingServersAreNoReplicas() {
+    void drainingServersAreNotReplicas() {
         change(10, 0, 0, EndpointState.READY);
         change(10, 0, 0, EndpointState.DRAINING);
         assertEquals(List.of(), replicasOf(0));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aCompleteListRemovesTheServersThatItDoesNotName() {
+    void serversMissingFromACompleteListAreNotReady() {
         change(10, 0, 0, EndpointState.READY);
         Server other = DecisionFixture.server(11, 1, 0, EndpointState.READY);
         registry.update(EndpointListKind.COMPLETE, List.of(other));
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aNewProcessHasAStateOfItsOwnAndIsNotTrustedYet() {
+    void aNewProcessGetsNewStateAndIsNotTrustedYet() {
         change(10, 0, 500, EndpointState.READY);
         ServerState before = registry.find(10);
         change(10, 0, 500, EndpointState.READY);
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aRemovedServerIsForgottenAfterAWhile() {
+    void aRemovedServerIsForgottenAfterTheRetentionTime() {
         change(10, 0, 0, EndpointState.READY);
         change(10, 0, 0, EndpointState.REMOVED);
         clock.advance(11_000, false);
--- a/src/test/java/reeldeal/decision/SlowStartTest.java
+++ b/src/test/java/reeldeal/decision/SlowStartTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void theRampEndsAfterTheStatedTime() {
+    void slowStartEndsAfterTheConfiguredTime() {
         assertTrue(slowStart.isWarmingUp(registry.find(1)));
         clock.advance(STARTED_MS + 10_000, false);
         assertFalse(slowStart.isWarmingUp(registry.find(1)));
@@ -65,8 +65,8 @@
         ServerState server = registry.find(1);
         slowStart.allowed(server, 8, false);
         clock.advance(STARTED_MS + 10, false);
-        int alone = slowStart.allowed(server, 8, false);
-        assertEquals(alone + 1, slowStart.allowed(server, 8, true));
+        int inNewCall = slowStart.allowed(server, 8, false);
+        assertEquals(inNewCall + 1, slowStart.allowed(server, 8, true));
     }
 
     @Test
--- a/src/test/java/reeldeal/decision/VirtualFleet.java
+++ b/src/test/java/reeldeal/decision/VirtualFleet.java
@@ -21,9 +21,9 @@
 import reeldeal.decision.DecisionModule.ShardRequest;
 
 /**
- * Many brokers with the real engine in virtual time, against searchers with two cores, a bounded
- * queue and a slow start. Brokers share nothing; what they do together is counted here. Times are
- * milliseconds.
+ * Simulates many brokers with the real engine in virtual time, and searchers with two cores, a
+ * bounded queue and slow start. The brokers share no state; their combined results are counted
+ * here. Times are in milliseconds.
  */
 final class VirtualFleet {
     static final int CELLS = 20;
@@ -38,16 +38,16 @@
     static final double NETWORK_MS = 1;
     static final Rules RULES = new Rules(500, 0.18, 18_000, 2.5, 3_000, 0, 0, 0, 10_000);
 
-    private record ScheduledTask(double at, long order, Runnable run) {}
+    private record ScheduledTask(double atMs, long sequence, Runnable action) {}
 
-    /** One searcher: what it was sent, and what it does with it. */
+    /** A simulated searcher, with the times at which it received shard requests. */
     final class Searcher {
         final long id;
         final int cell;
         final double startedMs;
-        final List<Double> sentAt = new ArrayList<>();
+        final List<Double> sentAtMs = new ArrayList<>();
         private final ArrayDeque<Job> queue = new ArrayDeque<>();
-        private int busy;
+        private int busyCores;
         boolean hung;
 
         Searcher(long id, int cell, double startedMs) {
@@ -56,24 +56,26 @@
             this.startedMs = startedMs;
         }
 
-        /** Its present share of full capacity, by the slowest ramp that the rules allow. */
-        double capacityShare(double at) {
+        /**
+         * Returns the share of full capacity at a time, on the slowest ramp that the rules allow.
+         */
+        double capacityShare(double atMs) {
             return startedMs == 0
                     ? 1
                     : RULES.slowStartCapacity()
                             + (1 - RULES.slowStartCapacity())
                                     * Math.min(
-                                            1, Math.max(0, at - startedMs) / RULES.slowStartMs());
+                                            1, Math.max(0, atMs - startedMs) / RULES.slowStartMs());
         }
 
         private void receive(Job job) {
-            sentAt.add(now);
+            sentAtMs.add(now);
             if (hung) {
                 return;
             }
             if (queue.size() >= QUEUE_LIMIT) {
                 rejectedBySearchers++;
-                after(NETWORK_MS, () -> job.broker.complete(job, Outcome.REJECTED));
+                schedule(NETWORK_MS, () -> job.broker.complete(job, Outcome.REJECTED));
                 return;
             }
             queue.add(job);
@@ -81,31 +83,31 @@
         }
 
         private void startWork() {
-            while (busy < CORES && !queue.isEmpty()) {
+            while (busyCores < CORES && !queue.isEmpty()) {
                 Job job = queue.poll();
-                busy++;
-                double work =
+                busyCores++;
+                double workMs =
                         (CALL_WORK_MS + SHARD_WORK_MS * (0.5 + random.nextDouble()))
                                 / capacityShare(now);
-                after(
-                        work,
+                schedule(
+                        workMs,
                         () -> {
-                            busy--;
-                            after(NETWORK_MS, () -> job.broker.complete(job, Outcome.OK));
+                            busyCores--;
+                            schedule(NETWORK_MS, () -> job.broker.complete(job, Outcome.OK));
                             startWork();
                         });
             }
         }
     }
 
-    private record Job(Broker broker, long shardRequest, int attemptNumber, double sentAt) {}
+    private record Job(Broker broker, long shardRequest, int attemptNumber, double sentAtMs) {}
 
-    /** One broker, and what it answered. */
+    /** A simulated broker, which counts the results of its queries in the fleet. */
     final class Broker implements DecisionModule.Actions {
         final DecisionEngine engine;
         private final Map<Long, Integer> attempts = new HashMap<>();
         private final Map<String, Job> inFlight = new HashMap<>();
-        private final Map<Long, Double> submittedAt = new HashMap<>();
+        private final Map<Long, Double> submittedAtMs = new HashMap<>();
         private boolean killed;
 
         Broker(int index, int brokerCount) {
@@ -142,7 +144,7 @@
             engine.servers(
                     now,
                     EndpointListKind.CACHED,
-                    searchers.stream().map(VirtualFleet::entry).toList());
+                    searchers.stream().map(VirtualFleet::listEntry).toList());
         }
 
         private void complete(Job job, Outcome outcome) {
@@ -152,7 +154,7 @@
                         job.shardRequest,
                         job.attemptNumber,
                         outcome,
-                        now - job.sentAt,
+                        now - job.sentAtMs,
                         new double[0]);
             }
         }
@@ -163,13 +165,15 @@
                 return;
             }
             long id = ++queries;
-            submittedAt.put(id, now);
-            List<ShardRequest> all = new ArrayList<>();
-            int from = random.nextInt(CELLS * 3);
+            submittedAtMs.put(id, now);
+            List<ShardRequest> shardRequests = new ArrayList<>();
+            int firstShard = random.nextInt(CELLS * 3);
             for (int i = 0; i < shards; i++) {
-                all.add(new ShardRequest(id * 100 + i, (from + i) % (CELLS * 3), 1.0 / shards, 0));
+                shardRequests.add(
+                        new ShardRequest(
+                                id * 100 + i, (firstShard + i) % (CELLS * 3), 1.0 / shards, 0));
             }
-            engine.query(now, new Query(id, 0, 0, 0, now + DEADLINE_MS, false), all);
+            engine.query(now, new Query(id, 0, 0, 0, now + DEADLINE_MS, false), shardRequests);
         }
 
         @Override
@@ -183,19 +187,19 @@
                             .filter(searcher -> searcher.id == server)
                             .findFirst()
                             .orElse(null);
-            after(
+            schedule(
                     NETWORK_MS,
                     () -> {
                         if (target != null) {
                             target.receive(job);
                         }
                     });
-            after(timeoutMs, () -> complete(job, Outcome.TIMEOUT));
+            schedule(timeoutMs, () -> complete(job, Outcome.TIMEOUT));
         }
 
         @Override
         public void cancel(long shardRequest, int attemptNumber) {
-            after(
+            schedule(
                     0,
                     () -> {
                         Job job = inFlight.get(shardRequest + "/" + attemptNumber);
@@ -207,7 +211,7 @@
 
         @Override
         public void answer(long query, boolean complete) {
-            if (now <= submittedAt.get(query) + OBJECTIVE_MS) {
+            if (now <= submittedAtMs.get(query) + OBJECTIVE_MS) {
                 inTime++;
             } else {
                 late++;
@@ -226,7 +230,7 @@
 
         @Override
         public void scheduleTimer(double delayMs, int token) {
-            after(
+            schedule(
                     Math.max(TICK_MS, delayMs),
                     () -> {
                         if (!killed) {
@@ -255,12 +259,12 @@
     private final PriorityQueue<ScheduledTask> tasks =
             new PriorityQueue<>(
                     (one, other) ->
-                            one.at != other.at
-                                    ? Double.compare(one.at, other.at)
-                                    : Long.compare(one.order, other.order));
+                            one.atMs != other.atMs
+                                    ? Double.compare(one.atMs, other.atMs)
+                                    : Long.compare(one.sequence, other.sequence));
     private final int maxInFlight;
     double now;
-    double zoneSkew = 1; // how many times the load of others the first zone's brokers get
+    double zoneSkew = 1; // load of the first zone's brokers relative to the others
     long queries;
     long sent;
     long inTime;
@@ -270,9 +274,11 @@
     long probes;
     long subscriptions;
     long lost;
-    private long order;
+    private long nextSequence;
 
-    /** Brokers over warm searchers; each may hold {@code maxInFlight} units of work. */
+    /**
+     * Creates brokers and warm searchers; each broker may hold {@code maxInFlight} units of work.
+     */
     VirtualFleet(long seed, int brokerCount, int maxInFlight) {
         this(seed, brokerCount, maxInFlight, SERVERS_PER_CELL);
     }
@@ -289,7 +295,7 @@
         }
     }
 
-    private static Server entry(Searcher searcher) {
+    private static Server listEntry(Searcher searcher) {
         return new Server(
                 searcher.id,
                 (int) (searcher.id % 3),
@@ -300,27 +306,27 @@
                 EndpointState.READY);
     }
 
-    void after(double delayMs, Runnable run) {
-        tasks.add(new ScheduledTask(now + delayMs, order++, run));
+    void schedule(double delayMs, Runnable action) {
+        tasks.add(new ScheduledTask(now + delayMs, nextSequence++, action));
     }
 
     /**
-     * Submits queries for so long, shared by the brokers; one broker in eight gets four times as
-     * many as the others.
+     * Schedules queries for a duration at a total rate; one broker in eight gets four times as many
+     * as the others.
      */
-    void load(double perSecond, double durationMs) {
-        double weights = 0;
+    void submitQueries(double perSecond, double durationMs) {
+        double totalWeight = 0;
         for (int i = 0; i < brokers.size(); i++) {
-            weights += weight(i);
+            totalWeight += weight(i);
         }
         for (int i = 0; i < brokers.size(); i++) {
             int index = i;
-            double meanIntervalMs = 1000 / (perSecond * weight(i) / weights);
-            for (double at = meanIntervalMs * random.nextDouble();
-                    at < durationMs;
-                    at -= meanIntervalMs * Math.log(1 - random.nextDouble())) {
+            double meanIntervalMs = 1000 / (perSecond * weight(i) / totalWeight);
+            for (double delayMs = meanIntervalMs * random.nextDouble();
+                    delayMs < durationMs;
+                    delayMs -= meanIntervalMs * Math.log(1 - random.nextDouble())) {
                 int shards = 1 + random.nextInt(9);
-                after(at, () -> brokers.get(index).submit(shards));
+                schedule(delayMs, () -> brokers.get(index).submit(shards));
             }
         }
     }
@@ -329,7 +335,7 @@
         return (broker % 8 == 0 ? 4 : 1) * (broker % 3 == 0 ? zoneSkew : 1);
     }
 
-    /** Replaces this searcher by one that starts now; every broker is notified. */
+    /** Replaces a searcher by one that starts now, and notifies every broker. */
     Searcher replace(int index) {
         Searcher old = searchers.get(index);
         Searcher replacement = new Searcher(old.id + 1000, old.cell, now);
@@ -347,76 +353,79 @@
                                     1,
                                     0,
                                     EndpointState.REMOVED),
-                            entry(replacement)));
+                            listEntry(replacement)));
         }
         return replacement;
     }
 
-    /** A broker that is killed and starts again with nothing but the list. */
+    /** Kills a broker and starts it again with no state but the endpoint list. */
     void restart(int index) {
         Broker old = brokers.set(index, new Broker(index, brokers.size()));
         old.inFlight.clear();
         old.killed = true;
     }
 
-    /** A broker that is killed. */
+    /** Kills a broker. */
     void kill(int index) {
         brokers.get(index).inFlight.clear();
         brokers.get(index).killed = true;
     }
 
     void run(double durationMs) {
-        double until = now + durationMs;
-        while (!tasks.isEmpty() && tasks.peek().at <= until) {
+        double untilMs = now + durationMs;
+        while (!tasks.isEmpty() && tasks.peek().atMs <= untilMs) {
             ScheduledTask next = tasks.poll();
-            now = next.at;
-            next.run.run();
+            now = next.atMs;
+            next.action.run();
         }
-        now = until;
+        now = untilMs;
     }
 
     /**
-     * The most that a searcher was sent in any window of the rules' length, as a multiple of what
-     * it can do then.
+     * Returns the largest amount of work that a searcher was sent in any overload window, as a
+     * multiple of its capacity in that window.
      */
     double worstOverload(Searcher searcher) {
         double worst = 0;
-        for (int i = 0, j = 0; j < searcher.sentAt.size(); j++) {
-            while (searcher.sentAt.get(j) - searcher.sentAt.get(i) > RULES.overloadWindowMs()) {
-                i++;
+        for (int first = 0, last = 0; last < searcher.sentAtMs.size(); last++) {
+            while (searcher.sentAtMs.get(last) - searcher.sentAtMs.get(first)
+                    > RULES.overloadWindowMs()) {
+                first++;
             }
-            // What counts is a shard request's own work beside its call's; capacity is taken at the
-            // begin of the window.
+            // Counts a shard request's own work and that of its call; the capacity is that at the
+            // start of the window.
             double capacity =
-                    searcher.capacityShare(searcher.sentAt.get(i))
+                    searcher.capacityShare(searcher.sentAtMs.get(first))
                             * CORES
                             * RULES.overloadWindowMs()
                             / (CALL_WORK_MS + SHARD_WORK_MS);
-            worst = Math.max(worst, (j - i + 1) / capacity);
+            worst = Math.max(worst, (last - first + 1) / capacity);
         }
         return worst;
     }
 
     /**
-     * By how many requests of mean work a searcher was sent more, in any window of the rules'
-     * length, than the budget N and the 2 x sqrt(N) + 2 that are attributed to chance; negative
-     * where never. N is this share of what the settings allow it then.
+     * Returns the largest excess, in shard requests of mean work, of what a searcher was sent in
+     * any overload window over N + 2 x sqrt(N) + 2; negative if there was none. N is the given
+     * share of the work that the rules allow in that window; 2 x sqrt(N) + 2 is attributed to
+     * chance.
      */
     double excessOverBudget(Searcher searcher, double budgetShare) {
-        double most = Double.NEGATIVE_INFINITY;
-        for (int i = 0, j = 0; j < searcher.sentAt.size(); j++) {
-            while (searcher.sentAt.get(j) - searcher.sentAt.get(i) > RULES.overloadWindowMs()) {
-                i++;
+        double worst = Double.NEGATIVE_INFINITY;
+        for (int first = 0, last = 0; last < searcher.sentAtMs.size(); last++) {
+            while (searcher.sentAtMs.get(last) - searcher.sentAtMs.get(first)
+                    > RULES.overloadWindowMs()) {
+                first++;
             }
             double budget =
                     budgetShare
                             * RULES.overloadFactor()
-                            * searcher.capacityShare(searcher.sentAt.get(i))
+                            * searcher.capacityShare(searcher.sentAtMs.get(first))
                             * CORES
                             * RULES.overloadWindowMs()
                             / (CALL_WORK_MS + SHARD_WORK_MS);
-            most = Math.max(most, j - i + 1 - (budget + 2 * Math.sqrt(budget) + 2));
+            worst = Math.max(worst, last - first + 1 - (budget + 2 * Math.sqrt(budget) + 2));
         }
-        return most;
+        return worst;
     }
 }
--- a/src/test/java/reeldeal/decision/VirtualFleetTest.java
+++ b/src/test/java/reeldeal/decision/VirtualFleetTest.java
@@ -7,19 +7,22 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a hundred brokers do together, each for itself, to sixty searchers. */
+/** Tests the combined effect of a hundred independent brokers on sixty searchers. */
 class VirtualFleetTest {
     private static final int BROKERS = 100;
     private static final int MAX_IN_FLIGHT = 85;
 
-    /** Share of the rules' budget that may be used: a part of it stays unused beside chance. */
+    /**
+     * Share of the rules' budget that the brokers may use together, apart from the excess that is
+     * attributed to chance: some of the budget must stay unused.
+     */
     private static final double BUDGET_SHARE = 0.75;
 
     @Test
     void queriesOfUnevenlyLoadedBrokersAreServedInTimeWithoutProbesOrPolls() {
         VirtualFleet fleet = new VirtualFleet(4, BROKERS, MAX_IN_FLIGHT);
         fleet.zoneSkew = 4;
-        fleet.load(575, 6000);
+        fleet.submitQueries(575, 6000);
         fleet.run(8000);
         assertTrue(fleet.queries > 3000);
         assertEquals(fleet.queries, fleet.inTime + fleet.late + fleet.rejected);
@@ -38,21 +41,21 @@
     }
 
     /**
-     * What thirty brokers send adds up as well, with the fractions at which their buckets begin;
-     * the excess by chance is bounded.
+     * The work that thirty brokers send must not exceed the budget in total either, although their
+     * token buckets start with different fractions; the excess by chance is bounded.
      */
     @Test
     void thirtyBrokersTogetherKeepTheSlowStartBudget() {
         for (long seed = 1; seed <= 2; seed++) {
-            for (boolean restart : new boolean[] {false, true}) {
+            for (boolean restartBrokers : new boolean[] {false, true}) {
                 VirtualFleet fleet = new VirtualFleet(seed, 30, MAX_IN_FLIGHT * BROKERS / 30);
-                fleet.load(900, 9000);
+                fleet.submitQueries(900, 9000);
                 fleet.run(2000);
                 List<VirtualFleet.Searcher> starting = new ArrayList<>();
                 for (int i = 0; i < VirtualFleet.CELLS * VirtualFleet.SERVERS_PER_CELL; i++) {
-                    starting.add(fleet.replace(i)); // all replicas: none is warm
+                    starting.add(fleet.replace(i)); // all replicas, so none is warm
                 }
-                for (int i = 0; restart && i < 21; i++) {
+                for (int i = 0; restartBrokers && i < 21; i++) {
                     fleet.restart(i);
                 }
                 fleet.run(10_000);
@@ -63,25 +66,25 @@
                             "seed "
                                     + seed
                                     + " restart "
-                                    + restart
+                                    + restartBrokers
                                     + ": "
                                     + searcher.id
-                                    + " by "
+                                    + " exceeds the budget by "
                                     + excess);
                 }
             }
         }
     }
 
-    private static void checkSlowStart(long seed, boolean restart) {
+    private static void checkSlowStart(long seed, boolean restartBrokers) {
         VirtualFleet fleet = new VirtualFleet(seed, BROKERS, MAX_IN_FLIGHT);
-        fleet.load(400, 9000);
+        fleet.submitQueries(400, 9000);
         fleet.run(2000);
         List<VirtualFleet.Searcher> starting = new ArrayList<>();
         for (int i = 0; i < VirtualFleet.CELLS * VirtualFleet.SERVERS_PER_CELL / 2; i++) {
             starting.add(fleet.replace(i));
         }
-        for (int i = 0; restart && i < 7 * BROKERS / 10; i++) {
+        for (int i = 0; restartBrokers && i < 7 * BROKERS / 10; i++) {
             fleet.restart(i);
         }
         fleet.run(10_000);
@@ -94,30 +97,32 @@
     }
 
     /**
-     * Two of three replicas hang in five cells of twenty: each broker sends them one shard request
-     * in seconds.
+     * Two of three replicas hang in five of twenty cells. Each broker sends to each of them only
+     * once in several seconds.
      */
     @Test
-    void hungSearchersAreDetectedByBrokersThatMeetThemSeldom() {
+    void hungSearchersAreDetectedByBrokersThatRarelySendToThem() {
         VirtualFleet fleet = new VirtualFleet(3, BROKERS, MAX_IN_FLIGHT);
         for (int cell = 0; cell < 5; cell++) {
             fleet.searchers.get(cell * 4).hung = true;
             fleet.searchers.get(cell * 4 + VirtualFleet.CELLS).hung = true;
         }
-        fleet.load(450, 8000);
+        fleet.submitQueries(450, 8000);
         fleet.run(2000);
-        long early = sentToHung(fleet);
+        long sentEarly = sentToHung(fleet);
         fleet.run(6000);
-        long later = sentToHung(fleet) - early;
+        long sentLater = sentToHung(fleet) - sentEarly;
         fleet.run(2000);
-        assertTrue(later < 0.7 * 3 * early, later + " in 6 s after " + early + " in the first 2 s");
+        assertTrue(
+                sentLater < 0.7 * 3 * sentEarly,
+                sentLater + " in 6 s after " + sentEarly + " in the first 2 s");
         assertTrue(fleet.inTime >= 0.45 * fleet.queries, fleet.inTime + " of " + fleet.queries);
     }
 
     private static long sentToHung(VirtualFleet fleet) {
         return fleet.searchers.stream()
                 .filter(searcher -> searcher.hung)
-                .mapToLong(searcher -> searcher.sentAt.size())
+                .mapToLong(searcher -> searcher.sentAtMs.size())
                 .sum();
     }
 }
