--- a/src/main/java/reeldeal/decision/AdmissionController.java
+++ b/src/main/java/reeldeal/decision/AdmissionController.java
@@ -87,7 +87,7 @@
     /**
      * Returns a factor, at most 1, that shortens the maximum wait as the broker fills up. Queries
      * that finish quickly or may be answered partially are still admitted; a completely full broker
-     * would have to reject every query whatever it costs.
+     * would have to reject every query, even a cheap one.
      */
     private double freeCapacityFactor(QueryState query) {
         if (query.mayBePartial()) {
--- a/src/main/java/reeldeal/decision/DecisionModule.java
+++ b/src/main/java/reeldeal/decision/DecisionModule.java
@@ -44,7 +44,7 @@
         RESET,
         /** Cancelled by {@link Actions#cancel}. */
         CANCELLED,
-        /** Not sent by the broker itself: no evidence about the server. */
+        /** The broker did not send the attempt, so this is no evidence about the server. */
         NEVER_SENT;
 
         /** Returns whether this outcome proves that the shard request did not run. */
@@ -136,11 +136,11 @@
     /**
      * The limits on the actions of this broker.
      *
-     * @param maxAttempts most attempts for each shard request, 1 or more
+     * @param maxAttempts maximum number of attempts for each shard request, 1 or more
      * @param hedging whether a shard request may have several attempts in flight
      * @param cancel whether attempts may be cancelled
      * @param probe whether servers may be probed
-     * @param maxInFlight most queries and shard requests that the broker may hold, 1 or more
+     * @param maxInFlight maximum number of queries and shard requests in flight, 1 or more
      * @param maxRetryAfterMs longest delay that a rejected client may be given
      */
     record Limits(
@@ -181,7 +181,7 @@
      *
      * @param cells number of cells, 1 or more
      * @param replicas number of cells that hold each shard, at most {@code cells}
-     * @param maxShardsPerCall most shard requests in one call, 1 or more
+     * @param maxShardsPerCall maximum number of shard requests in one call, 1 or more
      * @param callWorkMs work that a call takes in addition to its shard requests
      */
     record Layout(int cells, int replicas, int maxShardsPerCall, double callWorkMs) {}
@@ -268,8 +268,8 @@
                     "rules.retryWindowMs");
         }
 
-        private static void require(boolean holds, String key) {
-            if (!holds) {
+        private static void require(boolean inRange, String key) {
+            if (!inRange) {
                 throw new SettingOutOfRangeException(key);
             }
         }
--- a/src/main/java/reeldeal/decision/HedgingPolicy.java
+++ b/src/main/java/reeldeal/decision/HedgingPolicy.java
@@ -61,10 +61,10 @@
     }
 
     /**
-     * Returns whether an attempt is overdue: either its server is an outlier, or the attempt is in
-     * the tail of its query, that is, much later than most of the query's other shard requests. The
-     * second rule applies where a broker sends to each server too rarely to detect outliers, and it
-     * has no effect where all replicas are equally slow.
+     * Returns whether an attempt is overdue: either its server is an outlier and there is a better
+     * replica, or the attempt is in the tail of its query, that is, much later than most of the
+     * query's other shard requests. The second rule works even if the broker sends to each server
+     * too rarely to detect outliers, and has no effect where all replicas are equally slow.
      */
     private boolean isOverdue(Attempt attempt) {
         double waitedMs = clock.now() - attempt.sentAtMs;
--- a/src/main/java/reeldeal/decision/LatencyEstimator.java
+++ b/src/main/java/reeldeal/decision/LatencyEstimator.java
@@ -10,7 +10,7 @@
     /** Upper bound of one answer's latency, as a multiple of the typical latency. */
     private static final double MAX_SAMPLE_FACTOR = 4;
 
-    /** Share of the latency objective that is assumed before the first answer. */
+    /** Typical latency before the first answer, as a share of the latency objective. */
     private static final double INITIAL_SHARE = 0.2;
 
     private final double initialMs;
--- a/src/main/java/reeldeal/decision/QueryCompletion.java
+++ b/src/main/java/reeldeal/decision/QueryCompletion.java
@@ -6,7 +6,7 @@
 
 /** Decides when a query ends and with which final answer; a query gets at most one. */
 final class QueryCompletion {
-    /** Share of the broker's capacity in use above which it does not wait for late answers. */
+    /** Share of {@code maxInFlight} in use above which the broker waits for no late answers. */
     private static final double LATE_ANSWER_MAX_FILL = 0.4;
 
     private final EventClock clock;
@@ -42,14 +42,14 @@
         return now >= query.endAtMs
                 || (now >= query.objectiveAtMs && (query.minimumAnswered() || fillingUp))
                 || (now >= query.unsentEndAtMs && query.idleAndProvenNotRun())
-                || isMinimumUnreachable(query);
+                || isWaitingUseless(query);
     }
 
     /**
-     * Returns whether the minimum share cannot be reached with the answers that may still come.
-     * Such a query would take capacity from others, and its client may still retry in time.
+     * Returns whether no further answer can come, or those that can come do not reach the minimum
+     * share. Such a query would take capacity from others, and its client may still retry in time.
      */
-    private boolean isMinimumUnreachable(QueryState query) {
+    private boolean isWaitingUseless(QueryState query) {
         double possibleWeight = 0;
         for (ShardRequestState shardRequest : query.phaseRequests) {
             boolean possible =
--- a/src/main/java/reeldeal/decision/QueryState.java
+++ b/src/main/java/reeldeal/decision/QueryState.java
@@ -114,7 +114,7 @@
         return false;
     }
 
-    /** Returns the next time limit: of the objective, the wait or an unsent query. */
+    /** Returns the earliest time limit that is still ahead, or {@code endAtMs} if none is. */
     double nextLimitMs(double nowMs) {
         return Math.min(
                 objectiveAtMs > nowMs ? objectiveAtMs : endAtMs,
--- a/src/main/java/reeldeal/decision/RecoveryAdmission.java
+++ b/src/main/java/reeldeal/decision/RecoveryAdmission.java
@@ -55,8 +55,8 @@
     }
 
     /** Sets the scale from the configured number of brokers and the number that serve now. */
-    public void brokerScale(int statedBrokers, int presentBrokers) {
-        double scale = (double) statedBrokers / Math.max(1, presentBrokers);
+    public void brokerScale(int configuredBrokers, int servingBrokers) {
+        double scale = (double) configuredBrokers / Math.max(1, servingBrokers);
         brokerScale = Math.max(MIN_BROKER_SCALE, Math.min(MAX_BROKER_SCALE, scale));
     }
 
--- a/src/main/java/reeldeal/decision/ReplicaSelector.java
+++ b/src/main/java/reeldeal/decision/ReplicaSelector.java
@@ -92,8 +92,8 @@
     }
 
     /**
-     * Returns the server that can take the most shard requests, with these; null if no server can
-     * take any.
+     * Returns the server that can take the most shard requests, together with those; null if no
+     * server can take any.
      */
     private Assignment nextAssignment(List<ShardRequestState> unsent, long key) {
         ServerState best = null;
--- a/src/main/java/reeldeal/decision/ServerHealth.java
+++ b/src/main/java/reeldeal/decision/ServerHealth.java
@@ -13,7 +13,7 @@
      */
     boolean trusted;
 
-    /** Whether an attempt failed and the server has answered nothing since that was sent. */
+    /** Whether an attempt failed and no answer has come since that attempt was sent. */
     boolean unresponsive;
 
     /** Whether it is unresponsive, or overdue with its next answer while work is in flight. */
--- a/src/main/java/reeldeal/decision/ServerRegistry.java
+++ b/src/main/java/reeldeal/decision/ServerRegistry.java
@@ -41,8 +41,7 @@
         for (Server entry : entries) {
             ServerState server = servers.get(entry.id());
             if (server == null || server.listEntry.startedMs() != entry.startedMs()) {
-                // A new process has none of the old one's work in flight, and its health is
-                // unknown.
+                // A new process has none of the old one's work, and its health is unknown.
                 server = new ServerState(entry.id(), server == null);
                 servers.put(entry.id(), server);
             }
--- a/src/main/java/reeldeal/decision/ServerStatsSnapshot.java
+++ b/src/main/java/reeldeal/decision/ServerStatsSnapshot.java
@@ -17,7 +17,8 @@
      * The observations of one server.
      *
      * @param ejected whether it is ejected because of failures
-     * @param unresponsive whether an attempt failed and no answer has come since it was sent
+     * @param unresponsive whether an attempt failed and no answer has come since that attempt was
+     *     sent
      * @param relativeLatency its smoothed latency divided by the typical one; 1 is normal
      */
     public record ServerStats(boolean ejected, boolean unresponsive, double relativeLatency) {}
--- a/src/test/java/reeldeal/decision/LoadSheddingTest.java
+++ b/src/test/java/reeldeal/decision/LoadSheddingTest.java
@@ -121,9 +121,8 @@
         for (int query = 1; query <= 60; query++) {
             fixture.submit(query, 0);
         }
-        // At an assumed answer every 50 ms, each of three servers gets what it can answer in 0.65
-        // of
-        // the remaining time.
+        // At an assumed answer every 50 ms, each of three servers gets what it can answer within
+        // 0.65 of the remaining time.
         assertEquals(
                 39, fixture.sent.stream().filter(send -> send.shardRequest() < 100_000).count());
         assertEquals("", fixture.resultOf(1));
@@ -155,8 +154,8 @@
         for (int query = 1; query <= 13; query++) {
             fixture.submit(query, 0);
         }
-        // The warm replica is full; the one in slow start has no tokens yet but will have some
-        // soon.
+        // The warm replica is full; the one in slow start has no tokens yet but will soon have
+        // some.
         fixture.changeServers(
                 DecisionFixture.server(1, 0, fixture.now - 5000, EndpointState.READY));
         fixture.submit(14, 0);
--- a/src/test/java/reeldeal/decision/OutlierHandlingTest.java
+++ b/src/test/java/reeldeal/decision/OutlierHandlingTest.java
@@ -122,8 +122,8 @@
         fixture.logLines.clear();
         fixture.submit(1, 0, 1, 2, 3);
         fixture.advance(40);
-        fixture.now +=
-                800; // no tick in this time; then all events of that time are handled, timers first
+        // No tick in this time; then all events of that time are handled, timers first.
+        fixture.now += 800;
         fixture.advance(0);
         assertEquals(4, fixture.sendsOf(1).size());
         for (DecisionFixture.Sent send : fixture.sendsOf(1)) {
--- a/src/test/java/reeldeal/decision/RecoveryAdmissionTest.java
+++ b/src/test/java/reeldeal/decision/RecoveryAdmissionTest.java
@@ -90,7 +90,7 @@
             int broker,
             double outageAtMs,
             boolean stepwise,
-            int presentBrokers) {
+            int servingBrokers) {
         int step =
                 (int)
                         Math.max(
@@ -103,7 +103,7 @@
                 .engine
                 .admission()
                 .setQuota(stepwise ? QUOTA_STEPS[step] : 1, 500);
-        fleet.brokers.get(broker).engine.admission().brokerScale(BROKERS, presentBrokers);
+        fleet.brokers.get(broker).engine.admission().brokerScale(BROKERS, servingBrokers);
     }
 
     @Test
@@ -134,13 +134,9 @@
         double lowest = 1e9;
         double highest = 0;
         for (int i = 0; i < 8_000; i++) {
-            int classIndex =
-                    i % 8 == 0
-                            ? 0
-                            : i % 8 < 6
-                                    ? 1
-                                    : 2; // classes 0, 1 and 2 get an eighth, five eighths and a
-            // quarter of the queries
+            // An eighth of the queries is of class 0, five eighths of class 1, a quarter of class
+            // 2.
+            int classIndex = i % 8 == 0 ? 0 : i % 8 < 6 ? 1 : 2;
             if (i >= 4_000) {
                 admitted[classIndex] += admission.admits(classIndex) ? 1 : 0;
             } else {
--- a/src/test/java/reeldeal/decision/ReplicaSelectorTest.java
+++ b/src/test/java/reeldeal/decision/ReplicaSelectorTest.java
@@ -55,9 +55,8 @@
         DecisionFixture fixture = new DecisionFixture();
         fixture.replicas = 2;
         fixture.start(1);
-        for (int i = 0;
-                i < 2;
-                i++) { // two calls in flight at server 10, which alone holds both shards
+        // Two calls are in flight at server 10, the only server that holds both shards.
+        for (int i = 0; i < 2; i++) {
             fixture.submit(10 + i, 0, 1);
             fixture.now += 10;
         }
--- a/src/test/java/reeldeal/decision/RetryBudgetTest.java
+++ b/src/test/java/reeldeal/decision/RetryBudgetTest.java
@@ -40,10 +40,8 @@
         budget.recordWork(12);
         budget.recordRetry();
         clock.advance(6000, false);
-        assertEquals(
-                1,
-                budget.remaining(
-                        1)); // work expires at the end of the window, a retry just after it
+        // Work expires at the end of the window, a retry just after it.
+        assertEquals(1, budget.remaining(1));
         clock.advance(6001, false);
         assertEquals(2, budget.remaining(1));
     }
--- a/src/test/java/reeldeal/decision/RetryRulesTest.java
+++ b/src/test/java/reeldeal/decision/RetryRulesTest.java
@@ -140,9 +140,8 @@
             fixture.start(2);
             fixture.submit(1, 0);
             long first = fixture.sendsOf(1).get(0).server();
-            fixture.changeServers(
-                    DecisionFixture.server(
-                            first, 0, 0, state)); // the server still has an attempt in flight
+            // The server still has an attempt in flight.
+            fixture.changeServers(DecisionFixture.server(first, 0, 0, state));
             fixture.submit(2, 0);
             fixture.submit(3, 0);
             assertTrue(fixture.sendsOf(2).stream().noneMatch(send -> send.server() == first));
@@ -190,9 +189,8 @@
         fixture.cells = 1;
         fixture.rules = new Rules(250, 0.25, 10000, 2, 2000, 2, 0.25, 5000, 10000);
         fixture.start(4);
-        for (int query = 1;
-                query <= 6;
-                query++) { // 6 queries for 1 shard are 12 units of work: 2 + 3 retries
+        // 6 queries for 1 shard are 12 units of work, which allow 2 + 3 retries.
+        for (int query = 1; query <= 6; query++) {
             fixture.submit(query, 0);
         }
         fixture.now += 10;
--- a/src/test/java/reeldeal/decision/SlowStartBudgetTest.java
+++ b/src/test/java/reeldeal/decision/SlowStartBudgetTest.java
@@ -13,7 +13,7 @@
     @Test
     void aQueryIsRejectedIfOnlyAServerWithoutTokensRemains() {
         DecisionFixture fixture = new DecisionFixture();
-        fixture.maxInFlight = Integer.MAX_VALUE; // states no share of the load
+        fixture.maxInFlight = Integer.MAX_VALUE; // implies no share of the load
         fixture.hedging = false;
         fixture.start(1);
         fixture.establishTypicalLatency(40, 0, 1, 2, 3);
@@ -89,7 +89,7 @@
     @Test
     void theOnlyReplicaInSlowStartGetsNoMoreThanItsBudget() {
         DecisionFixture fixture = new DecisionFixture();
-        fixture.maxInFlight = Integer.MAX_VALUE; // states no share of the load
+        fixture.maxInFlight = Integer.MAX_VALUE; // implies no share of the load
         fixture.start(1);
         fixture.changeServers(DecisionFixture.server(0, 0, fixture.now, EndpointState.READY));
         for (int i = 0; i < 20; i++) {
@@ -106,7 +106,7 @@
             DecisionFixture fixture = new DecisionFixture();
             fixture.seed = 1000L + broker;
             fixture.brokers = 60;
-            fixture.maxInFlight = Integer.MAX_VALUE; // states no share of the load
+            fixture.maxInFlight = Integer.MAX_VALUE; // implies no share of the load
             fixture.start(3);
             fixture.establishTypicalLatency(4, 0, 1, 2, 3);
             fixture.advance(2000);
