--- a/src/test/java/reeldeal/decision/RetryBudgetTest.java
+++ b/src/test/java/reeldeal/decision/RetryBudgetTest.java
@@ -35,19 +35,19 @@
     }
 
     @Test
-    void workAndRetriesLeaveTheWindow() {
+    void workAndRetriesExpireWithTheWindow() {
         RetryBudget budget = budget(2, 0.25, 5000);
         budget.recordWork(12);
         budget.recordRetry();
         clock.advance(6000, false);
-        assertEquals(
-                1, budget.remaining(1)); // work leaves at the end of the window, a retry after it
+        // Work expires at the end of the window, a retry just after it.
+        assertEquals(1, budget.remaining(1));
         clock.advance(6001, false);
         assertEquals(2, budget.remaining(1));
     }
 
     @Test
-    void withoutAStatedWindowACallsShardRequestsAreFree() {
+    void withoutAConfiguredWindowAsManyRetriesAsShardRequestsInACallAreFree() {
         assertEquals(8, budget(1, 0, 0).remaining(1));
     }
 
@@ -55,10 +55,10 @@
     void exhaustionAndRestorationAreLoggedOnce() {
         RetryBudget budget = budget(1, 0, 5000);
         clock.advance(2000, false);
-        budget.report(0);
-        budget.report(-1);
+        budget.logChange(0);
+        budget.logChange(-1);
         clock.advance(3000, false);
-        budget.report(1);
-        assertEquals(List.of("retry budget spent", "retry budget restored"), actions.logLines);
+        budget.logChange(1);
+        assertEquals(List.of("retry budget exhausted", "retry budget restored"), actions.logLines);
     }
 }
