--- a/src/main/java/reeldeal/core/PendingRequest.java
+++ b/src/main/java/reeldeal/core/PendingRequest.java
@@ -12,7 +12,7 @@
                     .thenComparingInt(shardRequest -> shardRequest.shard);
 
     final Request request;
-    final List<PendingShardRequest> phase = new ArrayList<>();
+    final List<PendingShardRequest> currentPhase = new ArrayList<>();
 
     /** Set at the end of the query phase, where a fetch phase follows. */
     Effect.QueryPhaseResult queryPhase;
@@ -20,7 +20,7 @@
     boolean fetchPhaseBegun;
 
     /** Shard requests of both phases. */
-    int shardRequests;
+    int shardRequestCount;
 
     PendingRequest(Request request) {
         this.request = request;
@@ -28,7 +28,7 @@
 
     /** The shard requests of the current phase that are answered. */
     List<PendingShardRequest> answered() {
-        return phase.stream().filter(shardRequest -> shardRequest.answer != null).toList();
+        return currentPhase.stream().filter(shardRequest -> shardRequest.answer != null).toList();
     }
 
     /** The best answers of the current phase, the highest score first, at most so many. */
@@ -39,7 +39,7 @@
     }
 
     /** The key of the client's shard request for a shard; 0 where there is none. */
-    long keyOf(int shard) {
+    long keyOfShard(int shard) {
         return request.shards().stream()
                 .filter(shardRequest -> shardRequest.shard() == shard)
                 .mapToLong(Request.ShardRequest::key)
--- a/src/main/java/reeldeal/core/PendingShardRequest.java
+++ b/src/main/java/reeldeal/core/PendingShardRequest.java
@@ -6,7 +6,7 @@
 /** A shard request with attempts that may have no end yet. */
 final class PendingShardRequest {
     final long id;
-    final PendingRequest request;
+    final PendingRequest parent;
     final int shard;
 
     /** By number. */
@@ -21,9 +21,9 @@
     /** Attempts without an end. */
     int inFlight;
 
-    PendingShardRequest(long id, PendingRequest request, int shard) {
+    PendingShardRequest(long id, PendingRequest parent, int shard) {
         this.id = id;
-        this.request = request;
+        this.parent = parent;
         this.shard = shard;
     }
 
@@ -52,7 +52,7 @@
 
     /** The earliest time at which it may have run, at any broker; infinite if it cannot have. */
     double mayHaveRunSinceMs() {
-        double earliestMs = request.request.firstSentAtMs();
+        double earliestMs = parent.request.firstSentAtMs();
         for (AttemptState attempt : attempts) {
             if (!attempt.neverRan) {
                 earliestMs = Math.min(earliestMs, attempt.startedAtMs);
--- a/src/main/java/reeldeal/core/Reducer.java
+++ b/src/main/java/reeldeal/core/Reducer.java
@@ -34,7 +34,7 @@
     private final OutgoingCalls outgoing;
 
     /** Ends of attempts that were kept back; the engine gets them when it is done acting. */
-    private final List<Event.AttemptEnded> fenced = new ArrayList<>();
+    private final List<Event.AttemptEnded> unsentEnds = new ArrayList<>();
 
     private List<Effect> effects = new ArrayList<>();
     private double now;
@@ -65,12 +65,12 @@
     public List<Effect> tick(double time, List<Event> events) {
         now = Math.max(now, time);
         for (Event event : events) {
-            handleGuarded(event);
+            handleIsolated(event);
         }
-        while (!fenced.isEmpty()) {
-            List<Event> ended = List.copyOf(fenced);
-            fenced.clear();
-            ended.forEach(this::handleGuarded);
+        while (!unsentEnds.isEmpty()) {
+            List<Event> ended = List.copyOf(unsentEnds);
+            unsentEnds.clear();
+            ended.forEach(this::handleIsolated);
         }
         // Calls come last: a searcher hears what is abandoned before it gets anything new.
         outgoing.drainTo(effects, searchers);
@@ -95,28 +95,28 @@
     }
 
     /** Searchers, and names of requests, that are remembered. */
-    int remembered() {
+    int retainedEntries() {
         return searchers.size() + names.size();
     }
 
     // ---- events ----
 
     /** A fault on one event must not take the others with it: each request has its deadline. */
-    private void handleGuarded(Event event) {
+    private void handleIsolated(Event event) {
         try {
             handle(event);
         } catch (RuntimeException e) {
-            Object where = e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "?";
+            Object location = e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "?";
             String name = event.getClass().getSimpleName();
-            log("fault on " + name + ": " + e + " at " + where);
+            log("fault on " + name + ": " + e + " at " + location);
         }
     }
 
     private void handle(Event event) {
         if (event instanceof Event.Arrived arrived) {
             onArrived(arrived.request());
-        } else if (event instanceof Event.ClientDisconnected gone) {
-            onClientGone(gone.requestId());
+        } else if (event instanceof Event.ClientDisconnected disconnected) {
+            onClientDisconnected(disconnected.requestId());
         } else if (event instanceof Event.AttemptEnded ended) {
             onAttemptEnded(ended);
         } else if (event instanceof Event.AttemptOverdue overdue) {
@@ -143,12 +143,12 @@
             return;
         }
         if (names.inUse(request.name(), now)) {
-            answerWithout(request, new Reply.Invalid("the request's id is in use"));
+            answerDirectly(request, new Reply.Invalid("the request's id is in use"));
             return;
         }
         if (requests.unitsInFlight() >= settings.limits().maxInFlight()) {
             // The settings' bound: beyond it the decision module does not see a request at all.
-            answerWithout(request, new Reply.Rejected(settings.limits().maxRetryAfterMs()));
+            answerDirectly(request, new Reply.Rejected(settings.limits().maxRetryAfterMs()));
             return;
         }
         PendingRequest pending = requests.add(request);
@@ -179,7 +179,7 @@
         return new ShardRequest(id, shard, weight, key);
     }
 
-    private void onClientGone(long requestId) {
+    private void onClientDisconnected(long requestId) {
         PendingRequest pending = requests.find(requestId);
         if (pending != null) {
             close(pending);
@@ -220,12 +220,12 @@
             effects.add(new Effect.StopSending(stopped.searcher()));
             if (stopped.withdrawSends()) {
                 for (Effect.Send unsent : outgoing.withdrawAll(stopped.id())) {
-                    fence(unsent.shardRequestId(), unsent.attempt());
+                    endUnsent(unsent.shardRequestId(), unsent.attempt());
                 }
             }
         }
         engine.servers(now, kind, change.servers());
-        searcherStats.importWaiting(now);
+        searcherStats.importPending(now);
     }
 
     private void onAdmissionQuotaChanged(Event.AdmissionQuotaChanged quota) {
@@ -244,11 +244,11 @@
         }
         pending.fetchPhaseBegun = true;
         List<PendingShardRequest> best = pending.bestAnswers(fetchShards(pending));
-        pending.phase.forEach(this::complete);
-        pending.phase.clear();
+        pending.currentPhase.forEach(this::complete);
+        pending.currentPhase.clear();
         List<ShardRequest> shardRequests = new ArrayList<>();
         for (PendingShardRequest queried : best) {
-            long key = pending.keyOf(queried.shard);
+            long key = pending.keyOfShard(queried.shard);
             shardRequests.add(addShardRequest(pending, queried.shard, 1.0 / best.size(), key));
         }
         engine.fetchPhase(now, requestId, shardRequests);
@@ -278,12 +278,12 @@
         double sendByMs = sendRules.sendByMs(shardRequest);
         int attempt = shardRequest.startAttempt(now);
         if (searchers.find(server) == null || !sendRules.maySend(shardRequest, attempt)) {
-            String which = "attempt " + attempt + " of shard request " + shardRequestId;
-            log(which + " stopped by the rules");
-            fence(shardRequestId, attempt);
+            String attemptLabel = "attempt " + attempt + " of shard request " + shardRequestId;
+            log(attemptLabel + " stopped by the rules");
+            endUnsent(shardRequestId, attempt);
             return;
         }
-        PendingRequest pending = shardRequest.request;
+        PendingRequest pending = shardRequest.parent;
         double remainingMs = pending.request.deadlineMs() - now;
         double waitMs =
                 Math.max(0, timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs));
@@ -367,7 +367,7 @@
 
     // ---- ends of requests and attempts ----
 
-    private void answerWithout(Request request, Reply reply) {
+    private void answerDirectly(Request request, Reply reply) {
         effects.add(new Effect.Answer(request.id(), reply));
     }
 
@@ -379,7 +379,7 @@
     private void close(PendingRequest pending) {
         requests.remove(pending);
         names.release(pending.request.name(), now);
-        pending.phase.forEach(this::complete);
+        pending.currentPhase.forEach(this::complete);
     }
 
     /** Ends a shard request: attempts that are not written yet are withdrawn. */
@@ -390,7 +390,7 @@
                 continue;
             }
             if (outgoing.withdraw(shardRequest.id, attempt)) {
-                fence(shardRequest.id, attempt);
+                endUnsent(shardRequest.id, attempt);
             } else {
                 effects.add(new Effect.Withdraw(shardRequest.id, attempt));
             }
@@ -398,8 +398,8 @@
         requests.removeIfIdle(shardRequest);
     }
 
-    private void fence(long shardRequestId, int attempt) {
-        fenced.add(
+    private void endUnsent(long shardRequestId, int attempt) {
+        unsentEnds.add(
                 new Event.AttemptEnded(
                         shardRequestId, attempt, new AttemptEnd.Fenced(), NO_LOAD_REPORT));
     }
--- a/src/main/java/reeldeal/core/RequestNames.java
+++ b/src/main/java/reeldeal/core/RequestNames.java
@@ -12,30 +12,30 @@
     /** How long the name of an ended request is not used again. */
     private static final double QUARANTINE_MS = 3_000;
 
-    private final Map<String, Double> freeAtMs = new HashMap<>();
-    private final ArrayDeque<String> releasedInOrder = new ArrayDeque<>();
+    private final Map<String, Double> reservedUntilMs = new HashMap<>();
+    private final ArrayDeque<String> releaseOrder = new ArrayDeque<>();
 
     /** Whether a request of this name is open or ended a moment ago. */
     boolean inUse(String name, double nowMs) {
-        while (!releasedInOrder.isEmpty() && freeAtMs.get(releasedInOrder.peek()) < nowMs) {
-            freeAtMs.remove(releasedInOrder.poll());
+        while (!releaseOrder.isEmpty() && reservedUntilMs.get(releaseOrder.peek()) < nowMs) {
+            reservedUntilMs.remove(releaseOrder.poll());
         }
-        return freeAtMs.containsKey(name);
+        return reservedUntilMs.containsKey(name);
     }
 
     /** Takes a name that is not in use. */
     void reserve(String name) {
-        freeAtMs.put(name, Double.POSITIVE_INFINITY);
+        reservedUntilMs.put(name, Double.POSITIVE_INFINITY);
     }
 
     /** Releases the name of a request that ends now. */
     void release(String name, double nowMs) {
-        freeAtMs.put(name, nowMs + QUARANTINE_MS);
-        releasedInOrder.add(name);
+        reservedUntilMs.put(name, nowMs + QUARANTINE_MS);
+        releaseOrder.add(name);
     }
 
     /** Names that are remembered. */
     int size() {
-        return freeAtMs.size();
+        return reservedUntilMs.size();
     }
 }
--- a/src/main/java/reeldeal/core/RequestSubmitter.java
+++ b/src/main/java/reeldeal/core/RequestSubmitter.java
@@ -34,10 +34,10 @@
     }
 
     /** The client of a request has disconnected; no reply follows. */
-    void clientDisconnected(long request);
+    void clientDisconnected(long requestId);
 
     /** Runs a task after this delay. */
-    void schedule(double delayMs, Runnable run);
+    void schedule(double delayMs, Runnable task);
 
     /** Whether the broker is up and not shutting down. */
     boolean ready();
--- a/src/main/java/reeldeal/core/RequestTable.java
+++ b/src/main/java/reeldeal/core/RequestTable.java
@@ -22,20 +22,20 @@
     }
 
     /** Adds a shard request to a request's current phase. */
-    PendingShardRequest addShardRequest(PendingRequest request, int shard) {
+    PendingShardRequest addShardRequest(PendingRequest pending, int shard) {
         PendingShardRequest shardRequest =
-                new PendingShardRequest(nextShardRequestId++, request, shard);
+                new PendingShardRequest(nextShardRequestId++, pending, shard);
         shardRequests.put(shardRequest.id, shardRequest);
-        request.phase.add(shardRequest);
-        request.shardRequests++;
+        pending.currentPhase.add(shardRequest);
+        pending.shardRequestCount++;
         unitsInFlight++;
         return shardRequest;
     }
 
     /** Removes a request; its shard requests remain until {@link #removeIfIdle}. */
-    void remove(PendingRequest request) {
-        requests.remove(request.request.id());
-        unitsInFlight -= 1 + request.shardRequests;
+    void remove(PendingRequest pending) {
+        requests.remove(pending.request.id());
+        unitsInFlight -= 1 + pending.shardRequestCount;
     }
 
     /** Removes a completed shard request once no attempt of it is in flight. */
@@ -46,13 +46,13 @@
     }
 
     /** The open request of this id, or null. */
-    PendingRequest find(long request) {
-        return requests.get(request);
+    PendingRequest find(long requestId) {
+        return requests.get(requestId);
     }
 
     /** The shard request of this id, or null. */
-    PendingShardRequest findShardRequest(long shardRequest) {
-        return shardRequests.get(shardRequest);
+    PendingShardRequest findShardRequest(long shardRequestId) {
+        return shardRequests.get(shardRequestId);
     }
 
     /** Open requests. */
--- a/src/main/java/reeldeal/core/Searcher.java
+++ b/src/main/java/reeldeal/core/Searcher.java
@@ -25,7 +25,7 @@
         EndpointState state) {
 
     /** The same searcher with another start. */
-    Searcher withStart(double otherStartedMs) {
-        return new Searcher(name, address, zone, kind, cell, otherStartedMs, size, state);
+    Searcher withStart(double newStartedMs) {
+        return new Searcher(name, address, zone, kind, cell, newStartedMs, size, state);
     }
 }
--- a/src/main/java/reeldeal/core/SearcherDirectory.java
+++ b/src/main/java/reeldeal/core/SearcherDirectory.java
@@ -55,9 +55,9 @@
         for (Searcher entry : entries) {
             Searcher searcher = withAssumedStart(entry);
             long id = idOf(searcher.name());
-            Searcher before = searchers.put(id, searcher);
-            if (before != null && !before.address().equals(searcher.address())) {
-                stopped.add(new Stopped(before, id, false));
+            Searcher previous = searchers.put(id, searcher);
+            if (previous != null && !previous.address().equals(searcher.address())) {
+                stopped.add(new Stopped(previous, id, false));
             }
             if (searcher.state() == EndpointState.REMOVED) {
                 stopped.add(remove(searcher));
@@ -101,11 +101,11 @@
      * @return whether this is later than what was assumed before, so that the searchers have to be
      *     listed again
      */
-    boolean assumeRestart(double atMs, String zone) {
-        if (atMs <= restartedAtMs) {
+    boolean assumeRestart(double restartMs, String zone) {
+        if (restartMs <= restartedAtMs) {
             return false;
         }
-        restartedAtMs = atMs;
+        restartedAtMs = restartMs;
         restartedZone = zone;
         return true;
     }
@@ -119,9 +119,9 @@
 
     /** The id of a name; a new one where the name is not listed. */
     private long idOf(String name) {
-        Long known = ids.get(name);
-        if (known != null) {
-            return known;
+        Long existingId = ids.get(name);
+        if (existingId != null) {
+            return existingId;
         }
         long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < name.length(); i++) {
@@ -151,11 +151,11 @@
     }
 
     /** The names of these searchers, in order. */
-    Set<String> namesOf(Set<Long> ofIds) {
+    Set<String> namesOf(Set<Long> selectedIds) {
         Set<String> names = new TreeSet<>();
         ids.forEach(
                 (name, id) -> {
-                    if (ofIds.contains(id)) {
+                    if (selectedIds.contains(id)) {
                         names.add(name);
                     }
                 });
--- a/src/main/java/reeldeal/core/SearcherStats.java
+++ b/src/main/java/reeldeal/core/SearcherStats.java
@@ -13,7 +13,7 @@
 final class SearcherStats {
     private final DecisionEngine engine;
     private final SearcherDirectory searchers;
-    private final Map<String, Event.ImportedServerStats> waiting = new HashMap<>();
+    private final Map<String, Event.ImportedServerStats> pendingStats = new HashMap<>();
 
     SearcherStats(DecisionEngine engine, SearcherDirectory searchers) {
         this.engine = engine;
@@ -38,15 +38,16 @@
 
     /** Imports stats by name of the searcher. */
     void importStats(Map<String, Event.ImportedServerStats> stats, double nowMs) {
-        waiting.putAll(stats);
-        importWaiting(nowMs);
+        pendingStats.putAll(stats);
+        importPending(nowMs);
     }
 
     /**
      * Imports stats whose searchers are listed by now; must be called after each change of these.
      */
-    void importWaiting(double nowMs) {
-        waiting.entrySet()
+    void importPending(double nowMs) {
+        pendingStats
+                .entrySet()
                 .removeIf(entry -> importIfListed(entry.getKey(), entry.getValue(), nowMs));
     }
 
--- a/src/main/java/reeldeal/core/SendRules.java
+++ b/src/main/java/reeldeal/core/SendRules.java
@@ -17,10 +17,10 @@
      * too many, and no other one is in flight where hedging is off.
      */
     boolean maySend(PendingShardRequest shardRequest, int attempt) {
-        boolean hedgedWithoutHedging = shardRequest.inFlight > 1 && !settings.limits().hedging();
+        boolean disallowedHedge = shardRequest.inFlight > 1 && !settings.limits().hedging();
         return !shardRequest.completed
                 && shardRequest.answer == null
-                && !hedgedWithoutHedging
+                && !disallowedHedge
                 && attempt < settings.limits().maxAttempts();
     }
 
@@ -30,7 +30,7 @@
      * comes up after the window in which the attempt was decided.
      */
     double sendByMs(PendingShardRequest shardRequest) {
-        QueryClass queryClass = settings.classes().get(shardRequest.request.request.classIndex());
+        QueryClass queryClass = settings.classes().get(shardRequest.parent.request.classIndex());
         if (queryClass.repeatSafety() != RepeatSafety.IDEMPOTENT_WITH_KEY) {
             return Double.POSITIVE_INFINITY;
         }
--- a/src/main/java/reeldeal/endpoints/Departure.java
+++ b/src/main/java/reeldeal/endpoints/Departure.java
@@ -11,14 +11,14 @@
  * @param rank rank of the source that dropped it, {@link Integer#MAX_VALUE} where none did
  * @param vanished whether no source listed it since, so that it comes back as a new process
  */
-record Departure(String name, long atMs, int rank, boolean vanished) {
-    private static final String VANISHED = "gone";
+record Departure(String name, long departedAtMs, int rank, boolean unlisted) {
+    private static final String UNLISTED = "gone";
     private static final String DRAINING = "draining";
     private static final Pattern TIME = Pattern.compile("[0-9]{1,15}");
     private static final Pattern RANK = Pattern.compile("[0-9]{1,5}");
 
     String format() {
-        return name + ' ' + atMs + ' ' + rank + ' ' + (vanished ? VANISHED : DRAINING);
+        return name + ' ' + departedAtMs + ' ' + rank + ' ' + (unlisted ? UNLISTED : DRAINING);
     }
 
     /** Parses one line; null where it has another form. */
@@ -33,6 +33,6 @@
                 fields[0],
                 Long.parseLong(fields[1]),
                 Integer.parseInt(fields[2]),
-                fields[3].equals(VANISHED));
+                fields[3].equals(UNLISTED));
     }
 }
--- a/src/main/java/reeldeal/endpoints/EndpointChangeLog.java
+++ b/src/main/java/reeldeal/endpoints/EndpointChangeLog.java
@@ -14,7 +14,7 @@
     private final Map<String, Searcher> changes = new LinkedHashMap<>();
     private final List<String> lines = new ArrayList<>();
 
-    void change(Searcher searcher) {
+    void addChange(Searcher searcher) {
         changes.put(searcher.name(), searcher);
     }
 
--- a/src/main/java/reeldeal/endpoints/EndpointFeed.java
+++ b/src/main/java/reeldeal/endpoints/EndpointFeed.java
@@ -37,13 +37,13 @@
     private final LongSupplier clock;
     private final Consumer<Event.EndpointsChanged> subscriber;
     private final Consumer<String> log;
-    private final Consumer<String> saver;
+    private final Consumer<String> stateWriter;
     private final Map<String, Set<String>> hostsByZone = new HashMap<>();
-    private final Map<String, EndpointReport> discovered = new LinkedHashMap<>();
+    private final Map<String, EndpointReport> discoveryReports = new LinkedHashMap<>();
     private final Set<String> awaitedSources;
     private final Set<String> staleZones = new HashSet<>();
     private boolean firstListPublished;
-    private boolean awaitTimerStarted;
+    private boolean firstListTimerStarted;
     private long tickScheduledAt = Long.MAX_VALUE;
     private String lastSaved = "";
 
@@ -66,14 +66,14 @@
             LongSupplier clock,
             Consumer<Event.EndpointsChanged> subscriber,
             Consumer<String> log,
-            Consumer<String> saver) {
+            Consumer<String> stateWriter) {
         this.loop = loop;
         this.view = view;
         this.awaitedSources = new HashSet<>(awaited);
         this.clock = clock;
         this.subscriber = subscriber;
         this.log = log;
-        this.saver = saver;
+        this.stateWriter = stateWriter;
     }
 
     /**
@@ -92,15 +92,15 @@
      * @param zone the zone
      * @param touched the names that changed, or null where any may have
      */
-    public void zone(Zone zone, Set<String> touched) {
+    public void zone(Zone zone, Set<String> changedNames) {
         boolean wasStale = staleZones.remove(zone.origin);
         if (wasStale) {
             view.forgetVersion(zone.origin);
         }
         Set<String> knownHosts = wasStale ? null : hostsByZone.get(zone.origin);
         if (knownHosts != null
-                && touched != null
-                && !concernsSearchers(zone, knownHosts, touched)) {
+                && changedNames != null
+                && !concernsSearchers(zone, knownHosts, changedNames)) {
             return;
         }
         List<EndpointReport> reports = EndpointReports.parse(zone);
@@ -113,9 +113,9 @@
     }
 
     private static boolean concernsSearchers(
-            Zone zone, Set<String> knownHosts, Set<String> touched) {
+            Zone zone, Set<String> knownHosts, Set<String> changedNames) {
         String service = EndpointReports.SERVICE + zone.origin;
-        for (String name : touched) {
+        for (String name : changedNames) {
             if (knownHosts.contains(name) || Names.within(name, service)) {
                 return true;
             }
@@ -125,25 +125,26 @@
 
     /** Drops what a zone lists, since its secondary copy has expired. */
     public void expired(String origin) {
-        view.expired(clock.getAsLong(), origin);
+        view.expireSource(clock.getAsLong(), origin);
         publish();
     }
 
     /** Takes an endpoint list, or changes to it, from discovery. */
     public void discovery(Event.EndpointsChanged event) {
         if (event.kind() == EndpointListKind.COMPLETE) {
-            discovered.clear();
+            discoveryReports.clear();
         }
         for (Searcher searcher : event.entries()) {
-            EndpointReport report = EndpointReports.parse(searcher);
+            EndpointReport report = EndpointReports.fromDiscovery(searcher);
             if (report == null) {
-                discovered.remove(searcher.name());
+                discoveryReports.remove(searcher.name());
             } else {
-                discovered.put(searcher.name(), report);
+                discoveryReports.put(searcher.name(), report);
             }
         }
         awaitedSources.remove(DISCOVERY);
-        view.observe(clock.getAsLong(), DISCOVERY, NO_VERSION, List.copyOf(discovered.values()));
+        view.observe(
+                clock.getAsLong(), DISCOVERY, NO_VERSION, List.copyOf(discoveryReports.values()));
         publish();
     }
 
@@ -162,13 +163,13 @@
 
     /** The view's entries with their reasons. */
     public List<EndpointView.Entry> view() {
-        return view.view();
+        return view.entries();
     }
 
     private void publish() {
         view.takeLog().forEach(line -> log.accept("members: " + line));
         if (!awaitedSources.isEmpty()) {
-            startAwaitTimer();
+            startFirstListTimer();
             return;
         }
         List<Searcher> changes = view.takeChanges();
@@ -185,7 +186,7 @@
 
     private List<Searcher> listedSearchers() {
         List<Searcher> listed = new ArrayList<>();
-        for (EndpointView.Entry entry : view.view()) {
+        for (EndpointView.Entry entry : view.entries()) {
             if (entry.searcher().state() != EndpointState.REMOVED) {
                 listed.add(entry.searcher());
             }
@@ -194,22 +195,25 @@
     }
 
     private void save() {
-        String text = view.saved();
+        String text = view.departuresAsText();
         if (!text.equals(lastSaved)) {
             lastSaved = text;
-            saver.accept(text);
+            stateWriter.accept(text);
         }
     }
 
-    private void startAwaitTimer() {
-        if (!awaitTimerStarted) {
-            awaitTimerStarted = true;
-            loop.schedule(this::stopAwaiting, FIRST_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    private void startFirstListTimer() {
+        if (!firstListTimerStarted) {
+            firstListTimerStarted = true;
+            loop.schedule(
+                    this::publishWithoutMissingSources,
+                    FIRST_LIST_TIMEOUT_MS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
     /** A source that does not report must not keep the searchers of the others from use. */
-    private void stopAwaiting() {
+    private void publishWithoutMissingSources() {
         if (!awaitedSources.isEmpty()) {
             log.accept("members: no word from " + awaitedSources + "; going on without");
             awaitedSources.clear();
@@ -218,7 +222,7 @@
     }
 
     private void scheduleTick() {
-        long due = view.due();
+        long due = view.nextTickAt();
         if (due < tickScheduledAt && due < Long.MAX_VALUE) {
             tickScheduledAt = due;
             loop.schedule(this::tick, Math.max(0, due - clock.getAsLong()), TimeUnit.MILLISECONDS);
--- a/src/main/java/reeldeal/endpoints/EndpointFold.java
+++ b/src/main/java/reeldeal/endpoints/EndpointFold.java
@@ -27,7 +27,7 @@
     private final OverrideTable overrides;
     private final Map<String, TrackedEndpoint> endpoints;
     private final EndpointChangeLog changeLog;
-    private long due = Long.MAX_VALUE;
+    private long nextRunAt = Long.MAX_VALUE;
 
     EndpointFold(
             long now,
@@ -58,19 +58,19 @@
                         damped.add(endpoint);
                     }
                 });
-        damped.forEach(this::admitIfOnlyOneOfItsCell);
+        damped.forEach(this::publishReadyIfCellHasNoOther);
         forgetDepartedNames();
-        return due;
+        return nextRunAt;
     }
 
-    private void dueAt(long time) {
-        due = Math.min(due, time);
+    private void runAgainAt(long time) {
+        nextRunAt = Math.min(nextRunAt, time);
     }
 
     // ---- findings: what each source comes to for each name ----
 
     private void collectFindings(EndpointSource source, Map<String, List<SourceFinding>> findings) {
-        dueAt(source.dropEmptySets(now, rules.emptyGraceMs()));
+        runAgainAt(source.dropEmptySets(now, rules.emptyGraceMs()));
         source.reportsByName()
                 .forEach(
                         (name, reports) -> {
@@ -88,8 +88,9 @@
     private SourceFinding resolve(
             EndpointSource source, TrackedEndpoint endpoint, List<EndpointReport> reports) {
         // A name that one report marks as draining is draining, whichever gives its address.
-        boolean draining = reports.stream().anyMatch(r -> r.listed() != EndpointState.READY);
-        List<EndpointReport> valid = reports.stream().filter(r -> r.fault() == null).toList();
+        boolean draining = reports.stream().anyMatch(r -> r.state() != EndpointState.READY);
+        List<EndpointReport> valid =
+                reports.stream().filter(r -> r.invalidReason() == null).toList();
         if (!valid.isEmpty()) {
             endpoint.onValidReport(source.rank());
             ReportSelection selected = ReportSelection.select(valid, endpoint.published());
@@ -116,24 +117,29 @@
             EndpointReport invalid,
             boolean draining) {
         if (!endpoint.hasValidReportOf(source.rank())) {
-            endpoint.rejectReports("waits: " + invalid.fault() + " in " + source.name());
+            endpoint.rejectReports("waits: " + invalid.invalidReason() + " in " + source.name());
             return null;
         }
         long heldSince = endpoint.startHold(now);
-        long holdEnd = heldSince + (invalid.bare() ? rules.emptyGraceMs() : rules.holdMs());
+        long holdEnd =
+                heldSince + (invalid.withoutRecords() ? rules.emptyGraceMs() : rules.holdMs());
         if (now >= holdEnd) {
             endpoint.rejectReports(
-                    invalid.fault() + " for " + (now - heldSince) + " ms in " + source.name());
+                    invalid.invalidReason()
+                            + " for "
+                            + (now - heldSince)
+                            + " ms in "
+                            + source.name());
             return null;
         }
-        dueAt(holdEnd);
-        EndpointReport lastValid = endpoint.validReport();
+        runAgainAt(holdEnd);
+        EndpointReport lastValid = endpoint.lastValidReport();
         return new SourceFinding(
                 source,
                 draining ? lastValid.asDraining() : lastValid,
                 endpoint.published().address(),
                 endpoint.published().cell(),
-                "; held: " + invalid.fault(),
+                "; held: " + invalid.invalidReason(),
                 true);
     }
 
@@ -142,27 +148,27 @@
     private void update(String name, TrackedEndpoint endpoint, List<SourceFinding> findings) {
         AdministrativeOverride override = overrides.of(name);
         boolean dropped = dropFromDescribingSource(endpoint, findings);
-        SourceFinding describing = null;
-        SourceFinding draining = null;
+        SourceFinding describingFinding = null;
+        SourceFinding drainingFinding = null;
         for (SourceFinding finding : findings) {
             if (isLaggingReport(endpoint, finding)) {
                 continue;
             }
-            if (describing == null && finding.listsAddress()) {
-                describing = finding;
+            if (describingFinding == null && finding.listsAddress()) {
+                describingFinding = finding;
             }
-            if (draining == null && finding.isDraining()) {
-                draining = finding;
+            if (drainingFinding == null && finding.isDraining()) {
+                drainingFinding = finding;
             }
         }
         if (override == AdministrativeOverride.REMOVED) {
             delist(name, endpoint, true, OVERRIDE_REASON, dropped);
-        } else if (describing == null) {
-            String rejectedBecause = endpoint.rejectedBecause();
-            String reason = rejectedBecause.isEmpty() ? "listed no more" : rejectedBecause;
+        } else if (describingFinding == null) {
+            String rejectionReason = endpoint.rejectionReason();
+            String reason = rejectionReason.isEmpty() ? "listed no more" : rejectionReason;
             delist(name, endpoint, false, reason, dropped);
         } else {
-            list(name, endpoint, override, describing, draining);
+            list(name, endpoint, override, describingFinding, drainingFinding);
         }
     }
 
@@ -172,7 +178,7 @@
      */
     private boolean dropFromDescribingSource(
             TrackedEndpoint endpoint, List<SourceFinding> findings) {
-        int rank = endpoint.validRank();
+        int rank = endpoint.describingRank();
         if (endpoint.published() == null || rank == Integer.MAX_VALUE || isExpired(rank)) {
             return false;
         }
@@ -181,7 +187,7 @@
                 return false;
             }
         }
-        endpoint.departFromSource(now, rules);
+        endpoint.recordDropBySource(now, rules);
         return true;
     }
 
@@ -207,21 +213,22 @@
             String name,
             TrackedEndpoint endpoint,
             AdministrativeOverride override,
-            SourceFinding describing,
-            SourceFinding draining) {
-        endpoint.accept(describing);
+            SourceFinding describingFinding,
+            SourceFinding drainingFinding) {
+        endpoint.accept(describingFinding);
         boolean readyBySources =
-                override == AdministrativeOverride.READY || (override == null && draining == null);
+                override == AdministrativeOverride.READY
+                        || (override == null && drainingFinding == null);
         boolean drainedByFleet = readyBySources && overrides.isDrainedByFleet(name);
         boolean ready = readyBySources && !drainedByFleet;
         boolean wasReady = endpoint.isReady();
         if (wasReady && !ready && !drainedByFleet) {
-            SourceFinding cause = draining == null ? describing : draining;
-            endpoint.depart(now, cause.source().rank(), rules);
+            SourceFinding cause = drainingFinding == null ? describingFinding : drainingFinding;
+            endpoint.recordDeparture(now, cause.source().rank(), rules);
         }
         boolean damped = ready && !wasReady && isFlapping(endpoint);
         endpoint.setDamped(damped);
-        double startedMs = endpoint.startOf(describing, readyBySources && !damped, now);
+        double startedMs = endpoint.startTimeOf(describingFinding, readyBySources && !damped, now);
         if (readyBySources && !damped) {
             endpoint.clearDeparture();
         }
@@ -229,29 +236,34 @@
                 now,
                 new Searcher(
                         name,
-                        describing.address(),
-                        describing.report().zone(),
-                        describing.report().kind(),
-                        describing.cell(),
+                        describingFinding.address(),
+                        describingFinding.report().zone(),
+                        describingFinding.report().kind(),
+                        describingFinding.cell(),
                         startedMs,
-                        describing.report().size(),
+                        describingFinding.report().size(),
                         ready && !damped ? EndpointState.READY : EndpointState.DRAINING),
-                describing.source().name(),
+                describingFinding.source().name(),
                 damped
-                        ? dampedReason(endpoint) + describing.note()
-                        : listedReason(override, drainedByFleet, draining) + describing.note(),
+                        ? dampedReason(endpoint) + describingFinding.note()
+                        : listedReason(override, drainedByFleet, drainingFinding)
+                                + describingFinding.note(),
                 changeLog);
     }
 
     private static String listedReason(
-            AdministrativeOverride override, boolean drainedByFleet, SourceFinding draining) {
+            AdministrativeOverride override,
+            boolean drainedByFleet,
+            SourceFinding drainingFinding) {
         if (drainedByFleet) {
             return EndpointView.DRAINED_BY_FLEET_REASON;
         }
         if (override != null) {
             return OVERRIDE_REASON;
         }
-        return draining == null ? "listed" : "status draining in " + draining.source().name();
+        return drainingFinding == null
+                ? "listed"
+                : "status draining in " + drainingFinding.source().name();
     }
 
     private String dampedReason(TrackedEndpoint endpoint) {
@@ -266,15 +278,15 @@
         }
         double untilReuseMs =
                 rules.flapHalfLifeMs() * Math.log(penalty / rules.flapReuse()) / Math.log(2);
-        dueAt(now + 1 + (long) untilReuseMs);
+        runAgainAt(now + 1 + (long) untilReuseMs);
         return true;
     }
 
     /** Rule 7: a damped name serves after all where its cell has no other. */
-    private void admitIfOnlyOneOfItsCell(TrackedEndpoint endpoint) {
-        Searcher draining = endpoint.published();
+    private void publishReadyIfCellHasNoOther(TrackedEndpoint endpoint) {
+        Searcher dampedSearcher = endpoint.published();
         for (TrackedEndpoint other : endpoints.values()) {
-            if (other.isReady() && other.published().cell() == draining.cell()) {
+            if (other.isReady() && other.published().cell() == dampedSearcher.cell()) {
                 return;
             }
         }
@@ -283,16 +295,16 @@
         endpoint.publish(
                 now,
                 new Searcher(
-                        draining.name(),
-                        draining.address(),
-                        draining.zone(),
-                        draining.kind(),
-                        draining.cell(),
-                        Math.max(draining.startedMs(), (double) now),
-                        draining.size(),
+                        dampedSearcher.name(),
+                        dampedSearcher.address(),
+                        dampedSearcher.zone(),
+                        dampedSearcher.kind(),
+                        dampedSearcher.cell(),
+                        Math.max(dampedSearcher.startedMs(), (double) now),
+                        dampedSearcher.size(),
                         EndpointState.READY),
                 endpoint.publishedBy(),
-                "listed; would be damped, but cell " + draining.cell() + " has no other",
+                "listed; would be damped, but cell " + dampedSearcher.cell() + " has no other",
                 changeLog);
     }
 
@@ -303,13 +315,14 @@
             boolean byOverride,
             String reason,
             boolean droppedBySource) {
-        endpoint.vanish();
+        endpoint.markUnlisted();
         if (endpoint.published() == null) {
             endpoint.explainAbsence(now, name, reason, changeLog);
             return;
         }
         if (endpoint.isReady() && !droppedBySource) {
-            endpoint.depart(now, byOverride ? Integer.MAX_VALUE : endpoint.validRank(), rules);
+            endpoint.recordDeparture(
+                    now, byOverride ? Integer.MAX_VALUE : endpoint.describingRank(), rules);
         } else {
             endpoint.startDepartureUnlessStarted(now);
         }
@@ -318,7 +331,7 @@
             endpoint.publishRemoval(now, reason, changeLog);
             return;
         }
-        dueAt(removeAt);
+        runAgainAt(removeAt);
         endpoint.publish(
                 now,
                 TrackedEndpoint.withState(endpoint.published(), EndpointState.DRAINING),
--- a/src/main/java/reeldeal/endpoints/EndpointReport.java
+++ b/src/main/java/reeldeal/endpoints/EndpointReport.java
@@ -31,11 +31,11 @@
         String kind,
         double startedMs,
         double size,
-        EndpointState listed,
-        boolean bare) {
+        EndpointState state,
+        boolean withoutRecords) {
 
     /** Why the report is not valid, or null where it is. */
-    String fault() {
+    String invalidReason() {
         if (addresses.isEmpty()) {
             return "no address";
         }
@@ -44,7 +44,7 @@
 
     /** The same report with the state draining. */
     EndpointReport asDraining() {
-        if (listed == EndpointState.DRAINING) {
+        if (state == EndpointState.DRAINING) {
             return this;
         }
         return new EndpointReport(
--- a/src/main/java/reeldeal/endpoints/EndpointReports.java
+++ b/src/main/java/reeldeal/endpoints/EndpointReports.java
@@ -47,7 +47,7 @@
                 for (byte[] srv : placed.set().data()) {
                     String host = Names.text(srv, SRV_TARGET);
                     if (!host.equals(NO_SERVICE)) {
-                        reports.add(report(zone, placed.name(), srv, host));
+                        reports.add(toReport(zone, placed.name(), srv, host));
                     }
                 }
             }
@@ -55,7 +55,7 @@
         return reports;
     }
 
-    private static EndpointReport report(Zone zone, String set, byte[] srv, String host) {
+    private static EndpointReport toReport(Zone zone, String set, byte[] srv, String host) {
         HostAttributes attributes = new HostAttributes(zone.get(host, Rr.TXT));
         return new EndpointReport(
                 set,
@@ -68,7 +68,7 @@
                 attributes.kind,
                 attributes.startedMs,
                 attributes.size,
-                attributes.listed,
+                attributes.state,
                 zone.types(host).length == 0);
     }
 
@@ -102,11 +102,11 @@
         String kind = "";
         double startedMs;
         double size = 1;
-        EndpointState listed = EndpointState.READY;
+        EndpointState state = EndpointState.READY;
 
-        HostAttributes(RrSet texts) {
-            if (texts != null) {
-                texts.data().forEach(this::readStrings);
+        HostAttributes(RrSet txtRecords) {
+            if (txtRecords != null) {
+                txtRecords.data().forEach(this::readStrings);
             }
         }
 
@@ -159,13 +159,13 @@
         /** Any value but "ready" means draining: of two that differ the careful one counts. */
         private void readStatus(String value) {
             if (!value.equals("ready")) {
-                listed = EndpointState.DRAINING;
+                state = EndpointState.DRAINING;
             }
         }
     }
 
     /** What discovery reports of a searcher; null where it reports the searcher as removed. */
-    static EndpointReport parse(Searcher searcher) {
+    static EndpointReport fromDiscovery(Searcher searcher) {
         if (searcher.state() == EndpointState.REMOVED) {
             return null;
         }
--- a/src/main/java/reeldeal/endpoints/EndpointView.java
+++ b/src/main/java/reeldeal/endpoints/EndpointView.java
@@ -93,7 +93,7 @@
     private final Map<String, TrackedEndpoint> endpoints = new TreeMap<>();
     private final EndpointChangeLog changeLog = new EndpointChangeLog();
     private OverrideTable overrides = OverrideTable.EMPTY;
-    private long due = Long.MAX_VALUE;
+    private long nextTickAt = Long.MAX_VALUE;
 
     /**
      * Creates a view that lists nothing.
@@ -131,7 +131,7 @@
             return false;
         }
         source.update(now, version, reports, rules.emptyGraceMs(), changeLog);
-        fold(now);
+        applyRules(now);
         return true;
     }
 
@@ -141,12 +141,12 @@
     }
 
     /** Drops all that a source lists because it is out of date; {@code now} is Unix time in ms. */
-    public void expired(long now, String sourceName) {
+    public void expireSource(long now, String sourceName) {
         EndpointSource source = sources.get(sourceName);
         if (!source.isExpired()) {
             source.expire();
             changeLog.log(sourceName + ": expired; what only it lists leaves");
-            fold(now);
+            applyRules(now);
         }
     }
 
@@ -164,20 +164,20 @@
         OverrideTable updated = new OverrideTable(byName, drainedByFleet);
         if (!overrides.equals(updated)) {
             overrides = updated;
-            fold(now);
+            applyRules(now);
         }
     }
 
     /** Applies the rules that depend on time, where one is due; {@code now} is Unix time in ms. */
     public void tick(long now) {
-        if (now >= due) {
-            fold(now);
+        if (now >= nextTickAt) {
+            applyRules(now);
         }
     }
 
     /** When {@link #tick} has something to do, in Unix ms; {@link Long#MAX_VALUE} for never. */
-    public long due() {
-        return due;
+    public long nextTickAt() {
+        return nextTickAt;
     }
 
     /** Removes and returns the entries that changed since the last call. */
@@ -191,20 +191,20 @@
     }
 
     /** All entries by name, those that are not listed for a known reason included. */
-    public List<Entry> view() {
-        List<Entry> view = new ArrayList<>();
+    public List<Entry> entries() {
+        List<Entry> entries = new ArrayList<>();
         endpoints.forEach(
                 (name, endpoint) -> {
                     Entry entry = endpoint.entry(name);
                     if (entry != null) {
-                        view.add(entry);
+                        entries.add(entry);
                     }
                 });
-        return view;
+        return entries;
     }
 
     /** The departed names as text, a line each, to be kept across a restart. */
-    public String saved() {
+    public String departuresAsText() {
         StringBuilder text = new StringBuilder();
         endpoints.forEach(
                 (name, endpoint) -> {
@@ -222,7 +222,7 @@
     public void restore(long now, String text) {
         for (String line : text.split("\n")) {
             Departure departure = Departure.parse(line);
-            if (departure != null && now - departure.atMs() < rules.rememberMs()) {
+            if (departure != null && now - departure.departedAtMs() < rules.rememberMs()) {
                 endpoints
                         .computeIfAbsent(departure.name(), name -> new TrackedEndpoint())
                         .restore(departure);
@@ -230,7 +230,9 @@
         }
     }
 
-    private void fold(long now) {
-        due = new EndpointFold(now, rules, sources.values(), overrides, endpoints, changeLog).run();
+    private void applyRules(long now) {
+        nextTickAt =
+                new EndpointFold(now, rules, sources.values(), overrides, endpoints, changeLog)
+                        .run();
     }
 }
--- a/src/main/java/reeldeal/endpoints/SourceFinding.java
+++ b/src/main/java/reeldeal/endpoints/SourceFinding.java
@@ -26,6 +26,6 @@
     }
 
     boolean isDraining() {
-        return report.listed() != EndpointState.READY;
+        return report.state() != EndpointState.READY;
     }
 }
--- a/src/main/java/reeldeal/endpoints/TrackedEndpoint.java
+++ b/src/main/java/reeldeal/endpoints/TrackedEndpoint.java
@@ -19,16 +19,16 @@
     private String reason = "";
     private long stateSince;
 
-    private EndpointReport validReport; // the last one, held while there is none
-    private int validRank = NO_RANK;
+    private EndpointReport lastValidReport; // the last one, held while there is none
+    private int describingRank = NO_RANK;
     private long invalidSince = NEVER;
-    private String rejectedBecause = ""; // why no report could be used
+    private String rejectionReason = ""; // why no report could be used
 
     private long departedAt = NEVER;
     private int departedRank = NO_RANK;
 
     /** Whether no source listed it since it was last ready: it comes back as a new process. */
-    private boolean vanished;
+    private boolean unlisted;
 
     private double penalty;
     private long penaltyAt;
@@ -62,23 +62,23 @@
 
     /** The source has a valid report; ends the hold where its rank allows. */
     void onValidReport(int rank) {
-        if (rank <= validRank) {
+        if (rank <= describingRank) {
             invalidSince = NEVER;
         }
     }
 
     /** Whether the last valid report of this source may be held in place of an invalid one. */
     boolean hasValidReportOf(int rank) {
-        return validReport != null && published != null && validRank == rank;
+        return lastValidReport != null && published != null && describingRank == rank;
     }
 
-    EndpointReport validReport() {
-        return validReport;
+    EndpointReport lastValidReport() {
+        return lastValidReport;
     }
 
     /** The rank of the source that describes the name, {@link Integer#MAX_VALUE} for none. */
-    int validRank() {
-        return validRank;
+    int describingRank() {
+        return describingRank;
     }
 
     /** Since when the describing source has only invalid reports; starts now at the first call. */
@@ -89,26 +89,26 @@
         return invalidSince;
     }
 
-    void rejectReports(String why) {
-        rejectedBecause = why;
+    void rejectReports(String newReason) {
+        rejectionReason = newReason;
     }
 
-    String rejectedBecause() {
-        return rejectedBecause;
+    String rejectionReason() {
+        return rejectionReason;
     }
 
     /** A source's finding describes the name from now on. */
     void accept(SourceFinding finding) {
-        rejectedBecause = "";
+        rejectionReason = "";
         if (!finding.held()) {
-            validReport = finding.report();
-            validRank = finding.source().rank();
+            lastValidReport = finding.report();
+            describingRank = finding.source().rank();
         }
     }
 
     private void dropValidReport() {
-        validReport = null;
-        validRank = NO_RANK;
+        lastValidReport = null;
+        describingRank = NO_RANK;
     }
 
     // ---- departures ----
@@ -130,10 +130,10 @@
      * changed or no source listed the name in between; the fleet must see a searcher that it
      * drained come back as a new process.
      */
-    double startOf(SourceFinding finding, boolean comesBack, long now) {
+    double startTimeOf(SourceFinding finding, boolean comesBack, long now) {
         double reported = finding.report().startedMs();
         boolean moved = published != null && !published.address().equals(finding.address());
-        if (comesBack && (moved || vanished)) {
+        if (comesBack && (moved || unlisted)) {
             return Math.max(reported, (double) now);
         }
         if (published != null && reported <= published.startedMs()) {
@@ -143,7 +143,7 @@
     }
 
     /** It leaves while it is ready, which adds to its penalty. */
-    void depart(long now, int rank, EndpointView.Rules rules) {
+    void recordDeparture(long now, int rank, EndpointView.Rules rules) {
         penalty = penalty(now, rules) + 1;
         penaltyAt = now;
         departedAt = now;
@@ -151,21 +151,21 @@
     }
 
     /** The source that described it does not list it any more. */
-    void departFromSource(long now, EndpointView.Rules rules) {
-        int rank = validRank;
+    void recordDropBySource(long now, EndpointView.Rules rules) {
+        int rank = describingRank;
         if (isReady()) {
-            depart(now, rank, rules);
+            recordDeparture(now, rank, rules);
         }
         departedAt = now;
         departedRank = rank;
-        vanished = true;
+        unlisted = true;
         dropValidReport();
     }
 
     /** No source lists it, which may have begun earlier. */
-    void vanish() {
+    void markUnlisted() {
         damped = false;
-        vanished |= published != null;
+        unlisted |= published != null;
     }
 
     void startDepartureUnlessStarted(long now) {
@@ -177,17 +177,17 @@
     void clearDeparture() {
         departedAt = NEVER;
         departedRank = NO_RANK;
-        vanished = false;
+        unlisted = false;
     }
 
     Departure departure(String name) {
-        return new Departure(name, departedAt, departedRank, vanished);
+        return new Departure(name, departedAt, departedRank, unlisted);
     }
 
     void restore(Departure departure) {
-        departedAt = Math.max(departedAt, departure.atMs());
+        departedAt = Math.max(departedAt, departure.departedAtMs());
         departedRank = departure.rank();
-        vanished = departure.vanished();
+        unlisted = departure.unlisted();
         reason = "left before the restart";
         stateSince = departedAt;
     }
@@ -218,7 +218,7 @@
             EndpointChangeLog changeLog) {
         boolean sameState = published != null && published.state() == searcher.state();
         if (!searcher.equals(published)) {
-            changeLog.change(searcher);
+            changeLog.addChange(searcher);
         }
         if (!sameState
                 || !sameReason(newReason)
@@ -252,21 +252,21 @@
     }
 
     /** Publishes the removal of a listed name. */
-    void publishRemoval(long now, String why, EndpointChangeLog changeLog) {
-        changeLog.change(withState(published, EndpointState.REMOVED));
-        changeLog.log(published.name() + ": gone: " + why);
+    void publishRemoval(long now, String removalReason, EndpointChangeLog changeLog) {
+        changeLog.addChange(withState(published, EndpointState.REMOVED));
+        changeLog.log(published.name() + ": gone: " + removalReason);
         published = null;
         dropValidReport();
-        reason = "gone: " + why;
+        reason = "gone: " + removalReason;
         stateSince = now;
     }
 
     /** Notes why a name that was never published is not listed. */
-    void explainAbsence(long now, String name, String why, EndpointChangeLog changeLog) {
-        if (!reason.equals(why) && departedAt < 0) {
-            reason = why;
+    void explainAbsence(long now, String name, String absenceReason, EndpointChangeLog changeLog) {
+        if (!reason.equals(absenceReason) && departedAt < 0) {
+            reason = absenceReason;
             stateSince = now;
-            changeLog.log(name + ": not listed: " + why);
+            changeLog.log(name + ": not listed: " + absenceReason);
         }
     }
 
--- a/src/main/java/reeldeal/frames/FrameBuffer.java
+++ b/src/main/java/reeldeal/frames/FrameBuffer.java
@@ -13,7 +13,7 @@
     private final int prefixBytes;
     private final int maxFrameBytes;
     private byte[] buffer = new byte[INITIAL_BYTES];
-    private int end;
+    private int bufferedBytes;
 
     /**
      * Creates an empty buffer.
@@ -29,34 +29,34 @@
     /** Appends all readable bytes and releases their buffer. */
     public void feed(ByteBuf in) {
         int length = in.readableBytes();
-        if (buffer.length < end + length) {
-            buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, end + length));
+        if (buffer.length < bufferedBytes + length) {
+            buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, bufferedBytes + length));
         }
-        in.readBytes(buffer, end, length);
+        in.readBytes(buffer, bufferedBytes, length);
         in.release();
-        end += length;
+        bufferedBytes += length;
     }
 
     /** Whether the next frame has an invalid length: zero, or beyond the maximum. */
     public boolean malformed() {
-        return end >= prefixBytes && (length() < 1 || length() > maxFrameBytes);
+        return bufferedBytes >= prefixBytes && (length() < 1 || length() > maxFrameBytes);
     }
 
     /** Whether bytes of an incomplete frame are buffered. */
     public boolean inFrame() {
-        return end > 0;
+        return bufferedBytes > 0;
     }
 
     /** Removes and returns the next frame without its length; null until it is complete. */
     public byte[] next() {
-        if (end < prefixBytes || malformed() || end < prefixBytes + length()) {
+        if (bufferedBytes < prefixBytes || malformed() || bufferedBytes < prefixBytes + length()) {
             return null;
         }
         int frameEnd = prefixBytes + (int) length();
         byte[] frame = Arrays.copyOfRange(buffer, prefixBytes, frameEnd);
-        System.arraycopy(buffer, frameEnd, buffer, 0, end - frameEnd);
-        end -= frameEnd;
-        if (end == 0 && buffer.length > INITIAL_BYTES) {
+        System.arraycopy(buffer, frameEnd, buffer, 0, bufferedBytes - frameEnd);
+        bufferedBytes -= frameEnd;
+        if (bufferedBytes == 0 && buffer.length > INITIAL_BYTES) {
             // One large frame must not occupy its memory as long as the connection is open.
             buffer = new byte[INITIAL_BYTES];
         }
--- a/src/main/java/reeldeal/simulator/ActionWriter.java
+++ b/src/main/java/reeldeal/simulator/ActionWriter.java
@@ -13,7 +13,7 @@
 final class ActionWriter {
     private static final int HEADER_BYTES = 12;
     private static final int RECORD_BYTES = 32;
-    private static final int BODY = 5; // offset, behind the code and the instance
+    private static final int BODY_OFFSET = 5; // offset, behind the code and the instance
     private static final byte SCHEDULE_TIMER = 65;
     private static final byte LOG = 66;
     private static final byte CANCEL = 68;
@@ -30,35 +30,39 @@
     private int count;
 
     void send(int instance, long shardRequest, long server, double timeoutMs) {
-        add(record(SEND, instance).putLong(shardRequest).putDouble(timeoutMs).putInt((int) server));
+        add(
+                newRecord(SEND, instance)
+                        .putLong(shardRequest)
+                        .putDouble(timeoutMs)
+                        .putInt((int) server));
     }
 
     void cancel(int instance, long shardRequest, int attempt) {
-        add(record(CANCEL, instance).putLong(shardRequest).put((byte) attempt));
+        add(newRecord(CANCEL, instance).putLong(shardRequest).put((byte) attempt));
     }
 
     void answer(int instance, long query, boolean complete) {
-        add(record(ANSWER, instance).putLong(query).put((byte) (complete ? 1 : 0)));
+        add(newRecord(ANSWER, instance).putLong(query).put((byte) (complete ? 1 : 0)));
     }
 
     void reject(int instance, long query, double retryAfterMs) {
-        add(record(REJECT, instance).putLong(query).putDouble(retryAfterMs));
+        add(newRecord(REJECT, instance).putLong(query).putDouble(retryAfterMs));
     }
 
     void fail(int instance, long query) {
-        add(record(FAIL, instance).putLong(query));
+        add(newRecord(FAIL, instance).putLong(query));
     }
 
     void scheduleTimer(int instance, double delayMs, int token) {
-        add(record(SCHEDULE_TIMER, instance).putDouble(delayMs).putInt(token));
+        add(newRecord(SCHEDULE_TIMER, instance).putDouble(delayMs).putInt(token));
     }
 
     void probe(int instance, long server) {
-        add(record(PROBE, instance).putInt((int) server));
+        add(newRecord(PROBE, instance).putInt((int) server));
     }
 
     void subscribe(int instance) {
-        add(record(SUBSCRIBE, instance).put((byte) 1));
+        add(newRecord(SUBSCRIBE, instance).put((byte) 1));
     }
 
     void log(int instance, String line) {
@@ -70,8 +74,11 @@
         addText(INSTANCE_FAILED, instance, error);
     }
 
-    private static ByteBuffer record(byte code, int instance) {
-        return ByteBuffer.allocate(RECORD_BYTES).put(0, code).putInt(1, instance).position(BODY);
+    private static ByteBuffer newRecord(byte code, int instance) {
+        return ByteBuffer.allocate(RECORD_BYTES)
+                .put(0, code)
+                .putInt(1, instance)
+                .position(BODY_OFFSET);
     }
 
     private void add(ByteBuffer record) {
@@ -81,7 +88,7 @@
 
     private void addText(byte code, int instance, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        add(record(code, instance).putInt(tail.size()).putInt(bytes.length));
+        add(newRecord(code, instance).putInt(tail.size()).putInt(bytes.length));
         tail.write(bytes, 0, bytes.length);
     }
 
--- a/src/main/java/reeldeal/simulator/BatchReader.java
+++ b/src/main/java/reeldeal/simulator/BatchReader.java
@@ -34,20 +34,21 @@
      * or does not add up.
      */
     Batch next() throws IOException {
-        byte[] head = in.readNBytes(HEADER_BYTES);
-        if (head.length == 0) {
+        byte[] headerBytes = in.readNBytes(HEADER_BYTES);
+        if (headerBytes.length == 0) {
             return null;
         }
-        if (head.length < HEADER_BYTES) {
+        if (headerBytes.length < HEADER_BYTES) {
             throw new MalformedBatchException(
-                    "truncated header: " + head.length + " of " + HEADER_BYTES + " bytes");
+                    "truncated header: " + headerBytes.length + " of " + HEADER_BYTES + " bytes");
         }
-        ByteBuffer header = ByteBuffer.wrap(head);
+        ByteBuffer header = ByteBuffer.wrap(headerBytes);
         long count = header.getInt() & 0xffffffffL;
         long length = header.getInt() & 0xffffffffL;
         double now = header.getDouble();
         int number = header.getInt();
-        if (length > Integer.MAX_VALUE - EventRecord.BYTES || count * EventRecord.BYTES > length) {
+        if (length > Integer.MAX_VALUE - EventRecord.RECORD_BYTES
+                || count * EventRecord.RECORD_BYTES > length) {
             throw new MalformedBatchException(
                     "batch "
                             + number
--- a/src/main/java/reeldeal/simulator/BrokerInstance.java
+++ b/src/main/java/reeldeal/simulator/BrokerInstance.java
@@ -19,23 +19,23 @@
     /** A query whose shard requests, of this phase or the next, may still come. */
     private static final class OpenQuery {
         final long id;
-        int answersLeft;
+        int remainingAnswers;
 
-        OpenQuery(long id, int answersLeft) {
+        OpenQuery(long id, int remainingAnswers) {
             this.id = id;
-            this.answersLeft = answersLeft;
+            this.remainingAnswers = remainingAnswers;
         }
     }
 
     private final int number;
     private final ActionWriter out;
     private final Settings settings;
-    private final Map<Float, OpenQuery> byDemandNumber = new HashMap<>();
-    private final Map<Long, Float> demandNumbers = new HashMap<>();
-    private final List<ShardRequest> gathered = new ArrayList<>();
+    private final Map<Float, OpenQuery> openQueriesByDemand = new HashMap<>();
+    private final Map<Long, Float> demandByQueryId = new HashMap<>();
+    private final List<ShardRequest> pendingShardRequests = new ArrayList<>();
     private final DecisionModule module;
-    private Query arrived;
-    private float demandNumber;
+    private Query pendingQuery;
+    private float currentDemand;
 
     BrokerInstance(int number, ActionWriter out, double now, Settings settings) {
         this.number = number;
@@ -46,51 +46,51 @@
 
     /** The module, with all that was gathered submitted first. */
     DecisionModule module(double now) {
-        submitGathered(now);
+        submitPending(now);
         return module;
     }
 
     /** A query has come; its shard requests follow. */
     void addQuery(double now, float demand, Query query) {
-        submitGathered(now);
-        arrived = query;
-        demandNumber = demand;
+        submitPending(now);
+        pendingQuery = query;
+        currentDemand = demand;
         boolean hasFetchPhase = settings.classes().get(query.classIndex()).fetchShards() > 0;
-        byDemandNumber.put(demand, new OpenQuery(query.id(), hasFetchPhase ? 2 : 1));
-        demandNumbers.put(query.id(), demand);
+        openQueriesByDemand.put(demand, new OpenQuery(query.id(), hasFetchPhase ? 2 : 1));
+        demandByQueryId.put(query.id(), demand);
     }
 
     /** A shard request has come, of the query before it or of a fetch phase. */
     void addShardRequest(double now, float demand, ShardRequest shardRequest) {
-        if (demand != demandNumber) {
-            submitGathered(now);
-            demandNumber = demand;
+        if (demand != currentDemand) {
+            submitPending(now);
+            currentDemand = demand;
         }
-        gathered.add(shardRequest);
+        pendingShardRequests.add(shardRequest);
     }
 
     /** Submits the query, or the fetch phase, that was gathered so far. */
-    void submitGathered(double now) {
-        if (arrived == null && gathered.isEmpty()) {
+    void submitPending(double now) {
+        if (pendingQuery == null && pendingShardRequests.isEmpty()) {
             return;
         }
-        Query query = arrived;
-        List<ShardRequest> shardRequests = List.copyOf(gathered);
-        OpenQuery open = byDemandNumber.get(demandNumber);
-        arrived = null;
-        gathered.clear();
+        Query query = pendingQuery;
+        List<ShardRequest> shardRequests = List.copyOf(pendingShardRequests);
+        OpenQuery openQuery = openQueriesByDemand.get(currentDemand);
+        pendingQuery = null;
+        pendingShardRequests.clear();
         if (query != null) {
             module.query(now, query, shardRequests);
-        } else if (open != null) {
-            module.fetchPhase(now, open.id, shardRequests);
+        } else if (openQuery != null) {
+            module.fetchPhase(now, openQuery.id, shardRequests);
         }
     }
 
     /** A query is over. */
-    void forget(long query) {
-        Float demand = demandNumbers.remove(query);
+    void removeQuery(long query) {
+        Float demand = demandByQueryId.remove(query);
         if (demand != null) {
-            byDemandNumber.remove(demand);
+            openQueriesByDemand.remove(demand);
         }
     }
 
@@ -107,22 +107,22 @@
     @Override
     public void answer(long query, boolean complete) {
         out.answer(number, query, complete);
-        Float demand = demandNumbers.get(query);
-        if (demand != null && --byDemandNumber.get(demand).answersLeft == 0) {
-            forget(query);
+        Float demand = demandByQueryId.get(query);
+        if (demand != null && --openQueriesByDemand.get(demand).remainingAnswers == 0) {
+            removeQuery(query);
         }
     }
 
     @Override
     public void reject(long query, double retryAfterMs) {
         out.reject(number, query, retryAfterMs);
-        forget(query);
+        removeQuery(query);
     }
 
     @Override
     public void fail(long query) {
         out.fail(number, query);
-        forget(query);
+        removeQuery(query);
     }
 
     @Override
--- a/src/main/java/reeldeal/simulator/EventRecord.java
+++ b/src/main/java/reeldeal/simulator/EventRecord.java
@@ -17,7 +17,7 @@
  */
 final class EventRecord {
     /** The length of a record. */
-    static final int BYTES = 56;
+    static final int RECORD_BYTES = 56;
 
     static final int INSTANCE_ENDED = 2;
     static final int ATTEMPT_ENDED = 3;
@@ -30,12 +30,12 @@
     static final int TIMER_DUE = 11;
 
     /** How many lists of servers the simulator numbers. */
-    static final int LISTS = 16;
+    static final int MAX_LISTS = 16;
 
     private static final int FIRST_CODE = 1;
     private static final int LAST_CODE = 11;
     private static final int LIST_ENTRY_BYTES = 21;
-    private static final int MOST_LOAD_COLUMNS = 4;
+    private static final int MAX_LOAD_COLUMNS = 4;
     private static final int RETRY_FLAG = 2;
 
     /** Outcomes by their code. */
@@ -61,13 +61,13 @@
     private final BatchReader.Batch batch;
     private final ByteBuffer body;
     private final int index;
-    private final int start;
+    private final int recordStart;
 
     EventRecord(BatchReader.Batch batch, int index) {
         this.batch = batch;
         this.index = index;
         body = batch.body();
-        start = index * BYTES;
+        recordStart = index * RECORD_BYTES;
     }
 
     /** What happened; throws MalformedBatchException where there is no such code. */
@@ -81,7 +81,7 @@
 
     /** The instance that it happened to. */
     int instance() {
-        return body.getInt(start + 1);
+        return body.getInt(recordStart + 1);
     }
 
     /**
@@ -89,18 +89,18 @@
      * #CLIENT_DISCONNECTED}.
      */
     long id() {
-        return body.getLong(start + 5);
+        return body.getLong(recordStart + 5);
     }
 
     // ---- INSTANCE_STARTED ----
 
     long seed() {
-        return body.getLong(start + 5);
+        return body.getLong(recordStart + 5);
     }
 
     String settings() {
-        int from = tail(13, 1, "settings");
-        byte[] text = new byte[body.getInt(start + 17)];
+        int from = tailOffset(13, 1, "settings");
+        byte[] text = new byte[body.getInt(recordStart + 17)];
         body.get(from, text);
         return new String(text, StandardCharsets.UTF_8);
     }
@@ -115,8 +115,8 @@
         return outcome(18);
     }
 
-    double attemptMs() {
-        return body.getDouble(start + 19);
+    double attemptElapsedMs() {
+        return body.getDouble(recordStart + 19);
     }
 
     double[] attemptLoad() {
@@ -126,15 +126,15 @@
     // ---- PROBE_ENDED ----
 
     long probedServer() {
-        return body.getInt(start + 6) & 0xffffffffL;
+        return body.getInt(recordStart + 6) & 0xffffffffL;
     }
 
     Outcome probeOutcome() {
         return outcome(5);
     }
 
-    double probeMs() {
-        return body.getDouble(start + 10);
+    double probeElapsedMs() {
+        return body.getDouble(recordStart + 10);
     }
 
     double[] probeLoad() {
@@ -144,61 +144,61 @@
     // ---- TIMER_DUE ----
 
     int timerToken() {
-        return body.getInt(start + 5);
+        return body.getInt(recordStart + 5);
     }
 
     // ---- DEMAND: a query, or one of its shard requests ----
 
     boolean isShardRequest() {
-        return body.getFloat(start + 44) >= 0;
+        return body.getFloat(recordStart + 44) >= 0;
     }
 
     /** Joins a query and its shard requests. */
     float demandNumber() {
-        return body.getFloat(start + 40);
+        return body.getFloat(recordStart + 40);
     }
 
     ShardRequest shardRequest() {
-        int shard = (int) body.getFloat(start + 44);
-        float weight = body.getFloat(start + 48);
+        int shard = (int) body.getFloat(recordStart + 44);
+        float weight = body.getFloat(recordStart + 48);
         return new ShardRequest(id(), shard, weight, demandKey());
     }
 
     Query query() {
         int classIndex = unsignedByte(13);
-        int tenant = body.getShort(start + 14) & 0xffff;
-        double deadlineMs = body.getDouble(start + 24);
-        boolean retry = (body.get(start + 52) & RETRY_FLAG) != 0;
+        int tenant = body.getShort(recordStart + 14) & 0xffff;
+        double deadlineMs = body.getDouble(recordStart + 24);
+        boolean retry = (body.get(recordStart + 52) & RETRY_FLAG) != 0;
         return new Query(id(), classIndex, tenant, demandKey(), deadlineMs, retry);
     }
 
     private long demandKey() {
-        return body.getLong(start + 16);
+        return body.getLong(recordStart + 16);
     }
 
     // ---- SERVER_LIST and LIST_CHANGED ----
 
     /** The number under which {@link #SERVER_LIST} stores a list. */
-    int storedList() {
+    int storedListNumber() {
         return listNumber(1);
     }
 
     /** The number of the list that {@link #LIST_CHANGED} refers to. */
-    int changedList() {
+    int changedListNumber() {
         return listNumber(14);
     }
 
     EndpointListKind listKind() {
-        int form = unsignedByte(5);
-        if (form < 1 || form > LIST_KINDS.size()) {
-            throw malformed("unknown form of list " + form);
+        int kindCode = unsignedByte(5);
+        if (kindCode < 1 || kindCode > LIST_KINDS.size()) {
+            throw malformed("unknown form of list " + kindCode);
         }
-        return LIST_KINDS.get(form - 1);
+        return LIST_KINDS.get(kindCode - 1);
     }
 
     List<Server> servers() {
-        int from = tail(3, LIST_ENTRY_BYTES, "list of servers");
-        int count = body.getInt(start + 7);
+        int from = tailOffset(3, LIST_ENTRY_BYTES, "list of servers");
+        int count = body.getInt(recordStart + 7);
         List<Server> servers = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             servers.add(server(from + i * LIST_ENTRY_BYTES));
@@ -206,71 +206,71 @@
         return List.copyOf(servers);
     }
 
-    private Server server(int at) {
+    private Server server(int offset) {
         EndpointState state =
-                switch (body.get(at)) {
+                switch (body.get(offset)) {
                     case 0 -> EndpointState.REMOVED;
                     case 2 -> EndpointState.DRAINING;
                     default -> EndpointState.READY;
                 };
-        int zone = body.get(at + 1) & 0xff;
-        double startedMs = body.getDouble(at + 2);
-        long id = body.getInt(at + 10) & 0xffffffffL;
-        int cell = body.getShort(at + 14) & 0xffff;
-        float size = body.getFloat(at + 16);
-        int kind = body.get(at + 20) & 0xff;
+        int zone = body.get(offset + 1) & 0xff;
+        double startedMs = body.getDouble(offset + 2);
+        long id = body.getInt(offset + 10) & 0xffffffffL;
+        int cell = body.getShort(offset + 14) & 0xffff;
+        float size = body.getFloat(offset + 16);
+        int kind = body.get(offset + 20) & 0xff;
         return new Server(id, zone, cell, startedMs, size, kind, state);
     }
 
     // ---- fields ----
 
-    private int unsignedByte(int field) {
-        return body.get(start + field) & 0xff;
+    private int unsignedByte(int fieldOffset) {
+        return body.get(recordStart + fieldOffset) & 0xff;
     }
 
-    private int listNumber(int field) {
-        int number = body.getShort(start + field) & 0xffff;
-        if (number >= LISTS) {
+    private int listNumber(int fieldOffset) {
+        int number = body.getShort(recordStart + fieldOffset) & 0xffff;
+        if (number >= MAX_LISTS) {
             throw malformed("impossible list number " + number);
         }
         return number;
     }
 
-    private Outcome outcome(int field) {
-        int code = unsignedByte(field);
+    private Outcome outcome(int fieldOffset) {
+        int code = unsignedByte(fieldOffset);
         if (code >= OUTCOMES.size()) {
             throw malformed("unknown outcome " + code);
         }
         return OUTCOMES.get(code);
     }
 
-    private double[] load(int field) {
-        double[] values = new double[Math.min(MOST_LOAD_COLUMNS, unsignedByte(field))];
+    private double[] load(int fieldOffset) {
+        double[] values = new double[Math.min(MAX_LOAD_COLUMNS, unsignedByte(fieldOffset))];
         for (int i = 0; i < values.length; i++) {
-            values[i] = body.getFloat(start + field + 1 + 4 * i);
+            values[i] = body.getFloat(recordStart + fieldOffset + 1 + 4 * i);
         }
         return values;
     }
 
     /** Where a slice of the tail begins, given by its offset and its count of units. */
-    private int tail(int field, long unitBytes, String what) {
-        long offset = body.getInt(start + field) & 0xffffffffL;
-        long length = (body.getInt(start + field + 4) & 0xffffffffL) * unitBytes;
-        long tail = (long) batch.count() * BYTES;
-        if (tail + offset + length > body.limit()) {
+    private int tailOffset(int fieldOffset, long unitBytes, String content) {
+        long offset = body.getInt(recordStart + fieldOffset) & 0xffffffffL;
+        long length = (body.getInt(recordStart + fieldOffset + 4) & 0xffffffffL) * unitBytes;
+        long tailStart = (long) batch.count() * RECORD_BYTES;
+        if (tailStart + offset + length > body.limit()) {
             throw malformed(
-                    what
+                    content
                             + " at offset "
                             + offset
                             + " with "
                             + length
                             + " bytes lies outside the tail");
         }
-        return (int) (tail + offset);
+        return (int) (tailStart + offset);
     }
 
-    private MalformedBatchException malformed(String what) {
+    private MalformedBatchException malformed(String problem) {
         return new MalformedBatchException(
-                "batch " + batch.number() + ", record " + index + ": " + what);
+                "batch " + batch.number() + ", record " + index + ": " + problem);
     }
 }
--- a/src/main/java/reeldeal/simulator/InstanceHost.java
+++ b/src/main/java/reeldeal/simulator/InstanceHost.java
@@ -19,40 +19,41 @@
     InstanceHost(ActionWriter out, PrintStream errors) {
         this.out = out;
         this.errors = errors;
-        for (int i = 0; i < EventRecord.LISTS; i++) {
+        for (int i = 0; i < EventRecord.MAX_LISTS; i++) {
             serverLists.add(List.of());
         }
     }
 
     /** Plays one batch; the actions end up in the writer. */
-    void play(BatchReader.Batch batch) {
+    void handleBatch(BatchReader.Batch batch) {
         double now = batch.now();
         for (int i = 0; i < batch.count(); i++) {
             handle(now, batch.event(i));
         }
         for (Map.Entry<Integer, BrokerInstance> instance : List.copyOf(instances.entrySet())) {
-            guarded(instance.getKey(), () -> instance.getValue().submitGathered(now));
+            runIsolated(instance.getKey(), () -> instance.getValue().submitPending(now));
         }
     }
 
     private void handle(double now, EventRecord event) {
         switch (event.code()) {
-            case EventRecord.SERVER_LIST -> serverLists.set(event.storedList(), event.servers());
-            case EventRecord.INSTANCE_STARTED -> start(now, event);
+            case EventRecord.SERVER_LIST ->
+                    serverLists.set(event.storedListNumber(), event.servers());
+            case EventRecord.INSTANCE_STARTED -> startInstance(now, event);
             case EventRecord.INSTANCE_ENDED -> instances.remove(event.instance());
             default -> {
                 BrokerInstance instance = instances.get(event.instance());
                 if (instance != null) {
-                    guarded(event.instance(), () -> handle(now, event, instance));
+                    runIsolated(event.instance(), () -> handle(now, event, instance));
                 }
             }
         }
     }
 
-    private void start(double now, EventRecord event) {
+    private void startInstance(double now, EventRecord event) {
         int number = event.instance();
         String settings = event.settings();
-        guarded(
+        runIsolated(
                 number,
                 () ->
                         instances.put(
@@ -68,7 +69,7 @@
      * An instance that throws is reported and removed; input that cannot be read ends the whole
      * adapter.
      */
-    private void guarded(int number, Runnable task) {
+    private void runIsolated(int number, Runnable task) {
         try {
             task.run();
         } catch (MalformedBatchException e) {
@@ -89,11 +90,11 @@
                                     event.id(),
                                     event.attempt(),
                                     event.attemptOutcome(),
-                                    event.attemptMs(),
+                                    event.attemptElapsedMs(),
                                     event.attemptLoad());
             case EventRecord.CLIENT_DISCONNECTED -> {
                 instance.module(now).clientDisconnected(now, event.id());
-                instance.forget(event.id());
+                instance.removeQuery(event.id());
             }
             case EventRecord.DEMAND -> {
                 if (event.isShardRequest()) {
@@ -102,14 +103,14 @@
                     instance.addQuery(now, event.demandNumber(), event.query());
                 }
             }
-            case EventRecord.LIST_CHANGED -> changeList(now, event, instance);
+            case EventRecord.LIST_CHANGED -> changeServerList(now, event, instance);
             case EventRecord.PROBE_ENDED ->
                     instance.module(now)
                             .probed(
                                     now,
                                     event.probedServer(),
                                     event.probeOutcome(),
-                                    event.probeMs(),
+                                    event.probeElapsedMs(),
                                     event.probeLoad());
             case EventRecord.TIMER_DUE -> instance.module(now).timer(now, event.timerToken());
             default -> {
@@ -118,10 +119,12 @@
         }
     }
 
-    private void changeList(double now, EventRecord event, BrokerInstance instance) {
+    private void changeServerList(double now, EventRecord event, BrokerInstance instance) {
         EndpointListKind kind = event.listKind();
         List<Server> servers =
-                kind == EndpointListKind.FAILED ? List.of() : serverLists.get(event.changedList());
+                kind == EndpointListKind.FAILED
+                        ? List.of()
+                        : serverLists.get(event.changedListNumber());
         instance.module(now).servers(now, kind, servers);
     }
 }
--- a/src/main/java/reeldeal/simulator/SimulatorAdapter.java
+++ b/src/main/java/reeldeal/simulator/SimulatorAdapter.java
@@ -11,7 +11,7 @@
 public final class SimulatorAdapter {
     private static final String SUBCOMMAND = "benchlink";
     private static final int BUFFER_BYTES = 1 << 16;
-    private static final int MALFORMED_INPUT = 2;
+    private static final int EXIT_MALFORMED_INPUT = 2;
 
     private SimulatorAdapter() {}
 
@@ -19,7 +19,7 @@
     public static void main(String[] args) throws IOException {
         if (args.length != 1 || !args[0].equals(SUBCOMMAND)) {
             System.err.println("usage: java -jar reeldeal.jar benchlink");
-            System.exit(MALFORMED_INPUT);
+            System.exit(EXIT_MALFORMED_INPUT);
         }
         System.exit(
                 run(
@@ -34,13 +34,13 @@
         InstanceHost host = new InstanceHost(writer, errors);
         try {
             for (BatchReader.Batch batch = reader.next(); batch != null; batch = reader.next()) {
-                host.play(batch);
+                host.handleBatch(batch);
                 writer.flush(out, batch.number());
             }
             return 0;
         } catch (MalformedBatchException e) {
             errors.println("reeldeal: " + e.getMessage());
-            return MALFORMED_INPUT;
+            return EXIT_MALFORMED_INPUT;
         }
     }
 }
--- a/src/test/java/reeldeal/core/AttemptEndTest.java
+++ b/src/test/java/reeldeal/core/AttemptEndTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void whatWasNotWrittenHasNotRunHoweverItEnded() {
+    void anUnsentAttemptNeverRanHoweverItEnded() {
         assertEquals(Outcome.CONNECT_FAILED, new AttemptEnd.Broken(Reach.UNSENT, "r").outcome());
         assertEquals(
                 Outcome.CONNECT_FAILED, new AttemptEnd.Abandoned(Reach.UNSENT, true).outcome());
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void whatWasWrittenMayHaveRun() {
+    void aSentAttemptMayHaveRun() {
         assertEquals(Outcome.RESET, new AttemptEnd.Broken(Reach.SENT, "r").outcome());
         assertEquals(Outcome.TIMEOUT, new AttemptEnd.Abandoned(Reach.SENT, true).outcome());
         assertEquals(Outcome.CANCELLED, new AttemptEnd.Abandoned(Reach.SENT, false).outcome());
--- a/src/test/java/reeldeal/core/OutgoingCallsTest.java
+++ b/src/test/java/reeldeal/core/OutgoingCallsTest.java
@@ -12,11 +12,11 @@
 class OutgoingCallsTest {
     private final SearcherDirectory searchers = new SearcherDirectory(List.of("a"), List.of());
     private final OutgoingCalls calls = new OutgoingCalls(2);
-    private final long searcher;
+    private final long searcherId;
 
     OutgoingCallsTest() {
         searchers.update(EndpointListKind.COMPLETE, List.of(ReducerFixture.searcher("s", "h:1")));
-        searcher = searchers.findId("s");
+        searcherId = searchers.findId("s");
     }
 
     private static Effect.Send send(long shardRequestId) {
@@ -24,7 +24,7 @@
         return new Effect.Send(shardRequestId, 0, request, 0, 2000, 2000, null);
     }
 
-    private List<List<Long>> drained() {
+    private List<List<Long>> drainedIds() {
         List<Effect> effects = new ArrayList<>();
         calls.drainTo(effects, searchers);
         return effects.stream()
@@ -36,26 +36,26 @@
     @Test
     void sendsAreDrainedInOrderInCallsOfLimitedSize() {
         for (long id = 1; id <= 3; id++) {
-            calls.add(searcher, send(id));
+            calls.add(searcherId, send(id));
         }
-        assertEquals(List.of(List.of(1L, 2L), List.of(3L)), drained());
-        assertEquals(List.of(), drained());
+        assertEquals(List.of(List.of(1L, 2L), List.of(3L)), drainedIds());
+        assertEquals(List.of(), drainedIds());
     }
 
     @Test
     void aWithdrawnAttemptIsNotSent() {
-        calls.add(searcher, send(1));
-        calls.add(searcher, send(2));
+        calls.add(searcherId, send(1));
+        calls.add(searcherId, send(2));
         assertTrue(calls.withdraw(1, 0));
         assertFalse(calls.withdraw(1, 0));
-        assertEquals(List.of(List.of(2L)), drained());
+        assertEquals(List.of(List.of(2L)), drainedIds());
     }
 
     @Test
     void allSendsToASearcherCanBeWithdrawn() {
-        calls.add(searcher, send(1));
-        assertEquals(List.of(send(1)), calls.withdrawAll(searcher));
-        assertEquals(List.of(), calls.withdrawAll(searcher));
-        assertEquals(List.of(), drained());
+        calls.add(searcherId, send(1));
+        assertEquals(List.of(send(1)), calls.withdrawAll(searcherId));
+        assertEquals(List.of(), calls.withdrawAll(searcherId));
+        assertEquals(List.of(), drainedIds());
     }
 }
--- a/src/test/java/reeldeal/core/ReducerTest.java
+++ b/src/test/java/reeldeal/core/ReducerTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void importedStatsApplyToTheProcessTheyWereObservedOfOnceItIsListed() {
+    void importedStatsApplyOnceTheObservedProcessIsListed() {
         Event.ImportedServerStats ejected =
                 new Event.ImportedServerStats(5, new ServerStats(true, true, 2));
         fixture.tick(new Event.ServerStatsImported(Map.of("t", ejected, "u", ejected)));
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void requestsBeyondTheBoundAreRejectedWithADelay() {
+    void requestsBeyondMaxInFlightAreRejectedWithADelay() {
         for (long id = 1; id <= 5; id++) {
             fixture.tick(arrival(id, 4));
         }
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aDeadlineThatTheModuleMissesIsAnsweredOnce() {
+    void aRequestThatTheModuleLeavesUnansweredIsAnsweredOnceAtItsDeadline() {
         fixture.tick(arrival(1, 1));
         fixture.tickAt(1995, new Event.DeadlineDue(1));
         assertEquals(1, fixture.answers().size());
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void withoutHedgingASecondAttemptIsFencedWhoeverDecidesIt() {
+    void withoutHedgingASecondAttemptIsNotSent() {
         fixture.tick(arrival(1, 1));
         assertEquals(1, fixture.calls().size());
         long server = ((0xcbf29ce484222325L ^ 's') * 0x100000001b3L) >>> 12;
@@ -116,15 +116,15 @@
                 fixture.answers());
         assertEquals(List.of(), fixture.calls());
         fixture.tick(new Event.ClientDisconnected(1));
-        int before = fixture.reducer.remembered();
+        int before = fixture.reducer.retainedEntries();
         fixture.tickAt(4000, sameName);
         assertEquals(1, fixture.calls().size());
-        assertEquals(before, fixture.reducer.remembered());
+        assertEquals(before, fixture.reducer.retainedEntries());
     }
 
     @Test
     void searchersThatAreRemovedOrNoLongerListedAreForgotten() {
-        int before = fixture.reducer.remembered();
+        int before = fixture.reducer.retainedEntries();
         for (int i = 0; i < 50; i++) {
             fixture.now += 100;
             String name = "new" + i;
@@ -139,7 +139,7 @@
                     fixture.effectsOf(Effect.StopSending.class).stream()
                             .anyMatch(stop -> stop.searcher().address().equals("h:2")));
         }
-        assertEquals(before, fixture.reducer.remembered());
+        assertEquals(before, fixture.reducer.retainedEntries());
     }
 
     @Test
--- a/src/test/java/reeldeal/core/SearcherDirectoryTest.java
+++ b/src/test/java/reeldeal/core/SearcherDirectoryTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void zonesAreIndexesForTheDecisionModule() {
+    void zonesAndKindsAreConvertedToIndexes() {
         Server server = update(EndpointListKind.CHANGES, searcher("s", "h:1")).servers().get(0);
         assertEquals(1, server.zone());
         assertEquals(0, server.kind());
--- a/src/test/java/reeldeal/core/SendRulesTest.java
+++ b/src/test/java/reeldeal/core/SendRulesTest.java
@@ -46,13 +46,13 @@
         shardRequest.startAttempt(0);
         shardRequest.endAttempt(0, new AttemptEnd.Served(1, "in"));
         assertFalse(rules.maySend(shardRequest, shardRequest.startAttempt(10)));
-        PendingShardRequest completed = new PendingShardRequest(2, shardRequest.request, 0);
+        PendingShardRequest completed = new PendingShardRequest(2, shardRequest.parent, 0);
         completed.completed = true;
         assertFalse(rules.maySend(completed, completed.startAttempt(10)));
     }
 
     @Test
-    void withoutAKeyThereIsNoLimitOfTheTimeOfSending() {
+    void withoutAKeyTheSendTimeIsUnlimited() {
         shardRequest.startAttempt(100);
         assertEquals(Double.POSITIVE_INFINITY, rules.sendByMs(shardRequest));
     }
--- a/src/test/java/reeldeal/endpoints/DepartureTest.java
+++ b/src/test/java/reeldeal/endpoints/DepartureTest.java
@@ -9,11 +9,11 @@
 public class DepartureTest {
     @Test
     public void aDepartureIsFormattedAndParsedAsOneLine() {
-        Departure vanished = new Departure("s1.example.org.", 1_700_000_000_000L, 2, true);
+        Departure unlisted = new Departure("s1.example.org.", 1_700_000_000_000L, 2, true);
         Departure draining = new Departure("s1", 5, 0, false);
-        assertEquals("s1.example.org. 1700000000000 2 gone", vanished.format());
+        assertEquals("s1.example.org. 1700000000000 2 gone", unlisted.format());
         assertEquals("s1 5 0 draining", draining.format());
-        assertEquals(vanished, Departure.parse(vanished.format()));
+        assertEquals(unlisted, Departure.parse(unlisted.format()));
         assertEquals(draining, Departure.parse(draining.format()));
     }
 
--- a/src/test/java/reeldeal/endpoints/EndpointHistoryTest.java
+++ b/src/test/java/reeldeal/endpoints/EndpointHistoryTest.java
@@ -56,14 +56,14 @@
             versions.clear();
             now = 1_000_000;
             for (int step = 0; step < STEPS; step++) {
-                now += oneOf(5) ? random.nextInt(20_000) : random.nextInt(500);
+                now += oneIn(5) ? random.nextInt(20_000) : random.nextInt(500);
                 digest.update(step(rules).getBytes(UTF_8));
             }
         }
         return HexFormat.of().formatHex(digest.digest());
     }
 
-    private boolean oneOf(int chances) {
+    private boolean oneIn(int chances) {
         return random.nextInt(chances) == 0;
     }
 
@@ -74,22 +74,25 @@
         if (kind < 12) {
             text.append(observe());
         } else if (kind == 12) {
-            view.expired(now, randomSource());
+            view.expireSource(now, randomSource());
         } else if (kind == 13) {
             view.forgetVersion(randomSource());
         } else if (kind < 16) {
             setOverrides();
-        } else if (kind == 16 && oneOf(9)) {
-            String saved = view.saved();
+        } else if (kind == 16 && oneIn(9)) {
+            String saved = view.departuresAsText();
             view = new EndpointView(rules, SOURCES);
             view.restore(now, saved + "x y\nn1. 12 3 gone\n");
         } else {
-            boolean waitUntilDue = random.nextBoolean() && view.due() < Long.MAX_VALUE;
-            now = waitUntilDue ? Math.max(now, view.due()) : now;
+            boolean waitUntilDue = random.nextBoolean() && view.nextTickAt() < Long.MAX_VALUE;
+            now = waitUntilDue ? Math.max(now, view.nextTickAt()) : now;
             view.tick(now);
         }
-        text.append(view.due()).append(view.takeLog()).append(view.view()).append(view.saved());
-        return oneOf(2) ? text.append(view.takeChanges()).toString() : text.toString();
+        text.append(view.nextTickAt())
+                .append(view.takeLog())
+                .append(view.entries())
+                .append(view.departuresAsText());
+        return oneIn(2) ? text.append(view.takeChanges()).toString() : text.toString();
     }
 
     private String randomSource() {
@@ -99,8 +102,8 @@
     private boolean observe() {
         String source = randomSource();
         List<EndpointReport> reports = new ArrayList<>();
-        for (int i = 0; !oneOf(8) && i < NAMES; i++) {
-            for (int copies = oneOf(5) ? 2 : oneOf(5) ? 0 : 1; copies > 0; copies--) {
+        for (int i = 0; !oneIn(8) && i < NAMES; i++) {
+            for (int copies = oneIn(5) ? 2 : oneIn(5) ? 0 : 1; copies > 0; copies--) {
                 reports.add(report(i));
             }
         }
@@ -108,7 +111,7 @@
         if (source.equals("discovery")) {
             return view.observe(now, source, -1, reports);
         }
-        if (oneOf(8)) {
+        if (oneIn(8)) {
             return view.observe(now, source, version - 1, reports);
         }
         versions.put(source, version + 1);
@@ -116,13 +119,13 @@
     }
 
     private EndpointReport report(int i) {
-        List<String> addresses = List.of("h:" + (oneOf(10) ? 77 : i));
-        if (oneOf(8)) {
+        List<String> addresses = List.of("h:" + (oneIn(10) ? 77 : i));
+        if (oneIn(8)) {
             addresses = List.of();
-        } else if (oneOf(6)) {
+        } else if (oneIn(6)) {
             addresses = List.of("10.0.0." + (9 + random.nextInt(3)) + ":1", "10.0.0.2:1");
         }
-        List<Integer> cells = oneOf(10) ? List.of() : oneOf(8) ? List.of(2, 1) : List.of(i % 3);
+        List<Integer> cells = oneIn(10) ? List.of() : oneIn(8) ? List.of(2, 1) : List.of(i % 3);
         return new EndpointReport(
                 "set" + (i % 2) * random.nextInt(2),
                 "n" + i + ".",
@@ -132,9 +135,9 @@
                 cells,
                 "z" + i % 2,
                 "k",
-                oneOf(4) ? now - random.nextInt(3_000) : 0,
+                oneIn(4) ? now - random.nextInt(3_000) : 0,
                 1 + random.nextInt(2),
-                oneOf(7) ? EndpointState.DRAINING : EndpointState.READY,
+                oneIn(7) ? EndpointState.DRAINING : EndpointState.READY,
                 addresses.isEmpty() && cells.isEmpty());
     }
 
@@ -142,15 +145,15 @@
         Map<String, AdministrativeOverride> overrides = new HashMap<>();
         Set<String> drainedByFleet = new HashSet<>();
         for (int i = 0; i < NAMES; i++) {
-            if (oneOf(6)) {
+            if (oneIn(6)) {
                 String name = "n" + i + (random.nextBoolean() ? "." : "");
                 overrides.put(name, OVERRIDES.get(random.nextInt(3)));
             }
-            if (oneOf(6)) {
+            if (oneIn(6)) {
                 drainedByFleet.add("n" + i + ".");
             }
         }
-        if (oneOf(4)) {
+        if (oneIn(4)) {
             view.setOverrides(now, overrides);
         } else {
             view.setOverrides(now, overrides, drainedByFleet);
--- a/src/test/java/reeldeal/endpoints/EndpointViewTest.java
+++ b/src/test/java/reeldeal/endpoints/EndpointViewTest.java
@@ -41,7 +41,7 @@
                 addresses.isEmpty() && cells.length == 0);
     }
 
-    private static EndpointReport with(
+    private static EndpointReport copyOf(
             EndpointReport report,
             EndpointState state,
             double startedMs,
@@ -59,23 +59,23 @@
                 startedMs,
                 report.size(),
                 state,
-                report.bare());
+                report.withoutRecords());
     }
 
     private static EndpointReport withWeight(EndpointReport report, int weight) {
-        return with(report, EndpointState.READY, 0, 0, weight);
+        return copyOf(report, EndpointState.READY, 0, 0, weight);
     }
 
     private static EndpointReport withPriority(EndpointReport report, int priority) {
-        return with(report, EndpointState.READY, 0, priority, 0);
+        return copyOf(report, EndpointState.READY, 0, priority, 0);
     }
 
     private static EndpointReport startedAt(EndpointReport report, double startedMs) {
-        return with(report, EndpointState.READY, startedMs, 0, 0);
+        return copyOf(report, EndpointState.READY, startedMs, 0, 0);
     }
 
     private static EndpointReport draining(EndpointReport report) {
-        return with(report, EndpointState.DRAINING, 0, 0, 0);
+        return copyOf(report, EndpointState.DRAINING, 0, 0, 0);
     }
 
     private boolean observe(String source, long version, EndpointReport... reports) {
@@ -89,7 +89,7 @@
 
     /** State and address of a published name, "-" where it is not listed. */
     private String published(String name) {
-        return view.view().stream()
+        return view.entries().stream()
                 .filter(
                         e ->
                                 e.searcher().name().equals(name)
@@ -100,7 +100,7 @@
     }
 
     private EndpointView.Entry entry(String name) {
-        return view.view().stream()
+        return view.entries().stream()
                 .filter(e -> e.searcher().name().equals(name))
                 .findFirst()
                 .orElseThrow();
@@ -128,7 +128,7 @@
     }
 
     @Test
-    public void aNameThatLeftIsRemovedAfterAWhile() {
+    public void aNameThatLeftIsRemovedAfterTheDrainingPeriod() {
         observe("z1", 1, S1, S2);
         observe("z1", 2, S2);
         advance(RULES.goneAfterMs());
@@ -152,7 +152,7 @@
     }
 
     @Test
-    public void anEmptySetThatIsFilledAgainWithinTheGraceChangesNothing() {
+    public void anEmptySetThatIsFilledAgainWithinTheGracePeriodChangesNothing() {
         observe("z1", 1, S1, S2);
         observe("z1", 2);
         advance(200);
@@ -163,7 +163,7 @@
     }
 
     @Test
-    public void anEmptySetDrainsItsSearchersAfterTheGrace() {
+    public void anEmptySetDrainsItsSearchersAfterTheGracePeriod() {
         observe("z1", 1, S1, S2);
         observe("z1", 2);
         advance(RULES.emptyGraceMs() - 1);
@@ -194,7 +194,7 @@
     }
 
     @Test
-    public void anInvalidReportHoldsTheLastValidOneForAWhile() {
+    public void theLastValidReportIsHeldWhileOnlyInvalidOnesAreListed() {
         observe("z1", 2, report("new", "h:9", 2), S2);
         observe("z1", 3, report("new", "", 2), S2);
         advance(RULES.holdMs() - 1);
@@ -211,7 +211,7 @@
     }
 
     @Test
-    public void aNameWithoutAnyRecordsIsHeldForTheGraceOnly() {
+    public void aNameWithoutAnyRecordsIsHeldForTheGracePeriodOnly() {
         observe("z1", 6, report("new", "h:10", 2), S2);
         observe("z1", 7, report("new", ""), S2);
         advance(RULES.emptyGraceMs());
@@ -225,7 +225,7 @@
     }
 
     @Test
-    public void ofSeveralReportsThePriorityThenThePublishedAddressThenTheWeightCounts() {
+    public void reportsAreChosenByPriorityThenPublishedAddressThenWeight() {
         observe("z1", 1, withPriority(S1, 5), withPriority(report("s1", "h:7", 0), 1));
         assertEquals("the lowest priority", "READY h:7", published("s1"));
         observe("z1", 2, report("s1", "h:7", 0), withWeight(report("s1", "h:8", 0), 100));
@@ -236,7 +236,7 @@
     }
 
     @Test
-    public void ofSeveralAddressesAndCellsThePublishedThenTheLowestCounts() {
+    public void thePublishedAddressAndCellAreKeptOtherwiseTheLowestIsChosen() {
         observe("z1", 4, report("u", "10.0.0.10:1,10.0.0.9:1", 4, 3));
         assertEquals("the lowest address", "READY 10.0.0.9:1", published("u"));
         assertEquals("the lowest cell", 3, searcher("u").cell());
@@ -251,7 +251,7 @@
     }
 
     @Test
-    public void anOldCopyRevivesNoSearcher() {
+    public void anObservationWithAnOlderVersionIsIgnored() {
         observe("z1", 5, S1, S2);
         observe("z1", 6, draining(S1), S2);
         assertFalse(observe("z1", 5, S1, S2));
@@ -262,7 +262,7 @@
     }
 
     @Test
-    public void aSourceOfALowerRankRevivesOnlyALaterProcess() {
+    public void aSourceOfALowerRankRelistsOnlyALaterProcess() {
         observe("z1", 5, S1, S2);
         observe("z1", 7, S2);
         assertEquals("DRAINING h:1", published("s1"));
@@ -284,16 +284,16 @@
     }
 
     @Test
-    public void departedNamesAreKnownAfterARestart() {
+    public void departedNamesAreRestoredAfterARestart() {
         observe("z1", 5, S1, S2);
         observe("discovery", -1, S1, S2);
         observe("z1", 6, S2);
         EndpointView restarted = new EndpointView(RULES, SOURCES);
-        restarted.restore(now + 10_000, view.saved() + "noise\nx y z\n");
+        restarted.restore(now + 10_000, view.departuresAsText() + "noise\nx y z\n");
         restarted.observe(now + 10_000, "z1", 6, List.of(S2));
         restarted.observe(now + 10_000, "discovery", -1, List.of(S1, S2));
         assertTrue(
-                restarted.view().stream()
+                restarted.entries().stream()
                         .noneMatch(
                                 e ->
                                         e.searcher().name().equals("s1")
@@ -302,12 +302,12 @@
         assertEquals(
                 "a new process, although it never left the restarted view",
                 (double) (now + 11_000),
-                restarted.view().get(0).searcher().startedMs(),
+                restarted.entries().get(0).searcher().startedMs(),
                 0);
     }
 
     @Test
-    public void theHighestRankDescribesANameAndADrainingStatusOfAnyRankCounts() {
+    public void theSourceOfHighestRankDescribesANameAndADrainingStatusOfAnySourceApplies() {
         observe("z2", 1, report("s1", "h:5", 0));
         assertEquals("READY h:5", published("s1"));
         observe("z1", 1, S1);
@@ -317,12 +317,12 @@
     }
 
     @Test
-    public void anExpiredSourceLeavesItsNamesToTheOthers() {
+    public void namesOfAnExpiredSourceAreTakenFromTheOtherSources() {
         observe("z1", 1, S1);
         observe("z2", 3, report("s1", "h:5", 0));
-        view.expired(now, "z1");
+        view.expireSource(now, "z1");
         assertEquals("READY h:5", published("s1"));
-        view.expired(now, "z2");
+        view.expireSource(now, "z2");
         assertEquals("listed nowhere", "DRAINING h:5", published("s1"));
         observe("z1", 0, S1);
         assertEquals("after expiry any serial counts", "READY h:1", published("s1"));
@@ -340,8 +340,8 @@
         }
         assertEquals("DRAINING h:1", published("s1"));
         assertTrue(reason("s1"), reason("s1").startsWith("damped: penalty 4"));
-        assertTrue("its end is known", view.due() < now + 20_000);
-        advance(view.due() - now);
+        assertTrue("its end is known", view.nextTickAt() < now + 20_000);
+        advance(view.nextTickAt() - now);
         assertEquals("READY h:1", published("s1"));
     }
 
@@ -359,7 +359,7 @@
     }
 
     @Test
-    public void anAdministrativeOverrideGoesBeforeAll() {
+    public void anAdministrativeOverrideTakesPrecedenceOverAllSources() {
         observe("z1", 1, S1, S2);
         view.setOverrides(
                 now,
@@ -416,7 +416,7 @@
                 for (int i = 0; i < NAMES; i++) {
                     checkName("n" + i, "seed " + seed + " step " + step + " n" + i);
                 }
-                checkChangesAddUpToTheView();
+                checkPublishedChangesMatchTheView();
             }
         }
 
@@ -429,10 +429,10 @@
                     reports.add(random.nextInt(6) == 0 ? draining(report) : report);
                 }
             }
-            boolean old = versions[source] > 1 && random.nextInt(5) == 0;
-            long version = old ? versions[source] - 1 : ++versions[source];
+            boolean older = versions[source] > 1 && random.nextInt(5) == 0;
+            long version = older ? versions[source] - 1 : ++versions[source];
             boolean accepted = view.observe(time, source == 0 ? "a" : "b", version, reports);
-            assertEquals(!old, accepted);
+            assertEquals(!older, accepted);
             if (accepted) {
                 latest.set(source, reports);
             }
@@ -464,12 +464,12 @@
 
         private boolean isDraining(int source, String name) {
             return latest.get(source).stream()
-                    .anyMatch(r -> r.name().equals(name) && r.listed() != EndpointState.READY);
+                    .anyMatch(r -> r.name().equals(name) && r.state() != EndpointState.READY);
         }
 
-        private void checkChangesAddUpToTheView() {
+        private void checkPublishedChangesMatchTheView() {
             Map<String, EndpointState> states = new HashMap<>();
-            view.view().forEach(e -> states.put(e.searcher().name(), e.searcher().state()));
+            view.entries().forEach(e -> states.put(e.searcher().name(), e.searcher().state()));
             published.forEach(
                     (name, searcher) ->
                             assertEquals(
--- a/src/test/java/reeldeal/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/reeldeal/simulator/SimulatorAdapterTest.java
@@ -52,8 +52,8 @@
                 .putInt(56 * records.length + tail.length)
                 .putDouble(240)
                 .putInt(9);
-        for (ByteBuffer r : records) {
-            all.put(r.duplicate().clear());
+        for (ByteBuffer record : records) {
+            all.put(record.duplicate().clear());
         }
         return all.put(tail).array();
     }
@@ -62,7 +62,7 @@
         return ByteBuffer.allocate(56).put(0, (byte) code).putInt(1, 3);
     }
 
-    private static byte[] started(String settings) {
+    private static byte[] startedBatch(String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         ByteBuffer tail = ByteBuffer.allocate(text.length + 21).put(text);
         tail.put((byte) 1)
@@ -101,7 +101,7 @@
 
     @Test
     void aQueryIsSentToTheServerOfTheList() throws IOException {
-        assertEquals(0, run(started(SETTINGS)));
+        assertEquals(0, run(startedBatch(SETTINGS)));
         ByteBuffer reply = ByteBuffer.wrap(out.toByteArray());
         assertEquals(74, reply.get(12));
         assertEquals(3, reply.getInt(13));
@@ -110,42 +110,43 @@
     }
 
     @Test
-    void aMissingOrMalformedSettingIsNamedInGiveIn() throws IOException {
-        for (String bad :
+    void aMissingOrMalformedSettingIsNamedInTheInstanceFailedAction() throws IOException {
+        for (String malformed :
                 new String[] {
                     SETTINGS.replace("Instances=1\n", ""),
                     SETTINGS.replace("Instances=1", "Instances=many")
                 }) {
             out.reset();
-            assertEquals(0, run(started(bad)));
+            assertEquals(0, run(startedBatch(malformed)));
             assertEquals(77, out.toByteArray()[12]);
             assertTrue(out.toString(StandardCharsets.UTF_8).contains("Instances"));
         }
     }
 
     @Test
-    void malformedFramesEndWithStatusTwoAndAPlainLine() throws IOException {
-        byte[] good = started(SETTINGS);
-        byte[] outside = started(SETTINGS);
+    void malformedBatchesEndWithStatusTwoAndOneErrorLine() throws IOException {
+        byte[] wellFormed = startedBatch(SETTINGS);
+        byte[] outside = startedBatch(SETTINGS);
         ByteBuffer.wrap(outside).putInt(20 + 17, 1 << 30);
-        byte[][] bad = {
-            Arrays.copyOf(good, 7),
-            Arrays.copyOf(good, good.length - 1),
+        byte[][] malformed = {
+            Arrays.copyOf(wellFormed, 7),
+            Arrays.copyOf(wellFormed, wellFormed.length - 1),
             ByteBuffer.allocate(20).putInt(9).array(),
             batch(new byte[0], event(99)),
             outside
         };
-        String[] said = {
+        String[] expectedMessages = {
             "truncated header",
             "truncated",
             "do not fit",
             "unknown event code 99",
             "outside the tail"
         };
-        for (int i = 0; i < bad.length; i++) {
+        for (int i = 0; i < malformed.length; i++) {
             errors.reset();
-            assertEquals(2, run(bad[i]));
-            assertTrue(errors.toString(UTF_8).contains(said[i]), errors.toString(UTF_8));
+            assertEquals(2, run(malformed[i]));
+            assertTrue(
+                    errors.toString(UTF_8).contains(expectedMessages[i]), errors.toString(UTF_8));
             assertEquals(1, errors.toString(UTF_8).lines().count());
         }
     }
