--- a/src/main/java/reeldeal/core/AttemptEnd.java
+++ b/src/main/java/reeldeal/core/AttemptEnd.java
@@ -3,28 +3,28 @@
 import reeldeal.decision.DecisionModule.Outcome;
 
 /**
- * How an attempt ended, and how far it had come. Produced by the transports to searchers, and by
- * the reducer for attempts that it keeps back; consumed by the reducer in {@link
- * Event.AttemptEnded}.
+ * The way in which an attempt ended, and whether its call was written by then. Produced by the
+ * transports to searchers, and by the reducer for attempts that it does not send; consumed by the
+ * reducer in {@link Event.AttemptEnded}.
  */
 public sealed interface AttemptEnd {
 
-    /** The outcome of this end for the decision module. */
+    /** Returns the outcome that the decision module is given for this end. */
     Outcome outcome();
 
-    /** How far the call of an attempt came on its way to the searcher. */
+    /** Whether the call of an attempt was written to the connection. */
     enum Reach {
-        /** The call was not written, or not to its last byte: the shard request never ran. */
+        /** The call was not written, or not completely, so that the shard request never ran. */
         UNSENT,
-        /** The whole call was written: the shard request may have run. */
+        /** The call was written completely, so that the shard request may have run. */
         SENT
     }
 
     /**
      * The searcher answered.
      *
-     * @param score by which the fetch phase chooses its shards; the higher the better
-     * @param value the shard's part of the query's answer
+     * @param score score of the shard; the fetch phase goes to the shards with the highest scores
+     * @param value the part of the query's answer that this shard contributes
      */
     record Served(double score, String value) implements AttemptEnd {
         @Override
@@ -33,7 +33,7 @@
         }
     }
 
-    /** The searcher answered with an error: the shard request may have run. */
+    /** The searcher answered with an error; the shard request may have run. */
     record Failed() implements AttemptEnd {
         @Override
         public Outcome outcome() {
@@ -41,7 +41,7 @@
         }
     }
 
-    /** The searcher rejected the shard request before any work on it. */
+    /** The searcher rejected the shard request before it did any work for it. */
     record Rejected() implements AttemptEnd {
         @Override
         public Outcome outcome() {
@@ -50,9 +50,10 @@
     }
 
     /**
-     * The connection could not be established, or broke.
+     * The connection could not be established, or it broke.
      *
-     * @param reason for people, never parsed
+     * @param reach whether the call was written before
+     * @param reason text for log lines; it is never parsed
      */
     record Broken(Reach reach, String reason) implements AttemptEnd {
         @Override
@@ -62,9 +63,11 @@
     }
 
     /**
-     * The broker stopped waiting.
+     * The broker stopped waiting for the attempt.
      *
-     * @param timedOut whether the timeout had run out; otherwise the decision module cancelled it
+     * @param reach whether the call was written before
+     * @param timedOut whether the attempt's timeout had expired; otherwise the decision module
+     *     cancelled the attempt
      */
     record Abandoned(Reach reach, boolean timedOut) implements AttemptEnd {
         @Override
@@ -76,7 +79,7 @@
         }
     }
 
-    /** The broker's own rules kept the attempt from being sent. */
+    /** The broker did not send the attempt, because its own rules did not allow it. */
     record Fenced() implements AttemptEnd {
         @Override
         public Outcome outcome() {
--- a/src/main/java/reeldeal/core/AttemptState.java
+++ b/src/main/java/reeldeal/core/AttemptState.java
@@ -1,11 +1,11 @@
 package reeldeal.core;
 
-/** One attempt of a shard request, as the reducer numbers them. */
+/** The state of one attempt of a shard request. The reducer numbers attempts from 0. */
 final class AttemptState {
     final double startedAtMs;
     boolean ended;
 
-    /** Whether its end proves that the shard request did not run. */
+    /** Whether the end of the attempt proves that the shard request did not run. */
     boolean neverRan;
 
     AttemptState(double startedAtMs) {
--- a/src/main/java/reeldeal/core/OutgoingCalls.java
+++ b/src/main/java/reeldeal/core/OutgoingCalls.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The sends of the current tick by searcher; they form calls at its end. */
+/** Collects the sends of the current tick by searcher, and forms calls of them at its end. */
 final class OutgoingCalls {
     private final int maxShardsPerCall;
     private final Map<Long, List<Effect.Send>> bySearcher = new LinkedHashMap<>();
@@ -14,18 +14,18 @@
         this.maxShardsPerCall = maxShardsPerCall;
     }
 
-    /** Adds a send to a searcher, by the searcher's id. */
+    /** Adds a send to the searcher with this id. */
     void add(long searcherId, Effect.Send send) {
         bySearcher.computeIfAbsent(searcherId, id -> new ArrayList<>()).add(send);
     }
 
-    /** Takes back all sends to a searcher. */
+    /** Removes and returns all sends to a searcher. */
     List<Effect.Send> withdrawAll(long searcherId) {
         List<Effect.Send> sends = bySearcher.remove(searcherId);
         return sends == null ? List.of() : sends;
     }
 
-    /** Takes back one attempt; returns false where it is not among the sends of this tick. */
+    /** Removes one attempt; returns false if it is not among the sends of this tick. */
     boolean withdraw(long shardRequestId, int attempt) {
         for (List<Effect.Send> sends : bySearcher.values()) {
             if (sends.removeIf(
@@ -36,7 +36,10 @@
         return false;
     }
 
-    /** Removes all sends, and adds them as calls of at most the layout's size. */
+    /**
+     * Removes all sends and adds them to the effects, as calls of at most as many shard requests as
+     * the layout allows in one call.
+     */
     void drainTo(List<Effect> effects, SearcherDirectory searchers) {
         bySearcher.forEach(
                 (searcherId, sends) -> {
--- a/src/main/java/reeldeal/core/PendingRequest.java
+++ b/src/main/java/reeldeal/core/PendingRequest.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** A request without a final answer: the shard requests of its current phase. */
+/** A request that has no final answer yet, with the shard requests of its current phase. */
 final class PendingRequest {
     private static final Comparator<PendingShardRequest> BEST_FIRST =
             Comparator.comparingDouble(
@@ -14,31 +14,36 @@
     final Request request;
     final List<PendingShardRequest> currentPhase = new ArrayList<>();
 
-    /** Set at the end of the query phase, where a fetch phase follows. */
+    /** The result of the query phase; set at its end if a fetch phase follows, null before. */
     Effect.QueryPhaseResult queryPhase;
 
     boolean fetchPhaseBegun;
 
-    /** Shard requests of both phases. */
+    /** Number of shard requests in both phases. */
     int shardRequestCount;
 
     PendingRequest(Request request) {
         this.request = request;
     }
 
-    /** The shard requests of the current phase that are answered. */
+    /** Returns the shard requests of the current phase that are answered. */
     List<PendingShardRequest> answered() {
         return currentPhase.stream().filter(shardRequest -> shardRequest.answer != null).toList();
     }
 
-    /** The best answers of the current phase, the highest score first, at most so many. */
+    /**
+     * Returns the answered shard requests of the current phase with the highest scores.
+     *
+     * @param limit maximum number of shard requests to return
+     * @return the shard requests, the highest score first
+     */
     List<PendingShardRequest> bestAnswers(int limit) {
         List<PendingShardRequest> best = new ArrayList<>(answered());
         best.sort(BEST_FIRST);
         return best.subList(0, Math.min(best.size(), limit));
     }
 
-    /** The key of the client's shard request for a shard; 0 where there is none. */
+    /** Returns the key of the client's shard request for a shard, or 0 if there is none. */
     long keyOfShard(int shard) {
         return request.shards().stream()
                 .filter(shardRequest -> shardRequest.shard() == shard)
@@ -47,7 +52,7 @@
                 .orElse(0);
     }
 
-    /** The final answer from the shard requests that are answered. */
+    /** Builds the final answer from the shard requests that are answered. */
     Reply.Served reply(boolean phaseComplete) {
         boolean complete = phaseComplete && (queryPhase == null || queryPhase.complete());
         return new Reply.Served(
--- a/src/main/java/reeldeal/core/PendingShardRequest.java
+++ b/src/main/java/reeldeal/core/PendingShardRequest.java
@@ -3,22 +3,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A shard request with attempts that may have no end yet. */
+/** A shard request and its attempts, some of which may not have ended yet. */
 final class PendingShardRequest {
     final long id;
     final PendingRequest parent;
     final int shard;
 
-    /** By number. */
+    /** The attempts; the index is the number of the attempt. */
     final List<AttemptState> attempts = new ArrayList<>();
 
-    /** The first answer; null until it comes. */
+    /** The first answer that arrived; null before. */
     AttemptEnd.Served answer;
 
-    /** Whether its phase is over: answers are of no use any more. */
+    /** Whether the phase of this shard request is over, so that answers are no longer needed. */
     boolean completed;
 
-    /** Attempts without an end. */
+    /** Number of attempts that have not ended. */
     int inFlight;
 
     PendingShardRequest(long id, PendingRequest parent, int shard) {
@@ -27,19 +27,19 @@
         this.shard = shard;
     }
 
-    /** Adds an attempt, and returns its number. */
+    /** Adds an attempt and returns its number. */
     int startAttempt(double nowMs) {
         attempts.add(new AttemptState(nowMs));
         inFlight++;
         return attempts.size() - 1;
     }
 
-    /** Whether this attempt exists and has no end yet. */
+    /** Whether the attempt with this number exists and has not ended. */
     boolean isInFlight(int attempt) {
         return attempt < attempts.size() && !attempts.get(attempt).ended;
     }
 
-    /** Takes the end of an attempt that is in flight. */
+    /** Records the end of an attempt that is in flight, and its answer if it is the first. */
     void endAttempt(int number, AttemptEnd end) {
         AttemptState attempt = attempts.get(number);
         attempt.ended = true;
@@ -50,7 +50,10 @@
         }
     }
 
-    /** The earliest time at which it may have run, at any broker; infinite if it cannot have. */
+    /**
+     * Returns the earliest time at which an attempt that may have run was sent, by this broker or
+     * another one; infinite if the shard request cannot have run.
+     */
     double mayHaveRunSinceMs() {
         double earliestMs = parent.request.firstSentAtMs();
         for (AttemptState attempt : attempts) {
--- a/src/main/java/reeldeal/core/Reducer.java
+++ b/src/main/java/reeldeal/core/Reducer.java
@@ -13,13 +13,14 @@
 import reeldeal.decision.EjectionView;
 
 /**
- * The only place where a broker's state changes: the events of one tick go in, effects come out. It
- * hosts the decision module, numbers attempts, forms calls, begins fetch phases, and sees to it
- * that each request gets exactly one final answer in time. Used by one thread, the broker's event
- * loop; it reads no clock and does no I/O.
+ * The state machine of a broker, and the only place where its state changes: it handles the events
+ * of one tick and returns the effects to be performed. It hosts the decision module, numbers
+ * attempts, forms calls, begins fetch phases, and ensures that each request gets exactly one final
+ * answer before its deadline. Used only by the broker's event-loop thread; it reads no clock and
+ * does no I/O.
  */
 public final class Reducer implements DecisionModule.Actions {
-    /** Fronts do not know whose a request is, so that none counts for one tenant's quota. */
+    /** Fronts do not know the tenant of a request, so that requests count for no tenant's quota. */
     private static final int NO_TENANT = -1;
 
     private static final double[] NO_LOAD_REPORT = new double[0];
@@ -33,18 +34,22 @@
     private final SearcherStats searcherStats;
     private final OutgoingCalls outgoing;
 
-    /** Ends of attempts that were kept back; the engine gets them when it is done acting. */
+    /**
+     * Ends of attempts that were not sent. They are handled after the events of the tick, because
+     * the engine must not be called while it is calling {@link DecisionModule.Actions}.
+     */
     private final List<Event.AttemptEnded> unsentEnds = new ArrayList<>();
 
     private List<Effect> effects = new ArrayList<>();
     private double now;
 
     /**
-     * A broker without requests and searchers.
+     * Creates a reducer without requests and searchers.
      *
-     * @param now the first time of the broker's clock, in milliseconds
-     * @param zones the names of the settings' zones, by index
-     * @param kinds the names of the settings' kinds of searchers, by index
+     * @param now present time of the broker's clock, in milliseconds
+     * @param settings settings of the decision module
+     * @param zones names of the zones, in the order of their indexes in the settings
+     * @param kinds names of the kinds of searchers, in the order of their indexes in the settings
      */
     public Reducer(double now, Settings settings, List<String> zones, List<String> kinds) {
         this.now = now;
@@ -59,8 +64,10 @@
     /**
      * Handles the events of one tick.
      *
-     * @param time milliseconds of the broker's clock; an earlier time than the last is ignored
-     * @return what is to be done, in order
+     * @param time milliseconds of the broker's clock; a time before that of the last tick is
+     *     ignored
+     * @param events the events, in the order in which they occurred
+     * @return the effects to be performed, in order
      */
     public List<Effect> tick(double time, List<Event> events) {
         now = Math.max(now, time);
@@ -72,36 +79,41 @@
             unsentEnds.clear();
             ended.forEach(this::handleIsolated);
         }
-        // Calls come last: a searcher hears what is abandoned before it gets anything new.
+        // Calls come last, so that abandonments reach a searcher before new shard requests.
         outgoing.drainTo(effects, searchers);
         List<Effect> result = effects;
         effects = new ArrayList<>();
         return result;
     }
 
-    /** Requests that have no final answer yet. */
+    /** Returns the number of requests that have no final answer yet. */
     public int openRequests() {
         return requests.size();
     }
 
-    /** The names of searchers that the decision module has ejected for their failures. */
+    /**
+     * Returns the names of the searchers that the decision module has ejected for their failures.
+     */
     public Set<String> ejected() {
         return searchers.namesOf(EjectionView.of(engine));
     }
 
-    /** What the decision module has observed of searchers, by their names. */
+    /** Returns the decision module's observations of searchers, by their names. */
     public Map<String, Event.ImportedServerStats> exportStats() {
         return searcherStats.exportStats();
     }
 
-    /** Searchers, and names of requests, that are remembered. */
+    /** Returns the number of entries kept for searchers and request names, to test for leaks. */
     int retainedEntries() {
         return searchers.size() + names.size();
     }
 
     // ---- events ----
 
-    /** A fault on one event must not take the others with it: each request has its deadline. */
+    /**
+     * Handles an event and logs a fault. A fault must not prevent the handling of the other events;
+     * the request concerned still ends at its deadline.
+     */
     private void handleIsolated(Event event) {
         try {
             handle(event);
@@ -147,7 +159,7 @@
             return;
         }
         if (requests.unitsInFlight() >= settings.limits().maxInFlight()) {
-            // The settings' bound: beyond it the decision module does not see a request at all.
+            // Beyond the limit in the settings a request does not reach the decision module.
             answerDirectly(request, new Reply.Rejected(settings.limits().maxRetryAfterMs()));
             return;
         }
@@ -236,7 +248,7 @@
         }
     }
 
-    /** The fetch phase goes to the shards with the highest scores in the query phase. */
+    /** Begins the fetch phase, at the shards with the highest scores in the query phase. */
     private void onFetchPhaseDue(long requestId) {
         PendingRequest pending = requests.find(requestId);
         if (pending == null || pending.queryPhase == null || pending.fetchPhaseBegun) {
@@ -258,7 +270,7 @@
         return settings.classes().get(pending.request.classIndex()).fetchShards();
     }
 
-    /** Guards against a decision module that lets the time run out: the client gets an answer. */
+    /** Answers a request that the decision module has left without an answer at its deadline. */
     private void onDeadlineDue(long requestId) {
         PendingRequest pending = requests.find(requestId);
         if (pending != null) {
@@ -279,7 +291,7 @@
         int attempt = shardRequest.startAttempt(now);
         if (searchers.find(server) == null || !sendRules.maySend(shardRequest, attempt)) {
             String attemptLabel = "attempt " + attempt + " of shard request " + shardRequestId;
-            log(attemptLabel + " stopped by the rules");
+            log(attemptLabel + " not sent: searcher not listed, or not allowed by the send rules");
             endUnsent(shardRequestId, attempt);
             return;
         }
@@ -356,7 +368,7 @@
         }
     }
 
-    /** Does nothing: a broker's discovery always watches the endpoint list. */
+    /** Does nothing, because the discovery of a broker always watches the endpoint list. */
     @Override
     public void subscribe() {}
 
@@ -365,7 +377,7 @@
         effects.add(new Effect.Log(line));
     }
 
-    // ---- ends of requests and attempts ----
+    // ---- completion of requests and attempts ----
 
     private void answerDirectly(Request request, Reply reply) {
         effects.add(new Effect.Answer(request.id(), reply));
@@ -382,7 +394,7 @@
         pending.currentPhase.forEach(this::complete);
     }
 
-    /** Ends a shard request: attempts that are not written yet are withdrawn. */
+    /** Completes a shard request, and withdraws its attempts that are not written yet. */
     private void complete(PendingShardRequest shardRequest) {
         shardRequest.completed = true;
         for (int attempt = 0; attempt < shardRequest.attempts.size(); attempt++) {
--- a/src/main/java/reeldeal/core/Reply.java
+++ b/src/main/java/reeldeal/core/Reply.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The only final answer to a request. Produced by the reducer, consumed by the front that submitted
- * the request, on the event-loop thread.
+ * The final answer to a request, of which each request gets at most one. Produced by the reducer
+ * and consumed by the front that submitted the request, on the event-loop thread.
  */
 public sealed interface Reply {
 
@@ -15,28 +15,29 @@
      * The request is served.
      *
      * @param complete whether every shard that a complete answer needs has answered
-     * @param hits of the shards that answered; of the fetch phase where the class has one
+     * @param hits the hits of the shards that answered; those of the fetch phase if the class has a
+     *     fetch phase
      */
     record Served(boolean complete, List<Hit> hits) implements Reply {}
 
     /**
-     * The request is rejected: a retry does no harm.
+     * The request is rejected without having run, so that a retry does no harm.
      *
-     * @param retryAfterMs milliseconds after which a retry is best
+     * @param retryAfterMs recommended delay of a retry in milliseconds
      */
     record Rejected(double retryAfterMs) implements Reply {}
 
     /**
-     * The request cannot be held beside those that are open.
+     * The request is not accepted because it conflicts with an open request.
      *
-     * @param reason for the client
+     * @param reason text for the client
      */
     record Invalid(String reason) implements Reply {}
 
     /**
-     * The request failed; whether any of it ran is unknown.
+     * The request failed; it is unknown whether any of its shard requests ran.
      *
-     * @param reason for the client
+     * @param reason text for the client
      */
     record Failed(String reason) implements Reply {}
 }
--- a/src/main/java/reeldeal/core/Request.java
+++ b/src/main/java/reeldeal/core/Request.java
@@ -5,16 +5,16 @@
 /**
  * A query as a front has received it. Immutable; times are milliseconds of the broker's clock.
  *
- * @param id from {@link RequestSubmitter#nextRequestId}
- * @param name the client's name for it; no two open requests may have the same
- * @param classIndex index of its class in the settings
- * @param idempotencyKey by which searchers drop repeats; null outside the classes that have keys
- * @param deadlineMs when its client gives up
- * @param retry whether its client marks it as a retry
- * @param text what each shard request carries
- * @param shards its shard requests
- * @param firstSentAtMs the earliest time at which one of them may have been sent before, by this
- *     broker or another; infinite where none was
+ * @param id number of the request, from {@link RequestSubmitter#nextRequestId}
+ * @param name the name that the client gave the request; it is unique among open requests
+ * @param classIndex index of the request's class in the settings
+ * @param idempotencyKey key by which searchers deduplicate; null if the class has no keys
+ * @param deadlineMs time at which the client gives up
+ * @param retry whether the client marks the request as a retry
+ * @param text the query text, which each shard request carries
+ * @param shards the shard requests
+ * @param firstSentAtMs the earliest time at which one of the shard requests may have been sent
+ *     before, by this broker or another; infinite if none was
  */
 public record Request(
         long id,
@@ -27,7 +27,7 @@
         List<ShardRequest> shards,
         double firstSentAtMs) {
 
-    /** A request of which nothing was sent before. */
+    /** Creates a request of which no shard request has been sent before. */
     public Request(
             long id,
             String name,
@@ -49,7 +49,7 @@
                 Double.POSITIVE_INFINITY);
     }
 
-    /** The same request with its deadline at this time at the latest. */
+    /** Returns this request with its deadline brought forward to this time, if it is later. */
     public Request withDeadline(double latestMs) {
         return new Request(
                 id,
@@ -67,8 +67,8 @@
      * The part of a query that concerns one shard.
      *
      * @param shard number of the shard
-     * @param weight share of the query's answer, 0 to 1
-     * @param key equal for equal shard requests
+     * @param weight share of the shard in the query's answer, 0 to 1
+     * @param key key of the shard request; equal shard requests have equal keys
      */
     public record ShardRequest(int shard, double weight, long key) {}
 }
--- a/src/main/java/reeldeal/core/RequestSubmitter.java
+++ b/src/main/java/reeldeal/core/RequestSubmitter.java
@@ -3,40 +3,40 @@
 import java.util.function.Consumer;
 
 /**
- * The broker as its fronts see it. Implemented by the server, and by the layer that records
- * requests for a takeover; all methods are called, and all replies and tasks run, on the event-loop
- * thread.
+ * The interface of the broker to its fronts. Implemented by the server, and by the layer that
+ * records requests for a takeover. All methods are called on the event-loop thread, and all replies
+ * and tasks run on it.
  */
 public interface RequestSubmitter {
 
-    /** The broker's clock: Unix time in milliseconds, which never goes back. */
+    /** Returns the time of the broker's clock: Unix milliseconds that never go back. */
     double now();
 
-    /** The id of the next request; never returned twice by a broker process. */
+    /** Returns an id for the next request; a broker process never returns an id twice. */
     long nextRequestId();
 
-    /** Submits a request; the consumer gets its reply, once, unless the client disconnects. */
+    /** Submits a request; the consumer gets exactly one reply unless the client disconnects. */
     void submit(Request request, Consumer<Reply> reply);
 
     /**
-     * Submits a request that may carry its client's idempotency key: a repeat with the same key may
-     * get the same reply, where this submitter deduplicates its class.
+     * Submits a request that may carry its client's idempotency key. If this submitter deduplicates
+     * the class of the request, a repeat with the same key may get the same reply.
      *
-     * @param key null for none
+     * @param key the idempotency key, or null if there is none
      */
     default void submit(Request request, String key, Consumer<Reply> reply) {
         submit(request, reply);
     }
 
-    /** Whether this submitter recognizes repeats of a class's requests by their keys. */
+    /** Whether this submitter deduplicates the requests of a class by their idempotency keys. */
     default boolean deduplicates(int classIndex) {
         return false;
     }
 
-    /** The client of a request has disconnected; no reply follows. */
+    /** Reports that the client of a request has disconnected; the request gets no reply. */
     void clientDisconnected(long requestId);
 
-    /** Runs a task after this delay. */
+    /** Runs a task after a delay in milliseconds. */
     void schedule(double delayMs, Runnable task);
 
     /** Whether the broker is up and not shutting down. */
--- a/src/main/java/reeldeal/core/RequestTable.java
+++ b/src/main/java/reeldeal/core/RequestTable.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The requests without a final answer, and their shard requests. A shard request outlives its
- * request while attempts of it have no end.
+ * The requests without a final answer, and their shard requests. A shard request stays in the table
+ * after the end of its request until all its attempts have ended.
  */
 final class RequestTable {
     private final Map<Long, PendingRequest> requests = new HashMap<>();
@@ -13,7 +13,7 @@
     private int unitsInFlight;
     private long nextShardRequestId = 1;
 
-    /** Adds a request without its shard requests. */
+    /** Adds a request, without its shard requests. */
     PendingRequest add(Request request) {
         PendingRequest pending = new PendingRequest(request);
         requests.put(request.id(), pending);
@@ -32,7 +32,7 @@
         return shardRequest;
     }
 
-    /** Removes a request; its shard requests remain until {@link #removeIfIdle}. */
+    /** Removes a request; {@link #removeIfIdle} removes its shard requests. */
     void remove(PendingRequest pending) {
         requests.remove(pending.request.id());
         unitsInFlight -= 1 + pending.shardRequestCount;
@@ -45,22 +45,22 @@
         }
     }
 
-    /** The open request of this id, or null. */
+    /** Returns the open request with this id, or null. */
     PendingRequest find(long requestId) {
         return requests.get(requestId);
     }
 
-    /** The shard request of this id, or null. */
+    /** Returns the shard request with this id, or null. */
     PendingShardRequest findShardRequest(long shardRequestId) {
         return shardRequests.get(shardRequestId);
     }
 
-    /** Open requests. */
+    /** Returns the number of open requests. */
     int size() {
         return requests.size();
     }
 
-    /** Open requests and their shard requests, as the settings' bound counts them. */
+    /** Returns the number of open requests plus their shard requests, which the settings limit. */
     int unitsInFlight() {
         return unitsInFlight;
     }
--- a/src/main/java/reeldeal/core/Searcher.java
+++ b/src/main/java/reeldeal/core/Searcher.java
@@ -5,14 +5,15 @@
 /**
  * One searcher as discovery lists it. Immutable.
  *
- * @param name stable over restarts of its process
- * @param address {@code host:port}; empty where it is removed
- * @param zone name of its zone
- * @param kind name of its kind; "" for the default one
- * @param cell number of the cell whose shards it holds, from 0
- * @param startedMs Unix time in milliseconds at which its process started; 0 for long ago
+ * @param name name of the searcher, which stays the same when its process restarts
+ * @param address {@code host:port}; empty if the searcher is removed
+ * @param zone name of the searcher's zone
+ * @param kind name of the searcher's kind; "" for the default kind
+ * @param cell number of the cell whose shards the searcher holds, from 0
+ * @param startedMs start of the searcher's process, Unix time in milliseconds; 0 stands for long
+ *     ago
  * @param size relative capacity
- * @param state whether it may get work
+ * @param state whether the searcher may get shard requests
  */
 public record Searcher(
         String name,
@@ -24,7 +25,7 @@
         double size,
         EndpointState state) {
 
-    /** The same searcher with another start. */
+    /** Returns this searcher with another start time. */
     Searcher withStart(double newStartedMs) {
         return new Searcher(name, address, zone, kind, cell, newStartedMs, size, state);
     }
--- a/src/main/java/reeldeal/core/SearcherDirectory.java
+++ b/src/main/java/reeldeal/core/SearcherDirectory.java
@@ -11,14 +11,14 @@
 import reeldeal.decision.DecisionModule.Server;
 
 /**
- * The listed searchers by name and by the id that the decision module knows them by. An id is
- * computed from the name, so that it is the same at every broker.
+ * The listed searchers, by their names and by the ids that the decision module uses for them. An id
+ * is computed from the name, so that it is the same at every broker.
  */
 final class SearcherDirectory {
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
-    /** Bits of the hash that are dropped: an id has 52 bits. */
+    /** Number of low bits of the 64-bit hash that are dropped, since an id has 52 bits. */
     private static final int ID_SHIFT = 12;
 
     private final List<String> zones;
@@ -28,24 +28,34 @@
     private double restartedAtMs = Double.NEGATIVE_INFINITY;
     private String restartedZone = "";
 
-    /** An empty directory; zones and kinds are the settings' names for their indexes. */
+    /**
+     * Creates an empty directory.
+     *
+     * @param zones names of the zones, in the order of their indexes in the settings
+     * @param kinds names of the kinds of searchers, in the order of their indexes in the settings
+     */
     SearcherDirectory(List<String> zones, List<String> kinds) {
         this.zones = List.copyOf(zones);
         this.kinds = List.copyOf(kinds);
     }
 
     /**
-     * A searcher at which nothing more may be started.
+     * A searcher to which nothing more may be sent at its present address.
      *
-     * @param withdrawSends whether the current tick's sends to it are withdrawn as well; not where
-     *     it only has another address
+     * @param withdrawSends whether the current tick's sends to it are withdrawn as well; false if
+     *     only its address has changed, since the sends then go to the new address
      */
     record Stopped(Searcher searcher, long id, boolean withdrawSends) {}
 
-    /** What a change means for connections, in order, and for the decision module. */
+    /**
+     * The result of an update.
+     *
+     * @param stopped searchers to which nothing more may be sent, in the order of the changes
+     * @param servers the changed searchers in the form of the decision module
+     */
     record Change(List<Stopped> stopped, List<Server> servers) {}
 
-    /** Takes a new list, or changes of it. */
+    /** Applies a new list, or changes to the present one. */
     Change update(EndpointListKind kind, List<Searcher> entries) {
         List<Stopped> stopped = new ArrayList<>();
         if (kind == EndpointListKind.COMPLETE) {
@@ -75,7 +85,7 @@
         missing.values().forEach(searcher -> stopped.add(remove(searcher)));
     }
 
-    /** Nothing of a removed searcher is kept: new ones come all day. */
+    /** Drops all state of a searcher; new names appear all the time, and would fill the memory. */
     private Stopped remove(Searcher searcher) {
         long id = ids.remove(searcher.name());
         searchers.remove(id);
@@ -94,12 +104,13 @@
     }
 
     /**
-     * After a power loss, takes searchers of a zone that are listed with an earlier start to have
-     * started at this time.
+     * Assumes after a power loss that all searchers of a zone started at this time or later. A
+     * searcher that is listed with an earlier start gets this time as its start.
      *
-     * @param zone "" for all
-     * @return whether this is later than what was assumed before, so that the searchers have to be
-     *     listed again
+     * @param restartMs the earliest start time that is believed
+     * @param zone the zone that lost power; "" for all zones
+     * @return whether this time is later than the one assumed before, so that the caller must apply
+     *     the list of searchers again
      */
     boolean assumeRestart(double restartMs, String zone) {
         if (restartMs <= restartedAtMs) {
@@ -117,7 +128,7 @@
                 : searcher.withStart(restartedAtMs);
     }
 
-    /** The id of a name; a new one where the name is not listed. */
+    /** Returns the id of a name, and assigns one if the name is not listed. */
     private long idOf(String name) {
         Long existingId = ids.get(name);
         if (existingId != null) {
@@ -135,22 +146,22 @@
         return id;
     }
 
-    /** The searcher of this id, or null. */
+    /** Returns the searcher with this id, or null. */
     Searcher find(long id) {
         return searchers.get(id);
     }
 
-    /** The id of a listed searcher, or null. */
+    /** Returns the id of a listed searcher, or null. */
     Long findId(String name) {
         return ids.get(name);
     }
 
-    /** All searchers that are not removed. */
+    /** Returns all listed searchers; removed ones are not listed. */
     List<Searcher> all() {
         return List.copyOf(searchers.values());
     }
 
-    /** The names of these searchers, in order. */
+    /** Returns the names of the searchers with these ids, in alphabetical order. */
     Set<String> namesOf(Set<Long> selectedIds) {
         Set<String> names = new TreeSet<>();
         ids.forEach(
@@ -162,7 +173,7 @@
         return names;
     }
 
-    /** Entries that are remembered. */
+    /** Returns the number of entries in both maps, which tests check for leaks. */
     int size() {
         return searchers.size() + ids.size();
     }
--- a/src/main/java/reeldeal/core/SearcherStats.java
+++ b/src/main/java/reeldeal/core/SearcherStats.java
@@ -7,8 +7,9 @@
 import reeldeal.decision.ServerStatsSnapshot;
 
 /**
- * Exports what the decision module has observed of searchers, and imports what others have. Stats
- * concern one process of a searcher; those of a searcher that is not listed yet wait for it.
+ * Exports the decision module's observations of searchers, and imports those of other brokers.
+ * Stats apply to one process of a searcher. Stats of a searcher that is not listed yet are kept
+ * until it is listed.
  */
 final class SearcherStats {
     private final DecisionEngine engine;
@@ -20,7 +21,7 @@
         this.searchers = searchers;
     }
 
-    /** The module's observations by name of the searcher. */
+    /** Returns the decision module's observations by name of the searcher. */
     Map<String, Event.ImportedServerStats> exportStats() {
         Map<String, Event.ImportedServerStats> exported = new TreeMap<>();
         ServerStatsSnapshot.of(engine)
@@ -36,14 +37,15 @@
         return exported;
     }
 
-    /** Imports stats by name of the searcher. */
+    /** Imports stats by name of the searcher; stats of unlisted searchers are kept for later. */
     void importStats(Map<String, Event.ImportedServerStats> stats, double nowMs) {
         pendingStats.putAll(stats);
         importPending(nowMs);
     }
 
     /**
-     * Imports stats whose searchers are listed by now; must be called after each change of these.
+     * Imports the kept stats of searchers that are listed now. Must be called after each change of
+     * the list.
      */
     void importPending(double nowMs) {
         pendingStats
--- a/src/main/java/reeldeal/core/SendRules.java
+++ b/src/main/java/reeldeal/core/SendRules.java
@@ -4,7 +4,10 @@
 import reeldeal.decision.DecisionModule.RepeatSafety;
 import reeldeal.decision.DecisionModule.Settings;
 
-/** The limits that an attempt keeps whatever the decision module decides. Holds no state. */
+/**
+ * The limits that the broker enforces on every attempt, independently of the decision module. Holds
+ * no state.
+ */
 final class SendRules {
     private final Settings settings;
 
@@ -13,8 +16,9 @@
     }
 
     /**
-     * Whether an attempt that has been started may be sent: its phase is not over, it is not one
-     * too many, and no other one is in flight where hedging is off.
+     * Whether an attempt that has been started may be sent: the phase of its shard request is not
+     * over, the shard request has no answer, the maximum number of attempts is not exceeded, and no
+     * other attempt is in flight unless hedged requests are enabled.
      */
     boolean maySend(PendingShardRequest shardRequest, int attempt) {
         boolean disallowedHedge = shardRequest.inFlight > 1 && !settings.limits().hedging();
@@ -25,9 +29,10 @@
     }
 
     /**
-     * Until when another attempt may be written. A request with an idempotency key that may have
-     * run is repeated only while searchers drop repeats: this guards against a connection that
-     * comes up after the window in which the attempt was decided.
+     * Returns the time before which another attempt must be written. A request with an idempotency
+     * key that may have run is repeated only within the deduplication window of the searchers. The
+     * attempt is decided within that window, but its connection may be established after the
+     * window; this limit guards against that case.
      */
     double sendByMs(PendingShardRequest shardRequest) {
         QueryClass queryClass = settings.classes().get(shardRequest.parent.request.classIndex());
--- a/src/main/java/reeldeal/endpoints/Departure.java
+++ b/src/main/java/reeldeal/endpoints/Departure.java
@@ -3,13 +3,14 @@
 import java.util.regex.Pattern;
 
 /**
- * A name that left the view, in the form in which it is kept across a restart: {@code NAME UNIX_MS
+ * The departure of a name from the view. It is saved across a restart as a line {@code NAME UNIX_MS
  * RANK gone|draining}.
  *
- * @param name the searcher's name
- * @param atMs when it left, Unix time in ms
- * @param rank rank of the source that dropped it, {@link Integer#MAX_VALUE} where none did
- * @param vanished whether no source listed it since, so that it comes back as a new process
+ * @param name name of the searcher
+ * @param departedAtMs time of the departure, Unix time in milliseconds
+ * @param rank rank of the source that dropped the name, {@link Integer#MAX_VALUE} if none did
+ * @param unlisted whether the name was unlisted, not only marked as draining, so that the searcher
+ *     comes back as a new process
  */
 record Departure(String name, long departedAtMs, int rank, boolean unlisted) {
     private static final String UNLISTED = "gone";
@@ -21,7 +22,7 @@
         return name + ' ' + departedAtMs + ' ' + rank + ' ' + (unlisted ? UNLISTED : DRAINING);
     }
 
-    /** Parses one line; null where it has another form. */
+    /** Parses a line; returns null if it does not have the saved form. */
     static Departure parse(String line) {
         String[] fields = line.split(" ");
         if (fields.length != 4
--- a/src/main/java/reeldeal/endpoints/EndpointChangeLog.java
+++ b/src/main/java/reeldeal/endpoints/EndpointChangeLog.java
@@ -7,8 +7,8 @@
 import reeldeal.core.Searcher;
 
 /**
- * What a view has to publish: the latest state of each entry that changed, and log lines. Owned by
- * the view and used on its thread.
+ * Collects what a view has to publish: the latest state of each entry that changed, and log lines.
+ * Owned by the view and used on its thread.
  */
 final class EndpointChangeLog {
     private final Map<String, Searcher> changes = new LinkedHashMap<>();
--- a/src/main/java/reeldeal/endpoints/EndpointFeed.java
+++ b/src/main/java/reeldeal/endpoints/EndpointFeed.java
@@ -19,15 +19,18 @@
 import reeldeal.dns.Zone;
 
 /**
- * Passes the sources' observations to an {@link EndpointView}, and its changes to the broker: the
- * complete list first, then changes. All methods are called on the loop given to the constructor,
- * which is not the loop that serves queries.
+ * Passes the sources' observations to an {@link EndpointView}, and the resulting list to the
+ * broker: the complete list first, changes to it afterwards. All methods are called on the event
+ * loop given to the constructor, which is not the loop that serves queries.
  */
 public final class EndpointFeed {
-    /** The name of discovery among the sources. */
+    /** Name of the source that stands for discovery. */
     public static final String DISCOVERY = "discovery";
 
-    /** How long the first list waits for sources that have not reported yet, in milliseconds. */
+    /**
+     * Maximum time for which the first list waits for sources that have not reported, in
+     * milliseconds.
+     */
     private static final int FIRST_LIST_TIMEOUT_MS = 2_000;
 
     private static final long NO_VERSION = -1;
@@ -50,14 +53,14 @@
     /**
      * Creates a feed.
      *
-     * @param loop runs the view's timers, and all calls of this feed
-     * @param view the view to feed
-     * @param awaited names of the sources without which the first list is not published, so that a
-     *     list with half of the fleet never goes out
-     * @param clock Unix time in milliseconds
+     * @param loop event loop that runs the view's timers, and on which this feed is called
+     * @param view the view that gets the observations
+     * @param awaited names of the sources that the first list waits for, so that a list that lacks
+     *     half of the fleet is not published
+     * @param clock returns Unix time in milliseconds
      * @param subscriber receives the complete list once, then changes
      * @param log receives log lines
-     * @param saver receives the text for {@link #restore} whenever it changes
+     * @param stateWriter receives the text for {@link #restore} whenever it changes
      */
     public EndpointFeed(
             ScheduledExecutorService loop,
@@ -77,38 +80,43 @@
     }
 
     /**
-     * Takes a zone from an old copy on disk because the store is not reached; it holds until the
-     * store delivers the zone.
+     * Uses a zone from an old copy on disk because the store is unreachable. The copy is used until
+     * the store delivers the zone.
      */
     public void useStaleZone(Zone zone) {
-        log.accept("members: " + zone.origin + ": serial " + zone.serial() + " from an old copy");
+        log.accept(
+                "members: "
+                        + zone.origin
+                        + ": using serial "
+                        + zone.serial()
+                        + " from an old copy on disk; the store is unreachable");
         zone(zone, null);
         staleZones.add(zone.origin);
     }
 
     /**
-     * Takes a zone's present content.
+     * Passes the present content of a zone to the view.
      *
-     * @param zone the zone
-     * @param touched the names that changed, or null where any may have
+     * @param updated the zone with its present content
+     * @param changedNames the names that changed, or null if any name may have changed
      */
-    public void zone(Zone zone, Set<String> changedNames) {
-        boolean wasStale = staleZones.remove(zone.origin);
+    public void zone(Zone updated, Set<String> changedNames) {
+        boolean wasStale = staleZones.remove(updated.origin);
         if (wasStale) {
-            view.forgetVersion(zone.origin);
+            view.forgetVersion(updated.origin);
         }
-        Set<String> knownHosts = wasStale ? null : hostsByZone.get(zone.origin);
+        Set<String> knownHosts = wasStale ? null : hostsByZone.get(updated.origin);
         if (knownHosts != null
                 && changedNames != null
-                && !concernsSearchers(zone, knownHosts, changedNames)) {
+                && !concernsSearchers(updated, knownHosts, changedNames)) {
             return;
         }
-        List<EndpointReport> reports = EndpointReports.parse(zone);
+        List<EndpointReport> reports = EndpointReports.parse(updated);
         Set<String> hosts = new HashSet<>();
         reports.forEach(report -> hosts.add(report.name()));
-        hostsByZone.put(zone.origin, hosts);
-        awaitedSources.remove(zone.origin);
-        view.observe(clock.getAsLong(), zone.origin, zone.serial(), reports);
+        hostsByZone.put(updated.origin, hosts);
+        awaitedSources.remove(updated.origin);
+        view.observe(clock.getAsLong(), updated.origin, updated.serial(), reports);
         publish();
     }
 
@@ -123,13 +131,13 @@
         return false;
     }
 
-    /** Drops what a zone lists, since its secondary copy has expired. */
+    /** Drops the reports of a zone whose secondary copy has expired. */
     public void expired(String origin) {
         view.expireSource(clock.getAsLong(), origin);
         publish();
     }
 
-    /** Takes an endpoint list, or changes to it, from discovery. */
+    /** Passes an endpoint list from discovery, or changes to it, to the view. */
     public void discovery(Event.EndpointsChanged event) {
         if (event.kind() == EndpointListKind.COMPLETE) {
             discoveryReports.clear();
@@ -156,12 +164,12 @@
         publish();
     }
 
-    /** Restores what was saved before a restart; called before the first zone is taken. */
+    /** Restores the text saved before a restart; must be called before the first observation. */
     public void restore(String text) {
         view.restore(clock.getAsLong(), text);
     }
 
-    /** The view's entries with their reasons. */
+    /** Returns the entries of the view, with the reasons for their states. */
     public List<EndpointView.Entry> view() {
         return view.entries();
     }
@@ -212,10 +220,18 @@
         }
     }
 
-    /** A source that does not report must not keep the searchers of the others from use. */
+    /**
+     * Publishes the list although sources have not reported, because the searchers of the other
+     * sources must not stay unused.
+     */
     private void publishWithoutMissingSources() {
         if (!awaitedSources.isEmpty()) {
-            log.accept("members: no word from " + awaitedSources + "; going on without");
+            log.accept(
+                    "members: no report from "
+                            + awaitedSources
+                            + (" within "
+                                    + FIRST_LIST_TIMEOUT_MS
+                                    + " ms; publishing the list without them"));
             awaitedSources.clear();
             publish();
         }
--- a/src/main/java/reeldeal/endpoints/EndpointFold.java
+++ b/src/main/java/reeldeal/endpoints/EndpointFold.java
@@ -14,8 +14,9 @@
 import reeldeal.endpoints.EndpointView.AdministrativeOverride;
 
 /**
- * One pass of the rules of {@link EndpointView} over all sources and names at one time. Made for
- * one call of {@link #run}, on the view's thread; the state belongs to the sources and endpoints.
+ * Applies the rules of {@link EndpointView} once to all sources and names, at one time. An object
+ * is used for one call of {@link #run}, on the view's thread; all lasting state belongs to the
+ * sources and endpoints.
  */
 final class EndpointFold {
     private static final int MAX_TRACKED_NAMES = 10_000;
@@ -44,7 +45,7 @@
         this.changeLog = changeLog;
     }
 
-    /** Applies the rules; returns when the next of them is due. */
+    /** Applies the rules, and returns the time at which they must be applied again. */
     long run() {
         Map<String, List<SourceFinding>> findings = new TreeMap<>();
         for (EndpointSource source : sources) {
@@ -67,7 +68,7 @@
         nextRunAt = Math.min(nextRunAt, time);
     }
 
-    // ---- findings: what each source comes to for each name ----
+    // ---- findings: the result of each source for each name ----
 
     private void collectFindings(EndpointSource source, Map<String, List<SourceFinding>> findings) {
         runAgainAt(source.dropEmptySets(now, rules.emptyGraceMs()));
@@ -84,10 +85,13 @@
                         });
     }
 
-    /** Rules 4 and 5: one of several valid reports, or what replaces them; null for nothing. */
+    /**
+     * Rules 4 and 5: returns the finding of a source for a name, from one of several valid reports
+     * or from the last valid one; null if the source has no finding.
+     */
     private SourceFinding resolve(
             EndpointSource source, TrackedEndpoint endpoint, List<EndpointReport> reports) {
-        // A name that one report marks as draining is draining, whichever gives its address.
+        // One draining report makes the name draining, whichever report gives the address.
         boolean draining = reports.stream().anyMatch(r -> r.state() != EndpointState.READY);
         List<EndpointReport> valid =
                 reports.stream().filter(r -> r.invalidReason() == null).toList();
@@ -110,7 +114,10 @@
         return SourceFinding.drainingOnly(source, invalid);
     }
 
-    /** Rule 4: the last valid report while only invalid ones are listed; null where it is over. */
+    /**
+     * Rule 4: returns a finding with the last valid report while the source lists only invalid
+     * ones; null if there was no valid report, or its hold period is over.
+     */
     private SourceFinding holdLastValid(
             EndpointSource source,
             TrackedEndpoint endpoint,
@@ -143,7 +150,7 @@
                 true);
     }
 
-    // ---- one name ----
+    // ---- update of one name ----
 
     private void update(String name, TrackedEndpoint endpoint, List<SourceFinding> findings) {
         AdministrativeOverride override = overrides.of(name);
@@ -173,8 +180,11 @@
     }
 
     /**
-     * Rule 6: whether the source that described a name lists it no more, although it has not
-     * expired. Then the others may only lag behind it, and the name departs.
+     * Rule 6: records a departure if the source that described a name does not list it any more,
+     * although the source has not expired. Other sources that still list the name are assumed to
+     * lag behind.
+     *
+     * @return whether the source dropped the name
      */
     private boolean dropFromDescribingSource(
             TrackedEndpoint endpoint, List<SourceFinding> findings) {
@@ -191,7 +201,7 @@
         return true;
     }
 
-    /** Rule 6: whether a source of a lower rank still lists a process that a higher one dropped. */
+    /** Rule 6: whether a source of lower rank still lists a process that a higher one dropped. */
     private boolean isLaggingReport(TrackedEndpoint endpoint, SourceFinding finding) {
         return endpoint.hasDeparted()
                 && finding.source().rank() > endpoint.departedRank()
@@ -208,7 +218,13 @@
         return false;
     }
 
-    /** Publishes a name that is listed, ready or draining; {@code draining} may be null. */
+    /**
+     * Publishes a name that is listed, as ready or draining.
+     *
+     * @param override the name's administrative override, or null
+     * @param describingFinding the finding that gives the address
+     * @param drainingFinding the first finding with a draining status, or null
+     */
     private void list(
             String name,
             TrackedEndpoint endpoint,
@@ -270,7 +286,10 @@
         return String.format(Locale.ROOT, "damped: penalty %.1f", endpoint.penalty(now, rules));
     }
 
-    /** Rule 7: whether a name that wants to become ready must wait for its penalty to decay. */
+    /**
+     * Rule 7: whether a name that could become ready must wait for its penalty to decay. Schedules
+     * the end of that wait.
+     */
     private boolean isFlapping(TrackedEndpoint endpoint) {
         double penalty = endpoint.penalty(now, rules);
         if (penalty < (endpoint.isDamped() ? rules.flapReuse() : rules.flapLimit())) {
@@ -282,7 +301,7 @@
         return true;
     }
 
-    /** Rule 7: a damped name serves after all where its cell has no other. */
+    /** Rule 7: publishes a damped name as ready if its cell has no other ready searcher. */
     private void publishReadyIfCellHasNoOther(TrackedEndpoint endpoint) {
         Searcher dampedSearcher = endpoint.published();
         for (TrackedEndpoint other : endpoints.values()) {
@@ -308,7 +327,11 @@
                 changeLog);
     }
 
-    /** Rule 2: a name that is not listed drains immediately, and is removed after a while. */
+    /**
+     * Rule 2: publishes a name that is not listed as draining, and as removed {@link
+     * EndpointView.Rules#goneAfterMs} after its departure. A name that an override removes is
+     * removed immediately.
+     */
     private void delist(
             String name,
             TrackedEndpoint endpoint,
@@ -340,7 +363,10 @@
                 changeLog);
     }
 
-    /** Drops names that departed long ago or were never valid, since new ones come all day. */
+    /**
+     * Drops names that departed long ago or were never valid. New names appear all the time, so
+     * that the number of names is limited as well; the oldest departures are dropped first.
+     */
     private void forgetDepartedNames() {
         Set<String> reported = new HashSet<>();
         for (EndpointSource source : sources) {
--- a/src/main/java/reeldeal/endpoints/EndpointReport.java
+++ b/src/main/java/reeldeal/endpoints/EndpointReport.java
@@ -4,21 +4,24 @@
 import reeldeal.decision.DecisionModule.EndpointState;
 
 /**
- * What one source reports of one searcher.
+ * A report of one source about one searcher.
  *
- * @param set the group in which it is listed, as an SRV record's owner; a set that is empty for a
- *     moment differs from a name that leaves
- * @param name the searcher's name, the same in every source
- * @param addresses its addresses as host:port, none where the source lacks them
- * @param priority of several reports of one name the lowest counts, 0 to 65,535
- * @param weight among equal priorities the highest counts first, 0 to 65,535
- * @param cells the cells to which it is said to belong: one, unless the source is in error
- * @param zone its availability zone, or ""
- * @param kind its kind of machine, or ""
- * @param startedMs when its process started, Unix time in ms, 0 for long ago
- * @param size its relative size, 1 for an ordinary one
- * @param listed the state that the source gives it
- * @param bare whether the source has nothing but its listing: no address, no attributes
+ * @param set name of the set in which the searcher is listed, such as the owner of an SRV record; a
+ *     set that becomes empty is treated differently from a name that leaves its set
+ * @param name name of the searcher, which is the same in every source
+ * @param addresses addresses of the searcher as host:port; empty if the source has none
+ * @param priority priority of the report, 0 to 65,535; of several reports of one name the one with
+ *     the lowest priority is used
+ * @param weight weight of the report, 0 to 65,535; a higher weight is preferred among reports of
+ *     equal priority
+ * @param cells the cells to which the searcher belongs; exactly one unless the source is wrong
+ * @param zone availability zone of the searcher, or ""
+ * @param kind kind of machine, or ""
+ * @param startedMs start of the searcher's process, Unix time in milliseconds; 0 for long ago
+ * @param size relative size of the searcher; 1 is the ordinary size
+ * @param state the state in which the source lists the searcher
+ * @param withoutRecords whether the source only lists the name, and has neither an address nor
+ *     attributes for it
  */
 public record EndpointReport(
         String set,
@@ -34,7 +37,7 @@
         EndpointState state,
         boolean withoutRecords) {
 
-    /** Why the report is not valid, or null where it is. */
+    /** Returns the reason for which the report is invalid, or null if it is valid. */
     String invalidReason() {
         if (addresses.isEmpty()) {
             return "no address";
@@ -42,7 +45,7 @@
         return cells.isEmpty() ? "no cell" : null;
     }
 
-    /** The same report with the state draining. */
+    /** Returns this report with the state draining. */
     EndpointReport asDraining() {
         if (state == EndpointState.DRAINING) {
             return this;
--- a/src/main/java/reeldeal/endpoints/EndpointReports.java
+++ b/src/main/java/reeldeal/endpoints/EndpointReports.java
@@ -15,14 +15,14 @@
 import reeldeal.dns.Zone;
 
 /**
- * Reads a source's reports. In a zone each SRV record (RFC 2782) at {@code _searcher._tcp} or a
- * name below that gives a host and a port; the host's A records (AAAA where it has none) give its
- * address, and its TXT strings the rest: {@code cell=0}, {@code zone=a}, {@code type=m2}, {@code
- * status=draining}, {@code since_ms=0}, {@code size=1}. Stateless; any thread may call it that may
- * read the zone.
+ * Converts the data of a source to reports. In a zone, each SRV record (RFC 2782) at {@code
+ * _searcher._tcp} or at a name below it gives a host and a port. The host's A records (AAAA records
+ * if it has no A record) give its address, and its TXT strings the attributes: {@code cell=0},
+ * {@code zone=a}, {@code type=m2}, {@code status=draining}, {@code since_ms=0}, {@code size=1}.
+ * Stateless; may be called by any thread that may read the zone.
  */
 public final class EndpointReports {
-    /** The searchers of a zone are listed at this name, relative to its origin, and below it. */
+    /** Name, relative to the origin of a zone, at and below which the searchers are listed. */
     public static final String SERVICE = "_searcher._tcp.";
 
     private static final String DISCOVERY_SET = "discovery";
@@ -34,12 +34,15 @@
     private static final int SRV_PORT = 4;
     private static final int SRV_TARGET = 6;
 
-    /** The target by which RFC 2782 says that the service is not available. */
+    /** The SRV target that means that the service is not available (RFC 2782). */
     private static final String NO_SERVICE = ".";
 
     private EndpointReports() {}
 
-    /** The reports of a zone; the cost grows with the searchers listed, not with the zone. */
+    /**
+     * Returns the reports of a zone. The cost grows with the number of searchers listed, not with
+     * the size of the zone.
+     */
     public static List<EndpointReport> parse(Zone zone) {
         List<EndpointReport> reports = new ArrayList<>();
         for (Zone.Placed placed : zone.under(SERVICE + zone.origin)) {
@@ -91,7 +94,7 @@
         return ByteBuffer.wrap(data).getShort(offset) & 0xffff;
     }
 
-    /** The attributes in a host's TXT strings; values that cannot be read are ignored. */
+    /** The attributes in a host's TXT strings; malformed values are ignored. */
     private static final class HostAttributes {
         private static final Pattern CELL = Pattern.compile("[0-9]{1,5}");
         private static final Pattern TIME = Pattern.compile("[0-9]{1,15}");
@@ -110,7 +113,7 @@
             }
         }
 
-        /** Reads the strings of one TXT record, each of which begins with its length. */
+        /** Reads the strings of one TXT record, each of which begins with a length byte. */
         private void readStrings(byte[] data) {
             int offset = 0;
             while (offset < data.length) {
@@ -134,7 +137,7 @@
                 case "since_ms" -> readStart(value);
                 case "size" -> readSize(value);
                 case "status" -> readStatus(value);
-                default -> {} // other users of the zone may have attributes of their own
+                default -> {} // other programs may use other attributes in the same zone
             }
         }
 
@@ -156,7 +159,10 @@
             }
         }
 
-        /** Any value but "ready" means draining: of two that differ the careful one counts. */
+        /**
+         * Reads a status. Every value except "ready" means draining; if several values differ,
+         * draining takes precedence because it is the safer choice.
+         */
         private void readStatus(String value) {
             if (!value.equals("ready")) {
                 state = EndpointState.DRAINING;
@@ -164,7 +170,7 @@
         }
     }
 
-    /** What discovery reports of a searcher; null where it reports the searcher as removed. */
+    /** Converts a searcher from discovery to a report; returns null if it is removed. */
     static EndpointReport fromDiscovery(Searcher searcher) {
         if (searcher.state() == EndpointState.REMOVED) {
             return null;
--- a/src/main/java/reeldeal/endpoints/EndpointSource.java
+++ b/src/main/java/reeldeal/endpoints/EndpointSource.java
@@ -9,14 +9,14 @@
 import reeldeal.dns.Zone;
 
 /**
- * One source: what it lists, set by set, and the version of that. Owned by the view and used on its
- * thread; times are Unix milliseconds.
+ * The reports of one source by set, and the version of the observation that they are from. Owned by
+ * the view and used on its thread; times are Unix milliseconds.
  */
 final class EndpointSource {
     private static final long NO_VERSION = -1;
     private static final long NOT_EMPTY = -1;
 
-    /** What a set lists, or listed until its grace period is over. */
+    /** The reports of a set; while an empty set is in its grace period, its last reports. */
     private static final class ReportSet {
         List<EndpointReport> reports = List.of();
         long emptySince = NOT_EMPTY;
@@ -41,7 +41,7 @@
         return name;
     }
 
-    /** Position among the sources, 0 for the highest. */
+    /** Returns the rank among the sources; 0 is the highest rank. */
     int rank() {
         return rank;
     }
@@ -54,7 +54,10 @@
         return expired;
     }
 
-    /** Rule 1: whether an observation of this version is not an old copy. */
+    /**
+     * Rule 1: whether an observation with this version is applied; an old copy is not. A version
+     * below 0 stands for none.
+     */
     boolean accepts(long observedVersion) {
         return observedVersion < 0
                 || version < 0
@@ -72,7 +75,7 @@
         sets.clear();
     }
 
-    /** Takes all reports of the source, and starts the grace period of sets that became empty. */
+    /** Replaces all reports, and starts the grace periods of sets that became empty. */
     void update(
             long now,
             long observedVersion,
@@ -117,7 +120,7 @@
         }
     }
 
-    /** Rule 3: drops the sets whose grace period is over; returns when the next one is over. */
+    /** Rule 3: drops the sets whose grace period is over; returns the end of the next one. */
     long dropEmptySets(long now, long emptyGraceMs) {
         long next = Long.MAX_VALUE;
         for (ReportSet set : sets.values()) {
@@ -134,7 +137,7 @@
         return next;
     }
 
-    /** All reports of the source by the searchers' names. */
+    /** Returns all reports of the source by the names of the searchers. */
     Map<String, List<EndpointReport>> reportsByName() {
         Map<String, List<EndpointReport>> byName = new TreeMap<>();
         for (ReportSet set : sets.values()) {
@@ -145,7 +148,7 @@
         return byName;
     }
 
-    /** Adds the names of all searchers that the source lists. */
+    /** Adds the names of all searchers that the source lists to a set. */
     void addNamesTo(Set<String> names) {
         for (ReportSet set : sets.values()) {
             for (EndpointReport report : set.reports) {
--- a/src/main/java/reeldeal/endpoints/EndpointView.java
+++ b/src/main/java/reeldeal/endpoints/EndpointView.java
@@ -9,52 +9,56 @@
 import reeldeal.core.Searcher;
 
 /**
- * Folds the reports of all sources into one view of the searchers. A state machine: it is given
- * observations and the time, in Unix milliseconds, and collects the changes to be published. The
- * rules:
+ * Merges the reports of all sources into one view of the searchers. The view is a state machine:
+ * its inputs are observations and the time in Unix milliseconds, and it collects the changes to be
+ * published. The rules:
  *
  * <ol>
- *   <li>A source's observation counts only where its version is later than the last (RFC 1982), so
- *       that an old copy revives no searcher. After a source has expired, any version counts.
- *   <li>A name that leaves a set which still lists others is draining immediately, and removed
- *       after a while. When it comes back it is a new process that needs to warm up, even under the
- *       same address; so is one whose address changed. A drain that was reported by a status and
- *       withdrawn is of the same process, unless it reports a later start.
+ *   <li>An observation of a source is applied only if its version is the last one or a later one
+ *       (RFC 1982), so that an old copy does not list removed searchers again. After a source has
+ *       expired, any version is applied.
+ *   <li>A name that leaves a set which still lists other names is draining immediately, and removed
+ *       after {@link Rules#goneAfterMs}. When it comes back it counts as a new process that needs
+ *       to warm up, even with the same address; so does a name whose address changed. A name whose
+ *       draining status was withdrawn is still the same process, unless it reports a later start.
  *   <li>A set that becomes empty keeps its searchers for a grace period that is shorter than the
- *       500 ms within which a drain must take effect; then they leave like others.
- *   <li>While reports lack an address or a cell, the last valid report is held for a while; where
- *       the host has no records at all, for the grace period only. A name without any valid report
- *       so far is not listed.
- *   <li>Of several reports of one name in a source the lowest priority counts, then the published
- *       address, then the highest weight, then the lowest address; of several cells the published
- *       one, then the lowest.
- *   <li>Sources are ranked. The first that lists a name describes it; a draining status counts
- *       whatever its source's rank. A name that a source dropped is revived by a source of a lower
- *       rank only as a process that started later.
- *   <li>A name that leaves again and again is kept draining until its penalty has decayed, unless
- *       its cell would have no ready searcher.
- *   <li>An administrative override goes before all.
+ *       500 ms within which a drain must take effect; then its names leave as in rule 2.
+ *   <li>While the reports of a name lack an address or a cell, the last valid report is held for
+ *       {@link Rules#holdMs}; if the host has no records at all, only for the grace period. A name
+ *       that has had no valid report yet is not listed.
+ *   <li>Of several reports of one name in a source, the one with the lowest priority is used, then
+ *       the one with the published address, then the highest weight, then the lowest address. Of
+ *       several cells the published one is used, then the lowest.
+ *   <li>Sources are ranked. The source of the highest rank that lists a name describes it. A
+ *       draining status applies whatever the rank of its source. A name that a source dropped is
+ *       listed again because of a source of lower rank only if its process started later.
+ *   <li>A name that leaves repeatedly (flaps) is kept draining until its penalty has decayed,
+ *       unless its cell would have no ready searcher.
+ *   <li>An administrative override takes precedence over all sources.
  * </ol>
  *
  * <p>Not thread-safe; {@link EndpointFeed} uses it on its event loop.
  */
 public final class EndpointView {
-    /** How the reason of an entry begins that is draining only because the fleet agreed so. */
+    /**
+     * Beginning of the reason of an entry that is draining only because the fleet has agreed to
+     * drain it.
+     */
     public static final String DRAINED_BY_FLEET_REASON = "the fleet's word";
 
     /**
-     * Periods and limits of the rules. Each departure adds a penalty of 1, which halves with every
-     * half-life.
+     * The periods and limits of the rules, in milliseconds where they are times. Each departure
+     * adds 1 to the penalty of a name, which decays exponentially.
      *
-     * @param emptyGraceMs how long an empty set keeps its searchers, 0 to 60,000 ms; above some 450
-     *     a set's last searchers are sent shard requests for longer than 500 ms after they were
-     *     removed
-     * @param holdMs how long the last valid report replaces an invalid one, in ms
-     * @param goneAfterMs how long a name that no source lists is draining, in ms
-     * @param rememberMs how long a departed name is remembered, in ms
+     * @param emptyGraceMs period for which an empty set keeps its searchers, 0 to 60,000 ms; above
+     *     about 450 ms, the last searchers of a set get shard requests for longer than 500 ms after
+     *     they were removed
+     * @param holdMs period for which the last valid report replaces an invalid one
+     * @param goneAfterMs period for which a name that no source lists is draining
+     * @param rememberMs period for which a departed name is remembered
      * @param flapLimit penalty from which a returning name is kept draining
-     * @param flapReuse penalty below which such a name may serve again
-     * @param flapHalfLifeMs time in which a penalty halves, in ms
+     * @param flapReuse penalty below which such a name may become ready again
+     * @param flapHalfLifeMs half-life of a penalty
      */
     public record Rules(
             long emptyGraceMs,
@@ -64,27 +68,27 @@
             double flapLimit,
             double flapReuse,
             long flapHalfLifeMs) {
-        /** The rules where the operator's settings give none. */
+        /** The values that apply unless the operator's settings give others. */
         public static final Rules DEFAULT = new Rules(350, 2_000, 15_000, 600_000, 4, 2, 10_000);
     }
 
     /** The state that an operator sets for one name. */
     public enum AdministrativeOverride {
-        /** Serves although a source reports that it is draining. */
+        /** The searcher serves even if a source reports that it is draining. */
         READY,
-        /** Drains whatever the sources report. */
+        /** The searcher drains whatever the sources report. */
         DRAINING,
-        /** Is not listed, whatever the sources report. */
+        /** The searcher is not listed, whatever the sources report. */
         REMOVED
     }
 
     /**
      * An entry of the view.
      *
-     * @param searcher what is published of the searcher
-     * @param source the source that describes it, or "" where none does
-     * @param sinceMs since when it has its state, in Unix ms
-     * @param reason why it has its state
+     * @param searcher the searcher as it is published
+     * @param source name of the source that describes the searcher, or "" if none does
+     * @param sinceMs time since which the searcher has its state, Unix time in milliseconds
+     * @param reason reason for the searcher's state
      */
     public record Entry(Searcher searcher, String source, long sinceMs, String reason) {}
 
@@ -109,13 +113,13 @@
     }
 
     /**
-     * Takes all that a source lists.
+     * Replaces the reports of a source.
      *
      * @param now Unix time in ms
      * @param sourceName one of the names given to the constructor
-     * @param version a zone's serial number, or below 0 where the source has none
+     * @param version the zone's serial number, or below 0 if the source has none
      * @param reports all reports of the source
-     * @return false where the version is an old one, so that nothing changed
+     * @return false if the version is neither the last one nor a later one, so that nothing changed
      */
     public boolean observe(
             long now, String sourceName, long version, List<EndpointReport> reports) {
@@ -135,12 +139,15 @@
         return true;
     }
 
-    /** Accepts any version in the next observation of a source, since its last was of a copy. */
+    /**
+     * Accepts any version in the next observation of a source, because its last observation was
+     * from an old copy.
+     */
     public void forgetVersion(String sourceName) {
         sources.get(sourceName).forgetVersion();
     }
 
-    /** Drops all that a source lists because it is out of date; {@code now} is Unix time in ms. */
+    /** Drops the reports of a source that is out of date; {@code now} is Unix time in ms. */
     public void expireSource(long now, String sourceName) {
         EndpointSource source = sources.get(sourceName);
         if (!source.isExpired()) {
@@ -156,8 +163,8 @@
     }
 
     /**
-     * Replaces all administrative overrides, and the names that the fleet has agreed to drain,
-     * which goes before any override to READY.
+     * Replaces all administrative overrides, and the names that the fleet has agreed to drain. A
+     * drain by the fleet takes precedence over an override to READY.
      */
     public void setOverrides(
             long now, Map<String, AdministrativeOverride> byName, Set<String> drainedByFleet) {
@@ -168,14 +175,19 @@
         }
     }
 
-    /** Applies the rules that depend on time, where one is due; {@code now} is Unix time in ms. */
+    /**
+     * Applies the rules if {@link #nextTickAt} has been reached; {@code now} is Unix time in ms.
+     */
     public void tick(long now) {
         if (now >= nextTickAt) {
             applyRules(now);
         }
     }
 
-    /** When {@link #tick} has something to do, in Unix ms; {@link Long#MAX_VALUE} for never. */
+    /**
+     * Returns the time at which {@link #tick} must be called, in Unix ms; {@link Long#MAX_VALUE} if
+     * it need not be called.
+     */
     public long nextTickAt() {
         return nextTickAt;
     }
@@ -190,7 +202,10 @@
         return changeLog.takeLines();
     }
 
-    /** All entries by name, those that are not listed for a known reason included. */
+    /**
+     * Returns all entries in the order of their names, including names that are not listed for a
+     * known reason.
+     */
     public List<Entry> entries() {
         List<Entry> entries = new ArrayList<>();
         endpoints.forEach(
@@ -203,7 +218,7 @@
         return entries;
     }
 
-    /** The departed names as text, a line each, to be kept across a restart. */
+    /** Returns the departed names as text, one per line, to be saved across a restart. */
     public String departuresAsText() {
         StringBuilder text = new StringBuilder();
         endpoints.forEach(
@@ -216,8 +231,8 @@
     }
 
     /**
-     * Restores what {@link #saved} returned, before the first observation. Lines that cannot be
-     * parsed are ignored, as are departures that are too long ago.
+     * Restores the text that {@link #departuresAsText} returned; must be called before the first
+     * observation. Malformed lines are ignored, as are departures that are too long ago.
      */
     public void restore(long now, String text) {
         for (String line : text.split("\n")) {
--- a/src/main/java/reeldeal/endpoints/OverrideTable.java
+++ b/src/main/java/reeldeal/endpoints/OverrideTable.java
@@ -16,7 +16,10 @@
         drainedByFleet = Set.copyOf(drainedByFleet);
     }
 
-    /** The override of a name, which may be written without its last dot; null for none. */
+    /**
+     * Returns the override of a name, or null. The operator may have written the name without its
+     * last dot.
+     */
     AdministrativeOverride of(String name) {
         AdministrativeOverride override = byName.get(name);
         if (override != null || !name.endsWith(".")) {
--- a/src/main/java/reeldeal/endpoints/ReportSelection.java
+++ b/src/main/java/reeldeal/endpoints/ReportSelection.java
@@ -7,19 +7,22 @@
 import reeldeal.core.Searcher;
 
 /**
- * Rule 5: the choice among several valid reports of one name in one source. Pure.
+ * The result of rule 5, which selects among several valid reports of one name in one source.
+ * Stateless.
  *
- * @param report the report that counts
- * @param note which address and cell were chosen, "" where there was no choice
+ * @param report the selected report
+ * @param address the selected address
+ * @param cell the selected cell
+ * @param note text that names the selected address and cell, "" if there were no others
  */
 record ReportSelection(EndpointReport report, String address, int cell, String note) {
     private record Candidate(EndpointReport report, String address) {}
 
     /**
-     * Chooses among reports.
+     * Selects one of several reports.
      *
      * @param reports valid reports, at least one
-     * @param published what is published of the searcher, or null
+     * @param published the searcher as it is published, or null
      */
     static ReportSelection select(List<EndpointReport> reports, Searcher published) {
         Candidate best = bestCandidate(reports, published == null ? "" : published.address());
@@ -66,7 +69,10 @@
         return note;
     }
 
-    /** Compares by number where both have the form of IPv4 and port, otherwise as text. */
+    /**
+     * Compares numerically if both addresses consist of an IPv4 address and a port, otherwise as
+     * text.
+     */
     static int compareAddresses(String first, String second) {
         String[] firstParts = first.split("[.:]");
         String[] secondParts = second.split("[.:]");
--- a/src/main/java/reeldeal/endpoints/SourceFinding.java
+++ b/src/main/java/reeldeal/endpoints/SourceFinding.java
@@ -3,11 +3,14 @@
 import reeldeal.decision.DecisionModule.EndpointState;
 
 /**
- * What the reports of one source come to for one name.
+ * The result of the reports of one source for one name.
  *
- * @param address the searcher's address, or null where the source only reports that it is draining
- * @param note what to add to the entry's reason, or ""
- * @param held whether the last valid report replaces an invalid one
+ * @param source the source
+ * @param report the selected report
+ * @param address address of the searcher, or null if the source only reports that it is draining
+ * @param cell cell of the searcher
+ * @param note text to add to the entry's reason, or ""
+ * @param held whether the report is the last valid one, which replaces an invalid one
  */
 record SourceFinding(
         EndpointSource source,
--- a/src/main/java/reeldeal/endpoints/TrackedEndpoint.java
+++ b/src/main/java/reeldeal/endpoints/TrackedEndpoint.java
@@ -6,7 +6,7 @@
 import reeldeal.decision.DecisionModule.EndpointState;
 
 /**
- * What the view knows of one name: the entry that was published, the last valid report, and its
+ * The state of the view for one name: the published entry, the last valid report, and the
  * departures. Owned by the view and used on its thread; times are Unix milliseconds.
  */
 final class TrackedEndpoint {
@@ -14,20 +14,23 @@
     private static final int NO_RANK = Integer.MAX_VALUE;
     private static final Pattern PENALTY = Pattern.compile("penalty [0-9.]+");
 
-    private Searcher published; // null where the name is not listed
+    private Searcher published; // null while the name is not listed
     private String publishedBy = "";
     private String reason = "";
     private long stateSince;
 
-    private EndpointReport lastValidReport; // the last one, held while there is none
+    private EndpointReport lastValidReport; // may be held while there are only invalid ones
     private int describingRank = NO_RANK;
     private long invalidSince = NEVER;
-    private String rejectionReason = ""; // why no report could be used
+    private String rejectionReason = ""; // "" while a report is used
 
     private long departedAt = NEVER;
     private int departedRank = NO_RANK;
 
-    /** Whether no source listed it since it was last ready: it comes back as a new process. */
+    /**
+     * Whether the name was not listed, or dropped by its describing source, since it was last
+     * ready, so that it comes back as a new process.
+     */
     private boolean unlisted;
 
     private double penalty;
@@ -42,7 +45,7 @@
         return publishedBy;
     }
 
-    /** The view's entry; null for a name that is not listed and gives no reason for that. */
+    /** Returns the entry of the view; null if the name is not listed and there is no reason. */
     EndpointView.Entry entry(String name) {
         if (published == null && reason.isEmpty()) {
             return null;
@@ -60,14 +63,17 @@
 
     // ---- reports ----
 
-    /** The source has a valid report; ends the hold where its rank allows. */
+    /**
+     * Ends the hold of the last valid report, because a source has a valid one. Sources of a lower
+     * rank than the describing source do not end it.
+     */
     void onValidReport(int rank) {
         if (rank <= describingRank) {
             invalidSince = NEVER;
         }
     }
 
-    /** Whether the last valid report of this source may be held in place of an invalid one. */
+    /** Whether the last valid report is of the source with this rank, and the name is published. */
     boolean hasValidReportOf(int rank) {
         return lastValidReport != null && published != null && describingRank == rank;
     }
@@ -76,12 +82,18 @@
         return lastValidReport;
     }
 
-    /** The rank of the source that describes the name, {@link Integer#MAX_VALUE} for none. */
+    /**
+     * Returns the rank of the source that describes the name, {@link Integer#MAX_VALUE} if there is
+     * none.
+     */
     int describingRank() {
         return describingRank;
     }
 
-    /** Since when the describing source has only invalid reports; starts now at the first call. */
+    /**
+     * Starts the hold of the last valid report unless it has started, and returns the time of its
+     * start.
+     */
     long startHold(long now) {
         if (invalidSince < 0) {
             invalidSince = now;
@@ -97,7 +109,7 @@
         return rejectionReason;
     }
 
-    /** A source's finding describes the name from now on. */
+    /** Makes a source's finding the description of the name. */
     void accept(SourceFinding finding) {
         rejectionReason = "";
         if (!finding.held()) {
@@ -126,9 +138,11 @@
     }
 
     /**
-     * Rule 2: when the described process started, in Unix ms. It is a new one where the address
-     * changed or no source listed the name in between; the fleet must see a searcher that it
-     * drained come back as a new process.
+     * Rule 2: returns the start time to publish, in Unix ms. The process counts as a new one if its
+     * address changed, or if no source listed the name for some time; the fleet relies on this to
+     * see that a searcher that it drained has come back as a new process.
+     *
+     * @param comesBack whether the sources list the name as ready and it is not damped
      */
     double startTimeOf(SourceFinding finding, boolean comesBack, long now) {
         double reported = finding.report().startedMs();
@@ -142,7 +156,7 @@
         return reported;
     }
 
-    /** It leaves while it is ready, which adds to its penalty. */
+    /** Records that the name leaves while it is ready, which adds to its penalty. */
     void recordDeparture(long now, int rank, EndpointView.Rules rules) {
         penalty = penalty(now, rules) + 1;
         penaltyAt = now;
@@ -150,7 +164,7 @@
         departedRank = rank;
     }
 
-    /** The source that described it does not list it any more. */
+    /** Records that the source that described the name does not list it any more. */
     void recordDropBySource(long now, EndpointView.Rules rules) {
         int rank = describingRank;
         if (isReady()) {
@@ -162,7 +176,7 @@
         dropValidReport();
     }
 
-    /** No source lists it, which may have begun earlier. */
+    /** Records that the name is not listed; a published name then comes back as a new process. */
     void markUnlisted() {
         damped = false;
         unlisted |= published != null;
@@ -209,7 +223,7 @@
 
     // ---- publishing ----
 
-    /** Publishes an entry, with a log line where its state, address or reason is another. */
+    /** Publishes an entry, with a log line if its state, address or reason changed. */
     void publish(
             long now,
             Searcher searcher,
@@ -244,7 +258,7 @@
         reason = newReason;
     }
 
-    /** Compares reasons without the penalty, which changes all the time. */
+    /** Compares reasons without the penalty, which decays continuously. */
     private boolean sameReason(String newReason) {
         return PENALTY.matcher(reason)
                 .replaceAll("")
@@ -261,7 +275,7 @@
         stateSince = now;
     }
 
-    /** Notes why a name that was never published is not listed. */
+    /** Records and logs the reason for which a name that has not departed is not listed. */
     void explainAbsence(long now, String name, String absenceReason, EndpointChangeLog changeLog) {
         if (!reason.equals(absenceReason) && departedAt < 0) {
             reason = absenceReason;
@@ -270,7 +284,7 @@
         }
     }
 
-    /** The same searcher in another state. */
+    /** Returns the same searcher with another state. */
     static Searcher withState(Searcher searcher, EndpointState state) {
         return new Searcher(
                 searcher.name(),
--- a/src/main/java/reeldeal/frames/FrameBuffer.java
+++ b/src/main/java/reeldeal/frames/FrameBuffer.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 
 /**
- * Reassembles frames that begin with their length, most significant byte first, and bounds that
- * length. Not thread-safe; owned by one connection.
+ * Reassembles frames that begin with their length, most significant byte first, and limits that
+ * length. Not thread-safe; each buffer belongs to one connection.
  */
 public final class FrameBuffer {
     private static final int INITIAL_BYTES = 512;
@@ -19,14 +19,14 @@
      * Creates an empty buffer.
      *
      * @param prefixBytes size of the length prefix, two or four bytes
-     * @param maxFrameBytes greatest length that a prefix may give
+     * @param maxFrameBytes maximum length that a prefix may give
      */
     public FrameBuffer(int prefixBytes, int maxFrameBytes) {
         this.prefixBytes = prefixBytes;
         this.maxFrameBytes = maxFrameBytes;
     }
 
-    /** Appends all readable bytes and releases their buffer. */
+    /** Appends all readable bytes of a buffer, and releases the buffer. */
     public void feed(ByteBuf in) {
         int length = in.readableBytes();
         if (buffer.length < bufferedBytes + length) {
@@ -37,7 +37,7 @@
         bufferedBytes += length;
     }
 
-    /** Whether the next frame has an invalid length: zero, or beyond the maximum. */
+    /** Whether the length of the next frame is invalid: zero or above the maximum. */
     public boolean malformed() {
         return bufferedBytes >= prefixBytes && (length() < 1 || length() > maxFrameBytes);
     }
@@ -47,7 +47,7 @@
         return bufferedBytes > 0;
     }
 
-    /** Removes and returns the next frame without its length; null until it is complete. */
+    /** Removes and returns the next frame without its length prefix; null if it is incomplete. */
     public byte[] next() {
         if (bufferedBytes < prefixBytes || malformed() || bufferedBytes < prefixBytes + length()) {
             return null;
@@ -57,7 +57,7 @@
         System.arraycopy(buffer, frameEnd, buffer, 0, bufferedBytes - frameEnd);
         bufferedBytes -= frameEnd;
         if (bufferedBytes == 0 && buffer.length > INITIAL_BYTES) {
-            // One large frame must not occupy its memory as long as the connection is open.
+            // Frees the memory of a large frame, which would be held until the connection closes.
             buffer = new byte[INITIAL_BYTES];
         }
         return frame;
--- a/src/main/java/reeldeal/frames/package-info.java
+++ b/src/main/java/reeldeal/frames/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Reassembles frames with a length prefix from the bytes of a connection.
+ * Reassembles length-prefixed frames from the bytes that a connection receives.
  *
- * <p>Imports nothing of the program. Each connection owns its buffer and uses it on the thread of
- * its event loop.
+ * <p>Imports no other package of the program. Each connection owns its buffer and uses it on the
+ * thread of its event loop.
  */
 package reeldeal.frames;
--- a/src/main/java/reeldeal/simulator/ActionWriter.java
+++ b/src/main/java/reeldeal/simulator/ActionWriter.java
@@ -7,13 +7,13 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Collects the action records of one reply and writes it. Each method but {@link #flush} adds one
- * record.
+ * Collects the action records of one reply and writes the reply. Each method except {@link #flush}
+ * adds one record.
  */
 final class ActionWriter {
     private static final int HEADER_BYTES = 12;
     private static final int RECORD_BYTES = 32;
-    private static final int BODY_OFFSET = 5; // offset, behind the code and the instance
+    private static final int BODY_OFFSET = 5; // after the code and the instance
     private static final byte SCHEDULE_TIMER = 65;
     private static final byte LOG = 66;
     private static final byte CANCEL = 68;
@@ -69,7 +69,7 @@
         addText(LOG, instance, line);
     }
 
-    /** The instance has ended with an error. */
+    /** Reports that an instance has ended because of an error. */
     void instanceFailed(int instance, String error) {
         addText(INSTANCE_FAILED, instance, error);
     }
@@ -92,7 +92,7 @@
         tail.write(bytes, 0, bytes.length);
     }
 
-    /** Writes all that was collected as the reply to a batch, and begins anew. */
+    /** Writes the collected records as the reply to a batch, and clears them. */
     void flush(OutputStream out, int batch) throws IOException {
         ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
         header.putInt(records.size() + tail.size()).putInt(count).putInt(batch);
--- a/src/main/java/reeldeal/simulator/BatchReader.java
+++ b/src/main/java/reeldeal/simulator/BatchReader.java
@@ -4,20 +4,20 @@
 import java.io.InputStream;
 import java.nio.ByteBuffer;
 
-/** Reads batches of event records. */
+/** Reads batches of event records from the simulator. */
 final class BatchReader {
     private static final int HEADER_BYTES = 20;
 
     /**
-     * One batch: its records, and a tail that they refer to.
+     * One batch: its records, and a tail with variable-length content that the records refer to.
      *
-     * @param number of the batch, repeated in the reply
-     * @param now the simulator's time, ms
-     * @param count of the records
-     * @param body the records, then the tail
+     * @param number number of the batch, which its reply repeats
+     * @param now the simulator's time in milliseconds
+     * @param count number of records
+     * @param body the records, followed by the tail
      */
     record Batch(int number, double now, int count, ByteBuffer body) {
-        /** The record of this index, from 0. */
+        /** Returns the record with this index, from 0. */
         EventRecord event(int index) {
             return new EventRecord(this, index);
         }
@@ -30,8 +30,10 @@
     }
 
     /**
-     * The next batch, or null at the end of input; throws MalformedBatchException where it is cut
-     * or does not add up.
+     * Returns the next batch, or null at the end of the input.
+     *
+     * @throws MalformedBatchException if the batch is truncated, or its length is too small for the
+     *     number of its records
      */
     Batch next() throws IOException {
         byte[] headerBytes = in.readNBytes(HEADER_BYTES);
--- a/src/main/java/reeldeal/simulator/BrokerInstance.java
+++ b/src/main/java/reeldeal/simulator/BrokerInstance.java
@@ -11,12 +11,12 @@
 import reeldeal.decision.DecisionModule.ShardRequest;
 
 /**
- * One simulated broker. A query and its shard requests come as separate records: they are gathered
- * here until a record of another kind comes, or the batch ends, and are then submitted to the
- * decision module together.
+ * One simulated broker. A query and its shard requests arrive as separate records. They are
+ * collected here until another record arrives that does not belong to them, or the batch ends, and
+ * are then submitted to the decision module together.
  */
 final class BrokerInstance implements DecisionModule.Actions {
-    /** A query whose shard requests, of this phase or the next, may still come. */
+    /** A query for which shard requests of the present or the next phase may still arrive. */
     private static final class OpenQuery {
         final long id;
         int remainingAnswers;
@@ -44,13 +44,13 @@
         this.module = new DecisionEngine(now, settings, this);
     }
 
-    /** The module, with all that was gathered submitted first. */
+    /** Submits the collected records and returns the decision module. */
     DecisionModule module(double now) {
         submitPending(now);
         return module;
     }
 
-    /** A query has come; its shard requests follow. */
+    /** Adds a query, whose shard requests follow. */
     void addQuery(double now, float demand, Query query) {
         submitPending(now);
         pendingQuery = query;
@@ -60,7 +60,7 @@
         demandByQueryId.put(query.id(), demand);
     }
 
-    /** A shard request has come, of the query before it or of a fetch phase. */
+    /** Adds a shard request of the preceding query, or of a fetch phase. */
     void addShardRequest(double now, float demand, ShardRequest shardRequest) {
         if (demand != currentDemand) {
             submitPending(now);
@@ -69,7 +69,7 @@
         pendingShardRequests.add(shardRequest);
     }
 
-    /** Submits the query, or the fetch phase, that was gathered so far. */
+    /** Submits the query or the fetch phase that has been collected, if there is one. */
     void submitPending(double now) {
         if (pendingQuery == null && pendingShardRequests.isEmpty()) {
             return;
@@ -86,7 +86,7 @@
         }
     }
 
-    /** A query is over. */
+    /** Removes the state of a query that has ended. */
     void removeQuery(long query) {
         Float demand = demandByQueryId.remove(query);
         if (demand != null) {
--- a/src/main/java/reeldeal/simulator/EventRecord.java
+++ b/src/main/java/reeldeal/simulator/EventRecord.java
@@ -12,11 +12,11 @@
 import reeldeal.decision.DecisionModule.ShardRequest;
 
 /**
- * One event record of a batch, by the names of its fields. Which of them it has depends on its
- * code.
+ * Reads the fields of one event record of a batch. Which fields a record has depends on its code;
+ * the section markers below name the code.
  */
 final class EventRecord {
-    /** The length of a record. */
+    /** Length of a record in bytes. */
     static final int RECORD_BYTES = 56;
 
     static final int INSTANCE_ENDED = 2;
@@ -29,7 +29,7 @@
     static final int PROBE_ENDED = 10;
     static final int TIMER_DUE = 11;
 
-    /** How many lists of servers the simulator numbers. */
+    /** Number of server lists that the simulator can store; they are numbered from 0. */
     static final int MAX_LISTS = 16;
 
     private static final int FIRST_CODE = 1;
@@ -38,7 +38,7 @@
     private static final int MAX_LOAD_COLUMNS = 4;
     private static final int RETRY_FLAG = 2;
 
-    /** Outcomes by their code. */
+    /** The outcomes, in the order of their codes from 0. */
     private static final List<Outcome> OUTCOMES =
             List.of(
                     Outcome.OK,
@@ -50,7 +50,7 @@
                     Outcome.CANCELLED,
                     Outcome.NEVER_SENT);
 
-    /** Kinds of a list by their code, less 1. */
+    /** The kinds of a server list, in the order of their codes from 1. */
     private static final List<EndpointListKind> LIST_KINDS =
             List.of(
                     EndpointListKind.CHANGES,
@@ -70,23 +70,29 @@
         recordStart = index * RECORD_BYTES;
     }
 
-    /** What happened; throws MalformedBatchException where there is no such code. */
+    /** Returns the code of the event; throws MalformedBatchException if the code is unknown. */
     int code() {
         int code = unsignedByte(0);
         if (code < FIRST_CODE || code > LAST_CODE) {
-            throw malformed("unknown event code " + code);
+            throw malformed(
+                    "expected an event code from "
+                            + FIRST_CODE
+                            + " to "
+                            + LAST_CODE
+                            + ", got "
+                            + code);
         }
         return code;
     }
 
-    /** The instance that it happened to. */
+    /** Returns the number of the broker instance that the event concerns. */
     int instance() {
         return body.getInt(recordStart + 1);
     }
 
     /**
-     * The query or shard request of {@link #DEMAND}, {@link #ATTEMPT_ENDED} and {@link
-     * #CLIENT_DISCONNECTED}.
+     * Returns the id of the query or shard request of a {@link #DEMAND}, {@link #ATTEMPT_ENDED} or
+     * {@link #CLIENT_DISCONNECTED}.
      */
     long id() {
         return body.getLong(recordStart + 5);
@@ -153,7 +159,7 @@
         return body.getFloat(recordStart + 44) >= 0;
     }
 
-    /** Joins a query and its shard requests. */
+    /** Returns the number that a query and its shard requests have in common. */
     float demandNumber() {
         return body.getFloat(recordStart + 40);
     }
@@ -178,12 +184,12 @@
 
     // ---- SERVER_LIST and LIST_CHANGED ----
 
-    /** The number under which {@link #SERVER_LIST} stores a list. */
+    /** Returns the number under which a {@link #SERVER_LIST} stores its list. */
     int storedListNumber() {
         return listNumber(1);
     }
 
-    /** The number of the list that {@link #LIST_CHANGED} refers to. */
+    /** Returns the number of the stored list that a {@link #LIST_CHANGED} refers to. */
     int changedListNumber() {
         return listNumber(14);
     }
@@ -191,7 +197,7 @@
     EndpointListKind listKind() {
         int kindCode = unsignedByte(5);
         if (kindCode < 1 || kindCode > LIST_KINDS.size()) {
-            throw malformed("unknown form of list " + kindCode);
+            throw malformed("unknown kind of server list " + kindCode);
         }
         return LIST_KINDS.get(kindCode - 1);
     }
@@ -222,7 +228,7 @@
         return new Server(id, zone, cell, startedMs, size, kind, state);
     }
 
-    // ---- fields ----
+    // ---- types of fields ----
 
     private int unsignedByte(int fieldOffset) {
         return body.get(recordStart + fieldOffset) & 0xff;
@@ -231,7 +237,11 @@
     private int listNumber(int fieldOffset) {
         int number = body.getShort(recordStart + fieldOffset) & 0xffff;
         if (number >= MAX_LISTS) {
-            throw malformed("impossible list number " + number);
+            throw malformed(
+                    "expected a server list number from 0 to "
+                            + (MAX_LISTS - 1)
+                            + ", got "
+                            + number);
         }
         return number;
     }
@@ -239,7 +249,7 @@
     private Outcome outcome(int fieldOffset) {
         int code = unsignedByte(fieldOffset);
         if (code >= OUTCOMES.size()) {
-            throw malformed("unknown outcome " + code);
+            throw malformed("unknown outcome code " + code);
         }
         return OUTCOMES.get(code);
     }
@@ -252,7 +262,14 @@
         return values;
     }
 
-    /** Where a slice of the tail begins, given by its offset and its count of units. */
+    /**
+     * Returns the position in the body at which a slice of the tail begins. The record has the
+     * offset of the slice in the tail, followed by its length in units.
+     *
+     * @param fieldOffset offset of these two fields in the record
+     * @param unitBytes bytes of one unit
+     * @param content description of the slice for error messages
+     */
     private int tailOffset(int fieldOffset, long unitBytes, String content) {
         long offset = body.getInt(recordStart + fieldOffset) & 0xffffffffL;
         long length = (body.getInt(recordStart + fieldOffset + 4) & 0xffffffffL) * unitBytes;
--- a/src/main/java/reeldeal/simulator/InstanceHost.java
+++ b/src/main/java/reeldeal/simulator/InstanceHost.java
@@ -9,7 +9,7 @@
 import reeldeal.decision.DecisionModule.EndpointListKind;
 import reeldeal.decision.DecisionModule.Server;
 
-/** Hosts the simulated brokers of one process and gives each the events that name it, in order. */
+/** Hosts the simulated brokers of one process, and passes each its events in order. */
 final class InstanceHost {
     private final Map<Integer, BrokerInstance> instances = new TreeMap<>();
     private final List<List<Server>> serverLists = new ArrayList<>();
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Plays one batch; the actions end up in the writer. */
+    /** Handles the events of one batch; the resulting actions are added to the writer. */
     void handleBatch(BatchReader.Batch batch) {
         double now = batch.now();
         for (int i = 0; i < batch.count(); i++) {
@@ -66,8 +66,8 @@
     }
 
     /**
-     * An instance that throws is reported and removed; input that cannot be read ends the whole
-     * adapter.
+     * Runs a task of an instance. An instance whose task throws is reported and removed, and the
+     * others go on; malformed input ends the whole adapter.
      */
     private void runIsolated(int number, Runnable task) {
         try {
@@ -114,7 +114,7 @@
                                     event.probeLoad());
             case EventRecord.TIMER_DUE -> instance.module(now).timer(now, event.timerToken());
             default -> {
-                // Streams and messages between brokers are not used.
+                // Codes for streams and for messages between brokers, which are not used.
             }
         }
     }
--- a/src/main/java/reeldeal/simulator/MalformedBatchException.java
+++ b/src/main/java/reeldeal/simulator/MalformedBatchException.java
@@ -1,8 +1,8 @@
 package reeldeal.simulator;
 
 /**
- * Input that the simulator's format does not allow; the message names the batch, the record and
- * what was wrong.
+ * Reports input that violates the simulator's format. The message gives the batch and the record,
+ * where they are known, and the violation.
  */
 final class MalformedBatchException extends RuntimeException {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/reeldeal/simulator/SimulatorAdapter.java
+++ b/src/main/java/reeldeal/simulator/SimulatorAdapter.java
@@ -7,7 +7,10 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 
-/** The adapter: batches of events on standard input, one reply to each on standard output. */
+/**
+ * The entry point of the simulator adapter, which reads batches of events from standard input and
+ * writes one reply to each to standard output.
+ */
 public final class SimulatorAdapter {
     private static final String SUBCOMMAND = "benchlink";
     private static final int BUFFER_BYTES = 1 << 16;
@@ -15,7 +18,9 @@
 
     private SimulatorAdapter() {}
 
-    /** Runs the adapter until the input ends: status 0, or 2 on malformed input. */
+    /**
+     * Runs the adapter until the input ends; exits with 0, or with 2 on malformed input or usage.
+     */
     public static void main(String[] args) throws IOException {
         if (args.length != 1 || !args[0].equals(SUBCOMMAND)) {
             System.err.println("usage: java -jar reeldeal.jar benchlink");
--- a/src/test/java/reeldeal/core/ReducerFixture.java
+++ b/src/test/java/reeldeal/core/ReducerFixture.java
@@ -12,7 +12,7 @@
 import reeldeal.decision.DecisionModule.Settings;
 import reeldeal.decision.DecisionModule.Tenant;
 
-/** A reducer with one class of queries, on a clock that the test moves. */
+/** A reducer with one query class, and a clock that the test sets. */
 final class ReducerFixture {
     final Reducer reducer;
 
@@ -21,7 +21,7 @@
 
     double now;
 
-    /** A reducer that has listed these searchers. */
+    /** Creates a reducer whose endpoint list has these searchers. */
     ReducerFixture(Settings settings, Searcher... searchers) {
         reducer = new Reducer(0, settings, List.of("a"), List.of());
         changeEndpoints(EndpointListKind.COMPLETE, searchers);
@@ -74,7 +74,7 @@
         return new Event.AttemptEnded(shardRequestId, attempt, end, new double[0]);
     }
 
-    /** Plays one tick at the present time. */
+    /** Runs one tick at the present time. */
     void tick(Event... events) {
         effects.clear();
         effects.addAll(reducer.tick(now, List.of(events)));
@@ -89,7 +89,7 @@
         tick(new Event.EndpointsChanged(kind, List.of(searchers)));
     }
 
-    /** The last tick's effects of one type. */
+    /** Returns the effects of the last tick that are of this type. */
     <T extends Effect> List<T> effectsOf(Class<T> type) {
         return effects.stream().filter(type::isInstance).map(type::cast).toList();
     }
--- a/src/test/java/reeldeal/core/ReducerTest.java
+++ b/src/test/java/reeldeal/core/ReducerTest.java
@@ -21,7 +21,7 @@
 import reeldeal.decision.DecisionModule.Tenant;
 import reeldeal.decision.ServerStatsSnapshot.ServerStats;
 
-/** What the reducer itself guarantees, whatever the decision module decides. */
+/** Tests what the reducer guarantees independently of the decision module. */
 class ReducerTest {
     private static final Settings SETTINGS = settings(queryClass(RepeatSafety.IDEMPOTENT, 2000, 0));
 
@@ -46,12 +46,14 @@
                 searcher("t", "h:2", 5, EndpointState.READY),
                 searcher("u", "h:3", 6, EndpointState.READY));
         assertEquals(
-                Set.of("t"), fixture.reducer.exportStats().keySet(), "the other one has restarted");
+                Set.of("t"),
+                fixture.reducer.exportStats().keySet(),
+                "u has restarted since it was observed");
         for (long id = 1; id < 4; id++) {
             fixture.tick(arrival(id, 1));
             assertTrue(
                     fixture.calls().stream().noneMatch(call -> call.searcher().name().equals("t")),
-                    "sent to an ejected searcher while another one can serve");
+                    "sent to ejected searcher t although others can serve");
         }
     }
 
@@ -86,7 +88,9 @@
         fixture.tick();
         assertEquals(List.of(), fixture.calls());
         String line = fixture.effectsOf(Effect.Log.class).get(0).line();
-        assertTrue(line.contains("stopped by the rules"), line);
+        assertTrue(
+                line.contains("not sent: searcher not listed, or not allowed by the send rules"),
+                line);
     }
 
     @Test
@@ -116,15 +120,15 @@
                 fixture.answers());
         assertEquals(List.of(), fixture.calls());
         fixture.tick(new Event.ClientDisconnected(1));
-        int before = fixture.reducer.retainedEntries();
+        int entriesBefore = fixture.reducer.retainedEntries();
         fixture.tickAt(4000, sameName);
         assertEquals(1, fixture.calls().size());
-        assertEquals(before, fixture.reducer.retainedEntries());
+        assertEquals(entriesBefore, fixture.reducer.retainedEntries());
     }
 
     @Test
     void searchersThatAreRemovedOrNoLongerListedAreForgotten() {
-        int before = fixture.reducer.retainedEntries();
+        int entriesBefore = fixture.reducer.retainedEntries();
         for (int i = 0; i < 50; i++) {
             fixture.now += 100;
             String name = "new" + i;
@@ -139,7 +143,7 @@
                     fixture.effectsOf(Effect.StopSending.class).stream()
                             .anyMatch(stop -> stop.searcher().address().equals("h:2")));
         }
-        assertEquals(before, fixture.reducer.retainedEntries());
+        assertEquals(entriesBefore, fixture.reducer.retainedEntries());
     }
 
     @Test
@@ -160,78 +164,85 @@
 
     @Test
     void aRetryWithAKeyMayBeWrittenOnlyWithinTheDeduplicationWindow() {
-        ReducerFixture keyed =
+        ReducerFixture fixtureWithKeys =
                 new ReducerFixture(
                         settings(queryClass(RepeatSafety.IDEMPOTENT_WITH_KEY, 600, 0)),
                         searcher("s", "h:1"),
                         searcher("t", "h:2"));
-        keyed.tickAt(100, arrival(1, 1));
+        fixtureWithKeys.tickAt(100, arrival(1, 1));
         assertEquals(
-                Double.POSITIVE_INFINITY, keyed.calls().get(0).sends().get(0).sendByMs(), "first");
-        AttemptEnd unsent = new AttemptEnd.Broken(AttemptEnd.Reach.UNSENT, "never came up");
-        keyed.tickAt(200, ended(1, 0, unsent));
+                Double.POSITIVE_INFINITY,
+                fixtureWithKeys.calls().get(0).sends().get(0).sendByMs(),
+                "first attempt");
+        AttemptEnd unsent =
+                new AttemptEnd.Broken(AttemptEnd.Reach.UNSENT, "connection not established");
+        fixtureWithKeys.tickAt(200, ended(1, 0, unsent));
         assertEquals(
                 Double.POSITIVE_INFINITY,
-                keyed.calls().get(0).sends().get(0).sendByMs(),
-                "the first never ran");
+                fixtureWithKeys.calls().get(0).sends().get(0).sendByMs(),
+                "the first attempt never ran");
         AttemptEnd sent = new AttemptEnd.Broken(AttemptEnd.Reach.SENT, "reset");
-        keyed.tickAt(300, ended(1, 1, sent));
-        assertEquals(200 + 600 - 5, keyed.calls().get(0).sends().get(0).sendByMs());
+        fixtureWithKeys.tickAt(300, ended(1, 1, sent));
+        assertEquals(200 + 600 - 5, fixtureWithKeys.calls().get(0).sends().get(0).sendByMs());
     }
 
     @Test
     void requestsCountForNoTenantsQuota() {
-        ReducerFixture tenants =
+        ReducerFixture fixtureWithTenants =
                 new ReducerFixture(
                         settings(SETTINGS.classes().get(0), new Tenant(0.001), new Tenant(100)),
                         searcher("s", "h:1"));
-        List<Effect> all = new ArrayList<>();
+        List<Effect> allEffects = new ArrayList<>();
         for (long id = 1; id <= 9; id++) {
             double arrivedMs = 400.0 * id;
-            tenants.tickAt(arrivedMs, new Event.Arrived(request(id, "q" + id, arrivedMs + 560, 1)));
-            all.addAll(tenants.effects);
+            fixtureWithTenants.tickAt(
+                    arrivedMs, new Event.Arrived(request(id, "q" + id, arrivedMs + 560, 1)));
+            allEffects.addAll(fixtureWithTenants.effects);
         }
         assertTrue(
-                all.stream().noneMatch(effect -> effect instanceof Effect.Answer),
-                "rejected as a query of the first tenant");
+                allEffects.stream().noneMatch(effect -> effect instanceof Effect.Answer),
+                "rejected for the quota of the first tenant");
     }
 
     @Test
     void aClientThatDisconnectsBetweenThePhasesGetsNoFetchPhase() {
-        ReducerFixture phases =
+        ReducerFixture fixtureWithFetchPhase =
                 new ReducerFixture(
                         settings(queryClass(RepeatSafety.IDEMPOTENT, 2000, 1)),
                         searcher("s", "h:1"));
-        phases.tickAt(10, arrival(1, 1));
-        assertEquals(1, phases.calls().size());
-        phases.tickAt(100, ended(1, 0, new AttemptEnd.Served(1, "in")));
+        fixtureWithFetchPhase.tickAt(10, arrival(1, 1));
+        assertEquals(1, fixtureWithFetchPhase.calls().size());
+        fixtureWithFetchPhase.tickAt(100, ended(1, 0, new AttemptEnd.Served(1, "in")));
         assertTrue(
-                phases.effects.contains(new Effect.ScheduleTimer(0, new Event.FetchPhaseDue(1))),
-                phases.effects.toString());
-        phases.tickAt(105, new Event.ClientDisconnected(1), new Event.FetchPhaseDue(1));
-        assertEquals(List.of(), phases.calls(), phases.effects.toString());
-        assertEquals(0, phases.reducer.openRequests());
+                fixtureWithFetchPhase.effects.contains(
+                        new Effect.ScheduleTimer(0, new Event.FetchPhaseDue(1))),
+                fixtureWithFetchPhase.effects.toString());
+        fixtureWithFetchPhase.tickAt(
+                105, new Event.ClientDisconnected(1), new Event.FetchPhaseDue(1));
+        assertEquals(
+                List.of(), fixtureWithFetchPhase.calls(), fixtureWithFetchPhase.effects.toString());
+        assertEquals(0, fixtureWithFetchPhase.reducer.openRequests());
     }
 
     @Test
     void theFetchPhaseGoesToTheBestShardsAndCarriesTheQueryPhasesResult() {
-        ReducerFixture phases =
+        ReducerFixture fixtureWithFetchPhase =
                 new ReducerFixture(
                         settings(queryClass(RepeatSafety.IDEMPOTENT, 2000, 1)),
                         searcher("s", "h:1"));
-        phases.tickAt(10, arrival(1, 2));
-        phases.tickAt(
+        fixtureWithFetchPhase.tickAt(10, arrival(1, 2));
+        fixtureWithFetchPhase.tickAt(
                 100,
                 ended(1, 0, new AttemptEnd.Served(1, "low")),
                 ended(2, 0, new AttemptEnd.Served(2, "high")));
-        phases.tickAt(105, new Event.FetchPhaseDue(1));
-        Effect.Send fetch = phases.calls().get(0).sends().get(0);
+        fixtureWithFetchPhase.tickAt(105, new Event.FetchPhaseDue(1));
+        Effect.Send fetch = fixtureWithFetchPhase.calls().get(0).sends().get(0);
         assertEquals(1, fetch.shard());
         assertEquals(new Effect.QueryPhaseResult(List.of(0, 1), true), fetch.queryPhase());
-        phases.tickAt(200, ended(3, 0, new AttemptEnd.Served(5, "fetched")));
+        fixtureWithFetchPhase.tickAt(200, ended(3, 0, new AttemptEnd.Served(5, "fetched")));
         assertEquals(
                 new Reply.Served(true, List.of(new Reply.Hit(1, "fetched", 5))),
-                phases.answers().get(0).reply());
+                fixtureWithFetchPhase.answers().get(0).reply());
     }
 
     @Test
@@ -252,14 +263,14 @@
 
     @Test
     void sendsToASearcherThatDrainsOrIsRemovedInTheSameTickAreWithdrawn() {
-        for (EndpointState last : List.of(EndpointState.DRAINING, EndpointState.REMOVED)) {
+        for (EndpointState newState : List.of(EndpointState.DRAINING, EndpointState.REMOVED)) {
             fixture.changeEndpoints(EndpointListKind.CHANGES, searcher("s", "h:1"));
             fixture.now += 100;
             fixture.tick(
                     arrival((long) fixture.now, 1),
                     new Event.EndpointsChanged(
-                            EndpointListKind.CHANGES, List.of(searcher("s", "h:1", 0, last))));
-            assertEquals(List.of(), fixture.calls(), last.name());
+                            EndpointListKind.CHANGES, List.of(searcher("s", "h:1", 0, newState))));
+            assertEquals(List.of(), fixture.calls(), newState.name());
         }
     }
 }
--- a/src/test/java/reeldeal/core/SearcherDirectoryTest.java
+++ b/src/test/java/reeldeal/core/SearcherDirectoryTest.java
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void anotherAddressStopsTheOldOneAndKeepsTheTicksSends() {
+    void aChangedAddressStopsTheOldOneAndKeepsTheSendsOfTheTick() {
         update(EndpointListKind.CHANGES, searcher("s", "h:1"));
         long id = searchers.findId("s");
         Change change = update(EndpointListKind.CHANGES, searcher("s", "h:9"));
--- a/src/test/java/reeldeal/core/SendRulesTest.java
+++ b/src/test/java/reeldeal/core/SendRulesTest.java
@@ -9,7 +9,7 @@
 
 class SendRulesTest {
     private static final AttemptEnd UNSENT =
-            new AttemptEnd.Broken(AttemptEnd.Reach.UNSENT, "never came up");
+            new AttemptEnd.Broken(AttemptEnd.Reach.UNSENT, "connection not established");
 
     private final SendRules rules = rules(RepeatSafety.IDEMPOTENT);
     private final PendingShardRequest shardRequest =
--- a/src/test/java/reeldeal/endpoints/DepartureTest.java
+++ b/src/test/java/reeldeal/endpoints/DepartureTest.java
@@ -5,7 +5,10 @@
 
 import org.junit.Test;
 
-/** The text form of departed names, which is kept on disk between versions of the program. */
+/**
+ * Tests the text form of departures, which has to stay readable because it is kept on disk between
+ * versions of the program.
+ */
 public class DepartureTest {
     @Test
     public void aDepartureIsFormattedAndParsedAsOneLine() {
--- a/src/test/java/reeldeal/endpoints/EndpointHistoryTest.java
+++ b/src/test/java/reeldeal/endpoints/EndpointHistoryTest.java
@@ -16,7 +16,10 @@
 import reeldeal.decision.DecisionModule.EndpointState;
 import reeldeal.endpoints.EndpointView.AdministrativeOverride;
 
-/** Replays random histories and compares all that the view gives with a recorded digest. */
+/**
+ * Replays random histories, and compares the complete output of the view with a recorded digest. A
+ * change of a rule, a log line or a reason changes the digest.
+ */
 public class EndpointHistoryTest {
     private static final List<String> SOURCES = List.of("a.", "b.", "discovery");
     private static final List<AdministrativeOverride> OVERRIDES =
@@ -67,19 +70,19 @@
         return random.nextInt(chances) == 0;
     }
 
-    /** Applies one random event; returns all that the view gives after it. */
+    /** Applies one random event, and returns the complete output of the view after it. */
     private String step(EndpointView.Rules rules) {
         StringBuilder text = new StringBuilder();
-        int kind = random.nextInt(20);
-        if (kind < 12) {
+        int action = random.nextInt(20);
+        if (action < 12) {
             text.append(observe());
-        } else if (kind == 12) {
+        } else if (action == 12) {
             view.expireSource(now, randomSource());
-        } else if (kind == 13) {
+        } else if (action == 13) {
             view.forgetVersion(randomSource());
-        } else if (kind < 16) {
+        } else if (action < 16) {
             setOverrides();
-        } else if (kind == 16 && oneIn(9)) {
+        } else if (action == 16 && oneIn(9)) {
             String saved = view.departuresAsText();
             view = new EndpointView(rules, SOURCES);
             view.restore(now, saved + "x y\nn1. 12 3 gone\n");
@@ -118,22 +121,23 @@
         return view.observe(now, source, version + 1, reports);
     }
 
-    private EndpointReport report(int i) {
-        List<String> addresses = List.of("h:" + (oneIn(10) ? 77 : i));
+    private EndpointReport report(int nameIndex) {
+        List<String> addresses = List.of("h:" + (oneIn(10) ? 77 : nameIndex));
         if (oneIn(8)) {
             addresses = List.of();
         } else if (oneIn(6)) {
             addresses = List.of("10.0.0." + (9 + random.nextInt(3)) + ":1", "10.0.0.2:1");
         }
-        List<Integer> cells = oneIn(10) ? List.of() : oneIn(8) ? List.of(2, 1) : List.of(i % 3);
+        List<Integer> cells =
+                oneIn(10) ? List.of() : oneIn(8) ? List.of(2, 1) : List.of(nameIndex % 3);
         return new EndpointReport(
-                "set" + (i % 2) * random.nextInt(2),
-                "n" + i + ".",
+                "set" + (nameIndex % 2) * random.nextInt(2),
+                "n" + nameIndex + ".",
                 addresses,
                 random.nextInt(3),
                 random.nextInt(3),
                 cells,
-                "z" + i % 2,
+                "z" + nameIndex % 2,
                 "k",
                 oneIn(4) ? now - random.nextInt(3_000) : 0,
                 1 + random.nextInt(2),
--- a/src/test/java/reeldeal/endpoints/EndpointViewTest.java
+++ b/src/test/java/reeldeal/endpoints/EndpointViewTest.java
@@ -14,7 +14,7 @@
 import reeldeal.core.Searcher;
 import reeldeal.decision.DecisionModule.EndpointState;
 
-/** The rules of the view, each at the case that it was made for. */
+/** Tests each rule of the view in the cases that the rule is for. */
 public class EndpointViewTest {
     private static final EndpointView.Rules RULES = EndpointView.Rules.DEFAULT;
     private static final List<String> SOURCES = List.of("z1", "z2", "discovery");
@@ -87,7 +87,7 @@
         view.tick(now);
     }
 
-    /** State and address of a published name, "-" where it is not listed. */
+    /** Returns the state and address of a published name, or "-" if it is not listed. */
     private String published(String name) {
         return view.entries().stream()
                 .filter(
@@ -118,13 +118,14 @@
     public void aNameThatLeavesDrainsImmediatelyAndComesBackAsANewProcess() {
         observe("z1", 1, S1, S2);
         assertEquals("READY h:1", published("s1"));
-        assertEquals("not new when first listed", 0, searcher("s1").startedMs(), 0);
+        assertEquals("not a new process when first listed", 0, searcher("s1").startedMs(), 0);
         observe("z1", 2, S2);
-        assertEquals("immediately", "DRAINING h:1", published("s1"));
+        assertEquals("drains immediately", "DRAINING h:1", published("s1"));
         advance(3_000);
         observe("z1", 3, S1, S2);
         assertEquals("READY h:1", published("s1"));
-        assertEquals("new under the same address", (double) now, searcher("s1").startedMs(), 0);
+        assertEquals(
+                "a new process at the same address", (double) now, searcher("s1").startedMs(), 0);
     }
 
     @Test
@@ -148,7 +149,7 @@
         assertEquals("READY h:1", published("s1"));
         assertEquals(0, searcher("s1").startedMs(), 0);
         observe("z1", 4, startedAt(S1, 5_000), S2);
-        assertEquals("it reports a start itself", 5_000, searcher("s1").startedMs(), 0);
+        assertEquals("the reported start time", 5_000, searcher("s1").startedMs(), 0);
     }
 
     @Test
@@ -203,7 +204,7 @@
         observe("z1", 4, report("new", "h:10", 2), S2);
         assertEquals("valid again", "READY h:10", published("new"));
         assertEquals(
-                "another address is another process", (double) now, searcher("new").startedMs(), 0);
+                "a new process at another address", (double) now, searcher("new").startedMs(), 0);
         observe("z1", 5, report("new", "h:10"), S2);
         assertTrue(reason("new").contains("held: no cell"));
         advance(RULES.holdMs());
@@ -229,7 +230,7 @@
         observe("z1", 1, withPriority(S1, 5), withPriority(report("s1", "h:7", 0), 1));
         assertEquals("the lowest priority", "READY h:7", published("s1"));
         observe("z1", 2, report("s1", "h:7", 0), withWeight(report("s1", "h:8", 0), 100));
-        assertEquals("the published one", "READY h:7", published("s1"));
+        assertEquals("the published address", "READY h:7", published("s1"));
         assertTrue(reason("s1"), reason("s1").contains("of the addresses h:7, h:8 h:7 counts"));
         observe("z1", 3, report("t", "h:20", 0), withWeight(report("t", "h:21", 0), 100));
         assertEquals("the highest weight", "READY h:21", published("t"));
@@ -242,12 +243,12 @@
         assertEquals("the lowest cell", 3, searcher("u").cell());
         observe("z1", 5, report("u", "10.0.0.1:1,10.0.0.9:1", 3, 1));
         assertEquals(
-                "the published ones",
+                "the published address and cell",
                 "READY 10.0.0.9:1 3",
                 published("u") + " " + searcher("u").cell());
         observe("z1", 6, report("u", "10.0.0.9:1", 3), draining(report("u", "10.0.0.1:1", 3)));
         assertEquals(
-                "a draining status of any report counts", "DRAINING 10.0.0.9:1", published("u"));
+                "a draining status of any report applies", "DRAINING 10.0.0.9:1", published("u"));
     }
 
     @Test
@@ -267,7 +268,7 @@
         observe("z1", 7, S2);
         assertEquals("DRAINING h:1", published("s1"));
         observe("discovery", -1, S1, S2);
-        assertEquals("a list of a lower rank lags", "DRAINING h:1", published("s1"));
+        assertEquals("a source of lower rank may lag", "DRAINING h:1", published("s1"));
         advance(RULES.goneAfterMs());
         assertEquals("-", published("s1"));
         observe("discovery", -1, startedAt(S1, (double) now), S2);
@@ -311,7 +312,7 @@
         observe("z2", 1, report("s1", "h:5", 0));
         assertEquals("READY h:5", published("s1"));
         observe("z1", 1, S1);
-        assertEquals("the higher rank", "READY h:1", published("s1"));
+        assertEquals("the source of higher rank", "READY h:1", published("s1"));
         observe("z2", 2, draining(report("s1", "h:5", 0)));
         assertEquals("DRAINING h:1", published("s1"));
     }
@@ -323,9 +324,9 @@
         view.expireSource(now, "z1");
         assertEquals("READY h:5", published("s1"));
         view.expireSource(now, "z2");
-        assertEquals("listed nowhere", "DRAINING h:5", published("s1"));
+        assertEquals("no source lists it", "DRAINING h:5", published("s1"));
         observe("z1", 0, S1);
-        assertEquals("after expiry any serial counts", "READY h:1", published("s1"));
+        assertEquals("any serial is accepted after expiry", "READY h:1", published("s1"));
     }
 
     @Test
@@ -340,7 +341,7 @@
         }
         assertEquals("DRAINING h:1", published("s1"));
         assertTrue(reason("s1"), reason("s1").startsWith("damped: penalty 4"));
-        assertTrue("its end is known", view.nextTickAt() < now + 20_000);
+        assertTrue("the end of the damping is scheduled", view.nextTickAt() < now + 20_000);
         advance(view.nextTickAt() - now);
         assertEquals("READY h:1", published("s1"));
     }
@@ -355,7 +356,7 @@
             observe("z1", version++, S1, S2, S3);
             advance(10);
         }
-        assertEquals("its cell has no other", "READY h:2", published("s2"));
+        assertEquals("its cell has no other ready searcher", "READY h:2", published("s2"));
     }
 
     @Test
@@ -384,7 +385,7 @@
         }
     }
 
-    /** A random history of two sources, checked after each step. */
+    /** A random history of two sources, whose invariants are checked after each step. */
     private static final class RandomHistory {
         private static final int NAMES = 6;
 
@@ -451,7 +452,7 @@
                     context + ": ready though the first source drains it",
                     !(ready && isDraining(0, name)));
             assertTrue(
-                    context + ": ready though listed nowhere for long",
+                    context + ": ready though unlisted for longer than the grace period",
                     !ready || listed || time - absentSince.get(name) <= RULES.emptyGraceMs());
             assertTrue(
                     context + ": ready though the only source that lists it drains it",
--- a/src/test/java/reeldeal/endpoints/ReportSelectionTest.java
+++ b/src/test/java/reeldeal/endpoints/ReportSelectionTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.Test;
 
-/** The order of addresses by which one of several is chosen. */
+/** Tests the order of addresses, by which one of several addresses is selected. */
 public class ReportSelectionTest {
     @Test
     public void addressesOfFourNumbersAndAPortAreComparedByNumber() {
--- a/src/test/java/reeldeal/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/reeldeal/simulator/SimulatorAdapterTest.java
@@ -13,7 +13,7 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** The adapter on good and bad input. */
+/** Tests the simulator adapter with well-formed and malformed input. */
 class SimulatorAdapterTest {
     private static final String SETTINGS =
             """
@@ -47,15 +47,15 @@
     }
 
     private static byte[] batch(byte[] tail, ByteBuffer... records) {
-        ByteBuffer all = ByteBuffer.allocate(20 + 56 * records.length + tail.length);
-        all.putInt(records.length)
+        ByteBuffer batch = ByteBuffer.allocate(20 + 56 * records.length + tail.length);
+        batch.putInt(records.length)
                 .putInt(56 * records.length + tail.length)
                 .putDouble(240)
                 .putInt(9);
         for (ByteBuffer record : records) {
-            all.put(record.duplicate().clear());
+            batch.put(record.duplicate().clear());
         }
-        return all.put(tail).array();
+        return batch.put(tail).array();
     }
 
     private static ByteBuffer event(int code) {
@@ -126,20 +126,20 @@
     @Test
     void malformedBatchesEndWithStatusTwoAndOneErrorLine() throws IOException {
         byte[] wellFormed = startedBatch(SETTINGS);
-        byte[] outside = startedBatch(SETTINGS);
-        ByteBuffer.wrap(outside).putInt(20 + 17, 1 << 30);
+        byte[] outsideTail = startedBatch(SETTINGS);
+        ByteBuffer.wrap(outsideTail).putInt(20 + 17, 1 << 30);
         byte[][] malformed = {
             Arrays.copyOf(wellFormed, 7),
             Arrays.copyOf(wellFormed, wellFormed.length - 1),
             ByteBuffer.allocate(20).putInt(9).array(),
             batch(new byte[0], event(99)),
-            outside
+            outsideTail
         };
         String[] expectedMessages = {
             "truncated header",
             "truncated",
             "do not fit",
-            "unknown event code 99",
+            "expected an event code from 1 to 11, got 99",
             "outside the tail"
         };
         for (int i = 0; i < malformed.length; i++) {
