--- a/src/main/java/reeldeal/core/RequestTable.java
+++ b/src/main/java/reeldeal/core/RequestTable.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The requests without a final answer, and their shard requests. A shard request outlives its
- * request while attempts of it have no end.
+ * The requests without a final answer, and their shard requests. A shard request stays in the table
+ * after the end of its request until all its attempts have ended.
  */
 final class RequestTable {
     private final Map<Long, PendingRequest> requests = new HashMap<>();
@@ -13,7 +13,7 @@
     private int unitsInFlight;
     private long nextShardRequestId = 1;
 
-    /** Adds a request without its shard requests. */
+    /** Adds a request, without its shard requests. */
     PendingRequest add(Request request) {
         PendingRequest pending = new PendingRequest(request);
         requests.put(request.id(), pending);
@@ -22,20 +22,20 @@
     }
 
     /** Adds a shard request to a request's current phase. */
-    PendingShardRequest addShardRequest(PendingRequest request, int shard) {
+    PendingShardRequest addShardRequest(PendingRequest pending, int shard) {
         PendingShardRequest shardRequest =
-                new PendingShardRequest(nextShardRequestId++, request, shard);
+                new PendingShardRequest(nextShardRequestId++, pending, shard);
         shardRequests.put(shardRequest.id, shardRequest);
-        request.phase.add(shardRequest);
-        request.shardRequests++;
+        pending.currentPhase.add(shardRequest);
+        pending.shardRequestCount++;
         unitsInFlight++;
         return shardRequest;
     }
 
-    /** Removes a request; its shard requests remain until {@link #removeIfIdle}. */
-    void remove(PendingRequest request) {
-        requests.remove(request.request.id());
-        unitsInFlight -= 1 + request.shardRequests;
+    /** Removes a request; {@link #removeIfIdle} removes its shard requests. */
+    void remove(PendingRequest pending) {
+        requests.remove(pending.request.id());
+        unitsInFlight -= 1 + pending.shardRequestCount;
     }
 
     /** Removes a completed shard request once no attempt of it is in flight. */
@@ -45,22 +45,22 @@
         }
     }
 
-    /** The open request of this id, or null. */
-    PendingRequest find(long request) {
-        return requests.get(request);
+    /** Returns the open request with this id, or null. */
+    PendingRequest find(long requestId) {
+        return requests.get(requestId);
     }
 
-    /** The shard request of this id, or null. */
-    PendingShardRequest findShardRequest(long shardRequest) {
-        return shardRequests.get(shardRequest);
+    /** Returns the shard request with this id, or null. */
+    PendingShardRequest findShardRequest(long shardRequestId) {
+        return shardRequests.get(shardRequestId);
     }
 
-    /** Open requests. */
+    /** Returns the number of open requests. */
     int size() {
         return requests.size();
     }
 
-    /** Open requests and their shard requests, as the settings' bound counts them. */
+    /** Returns the number of open requests plus their shard requests, which the settings limit. */
     int unitsInFlight() {
         return unitsInFlight;
     }
--- a/src/main/java/reeldeal/endpoints/Departure.java
+++ b/src/main/java/reeldeal/endpoints/Departure.java
@@ -3,25 +3,26 @@
 import java.util.regex.Pattern;
 
 /**
- * A name that left the view, in the form in which it is kept across a restart: {@code NAME UNIX_MS
+ * The departure of a name from the view. It is saved across a restart as a line {@code NAME UNIX_MS
  * RANK gone|draining}.
  *
- * @param name the searcher's name
- * @param atMs when it left, Unix time in ms
- * @param rank rank of the source that dropped it, {@link Integer#MAX_VALUE} where none did
- * @param vanished whether no source listed it since, so that it comes back as a new process
+ * @param name name of the searcher
+ * @param departedAtMs time of the departure, Unix time in milliseconds
+ * @param rank rank of the source that dropped the name, {@link Integer#MAX_VALUE} if none did
+ * @param unlisted whether the name was unlisted, not only marked as draining, so that the searcher
+ *     comes back as a new process
  */
-record Departure(String name, long atMs, int rank, boolean vanished) {
-    private static final String VANISHED = "gone";
+record Departure(String name, long departedAtMs, int rank, boolean unlisted) {
+    private static final String UNLISTED = "gone";
     private static final String DRAINING = "draining";
     private static final Pattern TIME = Pattern.compile("[0-9]{1,15}");
     private static final Pattern RANK = Pattern.compile("[0-9]{1,5}");
 
     String format() {
-        return name + ' ' + atMs + ' ' + rank + ' ' + (vanished ? VANISHED : DRAINING);
+        return name + ' ' + departedAtMs + ' ' + rank + ' ' + (unlisted ? UNLISTED : DRAINING);
     }
 
-    /** Parses one line; null where it has another form. */
+    /** Parses a line; returns null if it does not have the saved form. */
     static Departure parse(String line) {
         String[] fields = line.split(" ");
         if (fields.length != 4
@@ -33,6 +34,6 @@
                 fields[0],
                 Long.parseLong(fields[1]),
                 Integer.parseInt(fields[2]),
-                fields[3].equals(VANISHED));
+                fields[3].equals(UNLISTED));
     }
 }
--- a/src/main/java/reeldeal/endpoints/EndpointFeed.java
+++ b/src/main/java/reeldeal/endpoints/EndpointFeed.java
@@ -19,15 +19,18 @@
 import reeldeal.dns.Zone;
 
 /**
- * Passes the sources' observations to an {@link EndpointView}, and its changes to the broker: the
- * complete list first, then changes. All methods are called on the loop given to the constructor,
- * which is not the loop that serves queries.
+ * Passes the sources' observations to an {@link EndpointView}, and the resulting list to the
+ * broker: the complete list first, changes to it afterwards. All methods are called on the event
+ * loop given to the constructor, which is not the loop that serves queries.
  */
 public final class EndpointFeed {
-    /** The name of discovery among the sources. */
+    /** Name of the source that stands for discovery. */
     public static final String DISCOVERY = "discovery";
 
-    /** How long the first list waits for sources that have not reported yet, in milliseconds. */
+    /**
+     * Maximum time for which the first list waits for sources that have not reported, in
+     * milliseconds.
+     */
     private static final int FIRST_LIST_TIMEOUT_MS = 2_000;
 
     private static final long NO_VERSION = -1;
@@ -37,27 +40,27 @@
     private final LongSupplier clock;
     private final Consumer<Event.EndpointsChanged> subscriber;
     private final Consumer<String> log;
-    private final Consumer<String> saver;
+    private final Consumer<String> stateWriter;
     private final Map<String, Set<String>> hostsByZone = new HashMap<>();
-    private final Map<String, EndpointReport> discovered = new LinkedHashMap<>();
+    private final Map<String, EndpointReport> discoveryReports = new LinkedHashMap<>();
     private final Set<String> awaitedSources;
     private final Set<String> staleZones = new HashSet<>();
     private boolean firstListPublished;
-    private boolean awaitTimerStarted;
+    private boolean firstListTimerStarted;
     private long tickScheduledAt = Long.MAX_VALUE;
     private String lastSaved = "";
 
     /**
      * Creates a feed.
      *
-     * @param loop runs the view's timers, and all calls of this feed
-     * @param view the view to feed
-     * @param awaited names of the sources without which the first list is not published, so that a
-     *     list with half of the fleet never goes out
-     * @param clock Unix time in milliseconds
+     * @param loop event loop that runs the view's timers, and on which this feed is called
+     * @param view the view that gets the observations
+     * @param awaited names of the sources that the first list waits for, so that a list that lacks
+     *     half of the fleet is not published
+     * @param clock returns Unix time in milliseconds
      * @param subscriber receives the complete list once, then changes
      * @param log receives log lines
-     * @param saver receives the text for {@link #restore} whenever it changes
+     * @param stateWriter receives the text for {@link #restore} whenever it changes
      */
     public EndpointFeed(
             ScheduledExecutorService loop,
@@ -66,56 +69,61 @@
             LongSupplier clock,
             Consumer<Event.EndpointsChanged> subscriber,
             Consumer<String> log,
-            Consumer<String> saver) {
+            Consumer<String> stateWriter) {
         this.loop = loop;
         this.view = view;
         this.awaitedSources = new HashSet<>(awaited);
         this.clock = clock;
         this.subscriber = subscriber;
         this.log = log;
-        this.saver = saver;
+        this.stateWriter = stateWriter;
     }
 
     /**
-     * Takes a zone from an old copy on disk because the store is not reached; it holds until the
-     * store delivers the zone.
+     * Uses a zone from an old copy on disk because the store is unreachable. The copy is used until
+     * the store delivers the zone.
      */
     public void useStaleZone(Zone zone) {
-        log.accept("members: " + zone.origin + ": serial " + zone.serial() + " from an old copy");
+        log.accept(
+                "members: "
+                        + zone.origin
+                        + ": using serial "
+                        + zone.serial()
+                        + " from an old copy on disk; the store is unreachable");
         zone(zone, null);
         staleZones.add(zone.origin);
     }
 
     /**
-     * Takes a zone's present content.
+     * Passes the present content of a zone to the view.
      *
-     * @param zone the zone
-     * @param touched the names that changed, or null where any may have
+     * @param updated the zone with its present content
+     * @param changedNames the names that changed, or null if any name may have changed
      */
-    public void zone(Zone zone, Set<String> touched) {
-        boolean wasStale = staleZones.remove(zone.origin);
+    public void zone(Zone updated, Set<String> changedNames) {
+        boolean wasStale = staleZones.remove(updated.origin);
         if (wasStale) {
-            view.forgetVersion(zone.origin);
+            view.forgetVersion(updated.origin);
         }
-        Set<String> knownHosts = wasStale ? null : hostsByZone.get(zone.origin);
+        Set<String> knownHosts = wasStale ? null : hostsByZone.get(updated.origin);
         if (knownHosts != null
-                && touched != null
-                && !concernsSearchers(zone, knownHosts, touched)) {
+                && changedNames != null
+                && !concernsSearchers(updated, knownHosts, changedNames)) {
             return;
         }
-        List<EndpointReport> reports = EndpointReports.parse(zone);
+        List<EndpointReport> reports = EndpointReports.parse(updated);
         Set<String> hosts = new HashSet<>();
         reports.forEach(report -> hosts.add(report.name()));
-        hostsByZone.put(zone.origin, hosts);
-        awaitedSources.remove(zone.origin);
-        view.observe(clock.getAsLong(), zone.origin, zone.serial(), reports);
+        hostsByZone.put(updated.origin, hosts);
+        awaitedSources.remove(updated.origin);
+        view.observe(clock.getAsLong(), updated.origin, updated.serial(), reports);
         publish();
     }
 
     private static boolean concernsSearchers(
-            Zone zone, Set<String> knownHosts, Set<String> touched) {
+            Zone zone, Set<String> knownHosts, Set<String> changedNames) {
         String service = EndpointReports.SERVICE + zone.origin;
-        for (String name : touched) {
+        for (String name : changedNames) {
             if (knownHosts.contains(name) || Names.within(name, service)) {
                 return true;
             }
@@ -123,27 +131,28 @@
         return false;
     }
 
-    /** Drops what a zone lists, since its secondary copy has expired. */
+    /** Drops the reports of a zone whose secondary copy has expired. */
     public void expired(String origin) {
-        view.expired(clock.getAsLong(), origin);
+        view.expireSource(clock.getAsLong(), origin);
         publish();
     }
 
-    /** Takes an endpoint list, or changes to it, from discovery. */
+    /** Passes an endpoint list from discovery, or changes to it, to the view. */
     public void discovery(Event.EndpointsChanged event) {
         if (event.kind() == EndpointListKind.COMPLETE) {
-            discovered.clear();
+            discoveryReports.clear();
         }
         for (Searcher searcher : event.entries()) {
-            EndpointReport report = EndpointReports.parse(searcher);
+            EndpointReport report = EndpointReports.fromDiscovery(searcher);
             if (report == null) {
-                discovered.remove(searcher.name());
+                discoveryReports.remove(searcher.name());
             } else {
-                discovered.put(searcher.name(), report);
+                discoveryReports.put(searcher.name(), report);
             }
         }
         awaitedSources.remove(DISCOVERY);
-        view.observe(clock.getAsLong(), DISCOVERY, NO_VERSION, List.copyOf(discovered.values()));
+        view.observe(
+                clock.getAsLong(), DISCOVERY, NO_VERSION, List.copyOf(discoveryReports.values()));
         publish();
     }
 
@@ -155,20 +164,20 @@
         publish();
     }
 
-    /** Restores what was saved before a restart; called before the first zone is taken. */
+    /** Restores the text saved before a restart; must be called before the first observation. */
     public void restore(String text) {
         view.restore(clock.getAsLong(), text);
     }
 
-    /** The view's entries with their reasons. */
+    /** Returns the entries of the view, with the reasons for their states. */
     public List<EndpointView.Entry> view() {
-        return view.view();
+        return view.entries();
     }
 
     private void publish() {
         view.takeLog().forEach(line -> log.accept("members: " + line));
         if (!awaitedSources.isEmpty()) {
-            startAwaitTimer();
+            startFirstListTimer();
             return;
         }
         List<Searcher> changes = view.takeChanges();
@@ -185,7 +194,7 @@
 
     private List<Searcher> listedSearchers() {
         List<Searcher> listed = new ArrayList<>();
-        for (EndpointView.Entry entry : view.view()) {
+        for (EndpointView.Entry entry : view.entries()) {
             if (entry.searcher().state() != EndpointState.REMOVED) {
                 listed.add(entry.searcher());
             }
@@ -194,31 +203,42 @@
     }
 
     private void save() {
-        String text = view.saved();
+        String text = view.departuresAsText();
         if (!text.equals(lastSaved)) {
             lastSaved = text;
-            saver.accept(text);
+            stateWriter.accept(text);
         }
     }
 
-    private void startAwaitTimer() {
-        if (!awaitTimerStarted) {
-            awaitTimerStarted = true;
-            loop.schedule(this::stopAwaiting, FIRST_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    private void startFirstListTimer() {
+        if (!firstListTimerStarted) {
+            firstListTimerStarted = true;
+            loop.schedule(
+                    this::publishWithoutMissingSources,
+                    FIRST_LIST_TIMEOUT_MS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
-    /** A source that does not report must not keep the searchers of the others from use. */
-    private void stopAwaiting() {
+    /**
+     * Publishes the list although sources have not reported, because the searchers of the other
+     * sources must not stay unused.
+     */
+    private void publishWithoutMissingSources() {
         if (!awaitedSources.isEmpty()) {
-            log.accept("members: no word from " + awaitedSources + "; going on without");
+            log.accept(
+                    "members: no report from "
+                            + awaitedSources
+                            + (" within "
+                                    + FIRST_LIST_TIMEOUT_MS
+                                    + " ms; publishing the list without them"));
             awaitedSources.clear();
             publish();
         }
     }
 
     private void scheduleTick() {
-        long due = view.due();
+        long due = view.nextTickAt();
         if (due < tickScheduledAt && due < Long.MAX_VALUE) {
             tickScheduledAt = due;
             loop.schedule(this::tick, Math.max(0, due - clock.getAsLong()), TimeUnit.MILLISECONDS);
--- a/src/main/java/reeldeal/endpoints/EndpointFold.java
+++ b/src/main/java/reeldeal/endpoints/EndpointFold.java
@@ -14,8 +14,9 @@
 import reeldeal.endpoints.EndpointView.AdministrativeOverride;
 
 /**
- * One pass of the rules of {@link EndpointView} over all sources and names at one time. Made for
- * one call of {@link #run}, on the view's thread; the state belongs to the sources and endpoints.
+ * Applies the rules of {@link EndpointView} once to all sources and names, at one time. An object
+ * is used for one call of {@link #run}, on the view's thread; all lasting state belongs to the
+ * sources and endpoints.
  */
 final class EndpointFold {
     private static final int MAX_TRACKED_NAMES = 10_000;
@@ -27,7 +28,7 @@
     private final OverrideTable overrides;
     private final Map<String, TrackedEndpoint> endpoints;
     private final EndpointChangeLog changeLog;
-    private long due = Long.MAX_VALUE;
+    private long nextRunAt = Long.MAX_VALUE;
 
     EndpointFold(
             long now,
@@ -44,7 +45,7 @@
         this.changeLog = changeLog;
     }
 
-    /** Applies the rules; returns when the next of them is due. */
+    /** Applies the rules, and returns the time at which they must be applied again. */
     long run() {
         Map<String, List<SourceFinding>> findings = new TreeMap<>();
         for (EndpointSource source : sources) {
@@ -58,19 +59,19 @@
                         damped.add(endpoint);
                     }
                 });
-        damped.forEach(this::admitIfOnlyOneOfItsCell);
+        damped.forEach(this::publishReadyIfCellHasNoOther);
         forgetDepartedNames();
-        return due;
+        return nextRunAt;
     }
 
-    private void dueAt(long time) {
-        due = Math.min(due, time);
+    private void runAgainAt(long time) {
+        nextRunAt = Math.min(nextRunAt, time);
     }
 
-    // ---- findings: what each source comes to for each name ----
+    // ---- findings: the result of each source for each name ----
 
     private void collectFindings(EndpointSource source, Map<String, List<SourceFinding>> findings) {
-        dueAt(source.dropEmptySets(now, rules.emptyGraceMs()));
+        runAgainAt(source.dropEmptySets(now, rules.emptyGraceMs()));
         source.reportsByName()
                 .forEach(
                         (name, reports) -> {
@@ -84,12 +85,16 @@
                         });
     }
 
-    /** Rules 4 and 5: one of several valid reports, or what replaces them; null for nothing. */
+    /**
+     * Rules 4 and 5: returns the finding of a source for a name, from one of several valid reports
+     * or from the last valid one; null if the source has no finding.
+     */
     private SourceFinding resolve(
             EndpointSource source, TrackedEndpoint endpoint, List<EndpointReport> reports) {
-        // A name that one report marks as draining is draining, whichever gives its address.
-        boolean draining = reports.stream().anyMatch(r -> r.listed() != EndpointState.READY);
-        List<EndpointReport> valid = reports.stream().filter(r -> r.fault() == null).toList();
+        // One draining report makes the name draining, whichever report gives the address.
+        boolean draining = reports.stream().anyMatch(r -> r.state() != EndpointState.READY);
+        List<EndpointReport> valid =
+                reports.stream().filter(r -> r.invalidReason() == null).toList();
         if (!valid.isEmpty()) {
             endpoint.onValidReport(source.rank());
             ReportSelection selected = ReportSelection.select(valid, endpoint.published());
@@ -109,70 +114,81 @@
         return SourceFinding.drainingOnly(source, invalid);
     }
 
-    /** Rule 4: the last valid report while only invalid ones are listed; null where it is over. */
+    /**
+     * Rule 4: returns a finding with the last valid report while the source lists only invalid
+     * ones; null if there was no valid report, or its hold period is over.
+     */
     private SourceFinding holdLastValid(
             EndpointSource source,
             TrackedEndpoint endpoint,
             EndpointReport invalid,
             boolean draining) {
         if (!endpoint.hasValidReportOf(source.rank())) {
-            endpoint.rejectReports("waits: " + invalid.fault() + " in " + source.name());
+            endpoint.rejectReports("waits: " + invalid.invalidReason() + " in " + source.name());
             return null;
         }
         long heldSince = endpoint.startHold(now);
-        long holdEnd = heldSince + (invalid.bare() ? rules.emptyGraceMs() : rules.holdMs());
+        long holdEnd =
+                heldSince + (invalid.withoutRecords() ? rules.emptyGraceMs() : rules.holdMs());
         if (now >= holdEnd) {
             endpoint.rejectReports(
-                    invalid.fault() + " for " + (now - heldSince) + " ms in " + source.name());
+                    invalid.invalidReason()
+                            + " for "
+                            + (now - heldSince)
+                            + " ms in "
+                            + source.name());
             return null;
         }
-        dueAt(holdEnd);
-        EndpointReport lastValid = endpoint.validReport();
+        runAgainAt(holdEnd);
+        EndpointReport lastValid = endpoint.lastValidReport();
         return new SourceFinding(
                 source,
                 draining ? lastValid.asDraining() : lastValid,
                 endpoint.published().address(),
                 endpoint.published().cell(),
-                "; held: " + invalid.fault(),
+                "; held: " + invalid.invalidReason(),
                 true);
     }
 
-    // ---- one name ----
+    // ---- update of one name ----
 
     private void update(String name, TrackedEndpoint endpoint, List<SourceFinding> findings) {
         AdministrativeOverride override = overrides.of(name);
         boolean dropped = dropFromDescribingSource(endpoint, findings);
-        SourceFinding describing = null;
-        SourceFinding draining = null;
+        SourceFinding describingFinding = null;
+        SourceFinding drainingFinding = null;
         for (SourceFinding finding : findings) {
             if (isLaggingReport(endpoint, finding)) {
                 continue;
             }
-            if (describing == null && finding.listsAddress()) {
-                describing = finding;
+            if (describingFinding == null && finding.listsAddress()) {
+                describingFinding = finding;
             }
-            if (draining == null && finding.isDraining()) {
-                draining = finding;
+            if (drainingFinding == null && finding.isDraining()) {
+                drainingFinding = finding;
             }
         }
         if (override == AdministrativeOverride.REMOVED) {
             delist(name, endpoint, true, OVERRIDE_REASON, dropped);
-        } else if (describing == null) {
-            String rejectedBecause = endpoint.rejectedBecause();
-            String reason = rejectedBecause.isEmpty() ? "listed no more" : rejectedBecause;
+        } else if (describingFinding == null) {
+            String rejectionReason = endpoint.rejectionReason();
+            String reason = rejectionReason.isEmpty() ? "listed no more" : rejectionReason;
             delist(name, endpoint, false, reason, dropped);
         } else {
-            list(name, endpoint, override, describing, draining);
+            list(name, endpoint, override, describingFinding, drainingFinding);
         }
     }
 
     /**
-     * Rule 6: whether the source that described a name lists it no more, although it has not
-     * expired. Then the others may only lag behind it, and the name departs.
+     * Rule 6: records a departure if the source that described a name does not list it any more,
+     * although the source has not expired. Other sources that still list the name are assumed to
+     * lag behind.
+     *
+     * @return whether the source dropped the name
      */
     private boolean dropFromDescribingSource(
             TrackedEndpoint endpoint, List<SourceFinding> findings) {
-        int rank = endpoint.validRank();
+        int rank = endpoint.describingRank();
         if (endpoint.published() == null || rank == Integer.MAX_VALUE || isExpired(rank)) {
             return false;
         }
@@ -181,11 +197,11 @@
                 return false;
             }
         }
-        endpoint.departFromSource(now, rules);
+        endpoint.recordDropBySource(now, rules);
         return true;
     }
 
-    /** Rule 6: whether a source of a lower rank still lists a process that a higher one dropped. */
+    /** Rule 6: whether a source of lower rank still lists a process that a higher one dropped. */
     private boolean isLaggingReport(TrackedEndpoint endpoint, SourceFinding finding) {
         return endpoint.hasDeparted()
                 && finding.source().rank() > endpoint.departedRank()
@@ -202,26 +218,33 @@
         return false;
     }
 
-    /** Publishes a name that is listed, ready or draining; {@code draining} may be null. */
+    /**
+     * Publishes a name that is listed, as ready or draining.
+     *
+     * @param override the name's administrative override, or null
+     * @param describingFinding the finding that gives the address
+     * @param drainingFinding the first finding with a draining status, or null
+     */
     private void list(
             String name,
             TrackedEndpoint endpoint,
             AdministrativeOverride override,
-            SourceFinding describing,
-            SourceFinding draining) {
-        endpoint.accept(describing);
+            SourceFinding describingFinding,
+            SourceFinding drainingFinding) {
+        endpoint.accept(describingFinding);
         boolean readyBySources =
-                override == AdministrativeOverride.READY || (override == null && draining == null);
+                override == AdministrativeOverride.READY
+                        || (override == null && drainingFinding == null);
         boolean drainedByFleet = readyBySources && overrides.isDrainedByFleet(name);
         boolean ready = readyBySources && !drainedByFleet;
         boolean wasReady = endpoint.isReady();
         if (wasReady && !ready && !drainedByFleet) {
-            SourceFinding cause = draining == null ? describing : draining;
-            endpoint.depart(now, cause.source().rank(), rules);
+            SourceFinding cause = drainingFinding == null ? describingFinding : drainingFinding;
+            endpoint.recordDeparture(now, cause.source().rank(), rules);
         }
         boolean damped = ready && !wasReady && isFlapping(endpoint);
         endpoint.setDamped(damped);
-        double startedMs = endpoint.startOf(describing, readyBySources && !damped, now);
+        double startedMs = endpoint.startTimeOf(describingFinding, readyBySources && !damped, now);
         if (readyBySources && !damped) {
             endpoint.clearDeparture();
         }
@@ -229,36 +252,44 @@
                 now,
                 new Searcher(
                         name,
-                        describing.address(),
-                        describing.report().zone(),
-                        describing.report().kind(),
-                        describing.cell(),
+                        describingFinding.address(),
+                        describingFinding.report().zone(),
+                        describingFinding.report().kind(),
+                        describingFinding.cell(),
                         startedMs,
-                        describing.report().size(),
+                        describingFinding.report().size(),
                         ready && !damped ? EndpointState.READY : EndpointState.DRAINING),
-                describing.source().name(),
+                describingFinding.source().name(),
                 damped
-                        ? dampedReason(endpoint) + describing.note()
-                        : listedReason(override, drainedByFleet, draining) + describing.note(),
+                        ? dampedReason(endpoint) + describingFinding.note()
+                        : listedReason(override, drainedByFleet, drainingFinding)
+                                + describingFinding.note(),
                 changeLog);
     }
 
     private static String listedReason(
-            AdministrativeOverride override, boolean drainedByFleet, SourceFinding draining) {
+            AdministrativeOverride override,
+            boolean drainedByFleet,
+            SourceFinding drainingFinding) {
         if (drainedByFleet) {
             return EndpointView.DRAINED_BY_FLEET_REASON;
         }
         if (override != null) {
             return OVERRIDE_REASON;
         }
-        return draining == null ? "listed" : "status draining in " + draining.source().name();
+        return drainingFinding == null
+                ? "listed"
+                : "status draining in " + drainingFinding.source().name();
     }
 
     private String dampedReason(TrackedEndpoint endpoint) {
         return String.format(Locale.ROOT, "damped: penalty %.1f", endpoint.penalty(now, rules));
     }
 
-    /** Rule 7: whether a name that wants to become ready must wait for its penalty to decay. */
+    /**
+     * Rule 7: whether a name that could become ready must wait for its penalty to decay. Schedules
+     * the end of that wait.
+     */
     private boolean isFlapping(TrackedEndpoint endpoint) {
         double penalty = endpoint.penalty(now, rules);
         if (penalty < (endpoint.isDamped() ? rules.flapReuse() : rules.flapLimit())) {
@@ -266,15 +297,15 @@
         }
         double untilReuseMs =
                 rules.flapHalfLifeMs() * Math.log(penalty / rules.flapReuse()) / Math.log(2);
-        dueAt(now + 1 + (long) untilReuseMs);
+        runAgainAt(now + 1 + (long) untilReuseMs);
         return true;
     }
 
-    /** Rule 7: a damped name serves after all where its cell has no other. */
-    private void admitIfOnlyOneOfItsCell(TrackedEndpoint endpoint) {
-        Searcher draining = endpoint.published();
+    /** Rule 7: publishes a damped name as ready if its cell has no other ready searcher. */
+    private void publishReadyIfCellHasNoOther(TrackedEndpoint endpoint) {
+        Searcher dampedSearcher = endpoint.published();
         for (TrackedEndpoint other : endpoints.values()) {
-            if (other.isReady() && other.published().cell() == draining.cell()) {
+            if (other.isReady() && other.published().cell() == dampedSearcher.cell()) {
                 return;
             }
         }
@@ -283,33 +314,38 @@
         endpoint.publish(
                 now,
                 new Searcher(
-                        draining.name(),
-                        draining.address(),
-                        draining.zone(),
-                        draining.kind(),
-                        draining.cell(),
-                        Math.max(draining.startedMs(), (double) now),
-                        draining.size(),
+                        dampedSearcher.name(),
+                        dampedSearcher.address(),
+                        dampedSearcher.zone(),
+                        dampedSearcher.kind(),
+                        dampedSearcher.cell(),
+                        Math.max(dampedSearcher.startedMs(), (double) now),
+                        dampedSearcher.size(),
                         EndpointState.READY),
                 endpoint.publishedBy(),
-                "listed; would be damped, but cell " + draining.cell() + " has no other",
+                "listed; would be damped, but cell " + dampedSearcher.cell() + " has no other",
                 changeLog);
     }
 
-    /** Rule 2: a name that is not listed drains immediately, and is removed after a while. */
+    /**
+     * Rule 2: publishes a name that is not listed as draining, and as removed {@link
+     * EndpointView.Rules#goneAfterMs} after its departure. A name that an override removes is
+     * removed immediately.
+     */
     private void delist(
             String name,
             TrackedEndpoint endpoint,
             boolean byOverride,
             String reason,
             boolean droppedBySource) {
-        endpoint.vanish();
+        endpoint.markUnlisted();
         if (endpoint.published() == null) {
             endpoint.explainAbsence(now, name, reason, changeLog);
             return;
         }
         if (endpoint.isReady() && !droppedBySource) {
-            endpoint.depart(now, byOverride ? Integer.MAX_VALUE : endpoint.validRank(), rules);
+            endpoint.recordDeparture(
+                    now, byOverride ? Integer.MAX_VALUE : endpoint.describingRank(), rules);
         } else {
             endpoint.startDepartureUnlessStarted(now);
         }
@@ -318,7 +354,7 @@
             endpoint.publishRemoval(now, reason, changeLog);
             return;
         }
-        dueAt(removeAt);
+        runAgainAt(removeAt);
         endpoint.publish(
                 now,
                 TrackedEndpoint.withState(endpoint.published(), EndpointState.DRAINING),
@@ -327,7 +363,10 @@
                 changeLog);
     }
 
-    /** Drops names that departed long ago or were never valid, since new ones come all day. */
+    /**
+     * Drops names that departed long ago or were never valid. New names appear all the time, so
+     * that the number of names is limited as well; the oldest departures are dropped first.
+     */
     private void forgetDepartedNames() {
         Set<String> reported = new HashSet<>();
         for (EndpointSource source : sources) {
--- a/src/main/java/reeldeal/endpoints/TrackedEndpoint.java
+++ b/src/main/java/reeldeal/endpoints/TrackedEndpoint.java
@@ -6,7 +6,7 @@
 import reeldeal.decision.DecisionModule.EndpointState;
 
 /**
- * What the view knows of one name: the entry that was published, the last valid report, and its
+ * The state of the view for one name: the published entry, the last valid report, and the
  * departures. Owned by the view and used on its thread; times are Unix milliseconds.
  */
 final class TrackedEndpoint {
@@ -14,21 +14,24 @@
     private static final int NO_RANK = Integer.MAX_VALUE;
     private static final Pattern PENALTY = Pattern.compile("penalty [0-9.]+");
 
-    private Searcher published; // null where the name is not listed
+    private Searcher published; // null while the name is not listed
     private String publishedBy = "";
     private String reason = "";
     private long stateSince;
 
-    private EndpointReport validReport; // the last one, held while there is none
-    private int validRank = NO_RANK;
+    private EndpointReport lastValidReport; // may be held while there are only invalid ones
+    private int describingRank = NO_RANK;
     private long invalidSince = NEVER;
-    private String rejectedBecause = ""; // why no report could be used
+    private String rejectionReason = ""; // "" while a report is used
 
     private long departedAt = NEVER;
     private int departedRank = NO_RANK;
 
-    /** Whether no source listed it since it was last ready: it comes back as a new process. */
-    private boolean vanished;
+    /**
+     * Whether the name was not listed, or dropped by its describing source, since it was last
+     * ready, so that it comes back as a new process.
+     */
+    private boolean unlisted;
 
     private double penalty;
     private long penaltyAt;
@@ -42,7 +45,7 @@
         return publishedBy;
     }
 
-    /** The view's entry; null for a name that is not listed and gives no reason for that. */
+    /** Returns the entry of the view; null if the name is not listed and there is no reason. */
     EndpointView.Entry entry(String name) {
         if (published == null && reason.isEmpty()) {
             return null;
@@ -60,28 +63,37 @@
 
     // ---- reports ----
 
-    /** The source has a valid report; ends the hold where its rank allows. */
+    /**
+     * Ends the hold of the last valid report, because a source has a valid one. Sources of a lower
+     * rank than the describing source do not end it.
+     */
     void onValidReport(int rank) {
-        if (rank <= validRank) {
+        if (rank <= describingRank) {
             invalidSince = NEVER;
         }
     }
 
-    /** Whether the last valid report of this source may be held in place of an invalid one. */
+    /** Whether the last valid report is of the source with this rank, and the name is published. */
     boolean hasValidReportOf(int rank) {
-        return validReport != null && published != null && validRank == rank;
+        return lastValidReport != null && published != null && describingRank == rank;
     }
 
-    EndpointReport validReport() {
-        return validReport;
+    EndpointReport lastValidReport() {
+        return lastValidReport;
     }
 
-    /** The rank of the source that describes the name, {@link Integer#MAX_VALUE} for none. */
-    int validRank() {
-        return validRank;
+    /**
+     * Returns the rank of the source that describes the name, {@link Integer#MAX_VALUE} if there is
+     * none.
+     */
+    int describingRank() {
+        return describingRank;
     }
 
-    /** Since when the describing source has only invalid reports; starts now at the first call. */
+    /**
+     * Starts the hold of the last valid report unless it has started, and returns the time of its
+     * start.
+     */
     long startHold(long now) {
         if (invalidSince < 0) {
             invalidSince = now;
@@ -89,26 +101,26 @@
         return invalidSince;
     }
 
-    void rejectReports(String why) {
-        rejectedBecause = why;
+    void rejectReports(String newReason) {
+        rejectionReason = newReason;
     }
 
-    String rejectedBecause() {
-        return rejectedBecause;
+    String rejectionReason() {
+        return rejectionReason;
     }
 
-    /** A source's finding describes the name from now on. */
+    /** Makes a source's finding the description of the name. */
     void accept(SourceFinding finding) {
-        rejectedBecause = "";
+        rejectionReason = "";
         if (!finding.held()) {
-            validReport = finding.report();
-            validRank = finding.source().rank();
+            lastValidReport = finding.report();
+            describingRank = finding.source().rank();
         }
     }
 
     private void dropValidReport() {
-        validReport = null;
-        validRank = NO_RANK;
+        lastValidReport = null;
+        describingRank = NO_RANK;
     }
 
     // ---- departures ----
@@ -126,14 +138,16 @@
     }
 
     /**
-     * Rule 2: when the described process started, in Unix ms. It is a new one where the address
-     * changed or no source listed the name in between; the fleet must see a searcher that it
-     * drained come back as a new process.
+     * Rule 2: returns the start time to publish, in Unix ms. The process counts as a new one if its
+     * address changed, or if no source listed the name for some time; the fleet relies on this to
+     * see that a searcher that it drained has come back as a new process.
+     *
+     * @param comesBack whether the sources list the name as ready and it is not damped
      */
-    double startOf(SourceFinding finding, boolean comesBack, long now) {
+    double startTimeOf(SourceFinding finding, boolean comesBack, long now) {
         double reported = finding.report().startedMs();
         boolean moved = published != null && !published.address().equals(finding.address());
-        if (comesBack && (moved || vanished)) {
+        if (comesBack && (moved || unlisted)) {
             return Math.max(reported, (double) now);
         }
         if (published != null && reported <= published.startedMs()) {
@@ -142,30 +156,30 @@
         return reported;
     }
 
-    /** It leaves while it is ready, which adds to its penalty. */
-    void depart(long now, int rank, EndpointView.Rules rules) {
+    /** Records that the name leaves while it is ready, which adds to its penalty. */
+    void recordDeparture(long now, int rank, EndpointView.Rules rules) {
         penalty = penalty(now, rules) + 1;
         penaltyAt = now;
         departedAt = now;
         departedRank = rank;
     }
 
-    /** The source that described it does not list it any more. */
-    void departFromSource(long now, EndpointView.Rules rules) {
-        int rank = validRank;
+    /** Records that the source that described the name does not list it any more. */
+    void recordDropBySource(long now, EndpointView.Rules rules) {
+        int rank = describingRank;
         if (isReady()) {
-            depart(now, rank, rules);
+            recordDeparture(now, rank, rules);
         }
         departedAt = now;
         departedRank = rank;
-        vanished = true;
+        unlisted = true;
         dropValidReport();
     }
 
-    /** No source lists it, which may have begun earlier. */
-    void vanish() {
+    /** Records that the name is not listed; a published name then comes back as a new process. */
+    void markUnlisted() {
         damped = false;
-        vanished |= published != null;
+        unlisted |= published != null;
     }
 
     void startDepartureUnlessStarted(long now) {
@@ -177,17 +191,17 @@
     void clearDeparture() {
         departedAt = NEVER;
         departedRank = NO_RANK;
-        vanished = false;
+        unlisted = false;
     }
 
     Departure departure(String name) {
-        return new Departure(name, departedAt, departedRank, vanished);
+        return new Departure(name, departedAt, departedRank, unlisted);
     }
 
     void restore(Departure departure) {
-        departedAt = Math.max(departedAt, departure.atMs());
+        departedAt = Math.max(departedAt, departure.departedAtMs());
         departedRank = departure.rank();
-        vanished = departure.vanished();
+        unlisted = departure.unlisted();
         reason = "left before the restart";
         stateSince = departedAt;
     }
@@ -209,7 +223,7 @@
 
     // ---- publishing ----
 
-    /** Publishes an entry, with a log line where its state, address or reason is another. */
+    /** Publishes an entry, with a log line if its state, address or reason changed. */
     void publish(
             long now,
             Searcher searcher,
@@ -218,7 +232,7 @@
             EndpointChangeLog changeLog) {
         boolean sameState = published != null && published.state() == searcher.state();
         if (!searcher.equals(published)) {
-            changeLog.change(searcher);
+            changeLog.addChange(searcher);
         }
         if (!sameState
                 || !sameReason(newReason)
@@ -244,7 +258,7 @@
         reason = newReason;
     }
 
-    /** Compares reasons without the penalty, which changes all the time. */
+    /** Compares reasons without the penalty, which decays continuously. */
     private boolean sameReason(String newReason) {
         return PENALTY.matcher(reason)
                 .replaceAll("")
@@ -252,25 +266,25 @@
     }
 
     /** Publishes the removal of a listed name. */
-    void publishRemoval(long now, String why, EndpointChangeLog changeLog) {
-        changeLog.change(withState(published, EndpointState.REMOVED));
-        changeLog.log(published.name() + ": gone: " + why);
+    void publishRemoval(long now, String removalReason, EndpointChangeLog changeLog) {
+        changeLog.addChange(withState(published, EndpointState.REMOVED));
+        changeLog.log(published.name() + ": gone: " + removalReason);
         published = null;
         dropValidReport();
-        reason = "gone: " + why;
+        reason = "gone: " + removalReason;
         stateSince = now;
     }
 
-    /** Notes why a name that was never published is not listed. */
-    void explainAbsence(long now, String name, String why, EndpointChangeLog changeLog) {
-        if (!reason.equals(why) && departedAt < 0) {
-            reason = why;
+    /** Records and logs the reason for which a name that has not departed is not listed. */
+    void explainAbsence(long now, String name, String absenceReason, EndpointChangeLog changeLog) {
+        if (!reason.equals(absenceReason) && departedAt < 0) {
+            reason = absenceReason;
             stateSince = now;
-            changeLog.log(name + ": not listed: " + why);
+            changeLog.log(name + ": not listed: " + absenceReason);
         }
     }
 
-    /** The same searcher in another state. */
+    /** Returns the same searcher with another state. */
     static Searcher withState(Searcher searcher, EndpointState state) {
         return new Searcher(
                 searcher.name(),
--- a/src/test/java/reeldeal/endpoints/EndpointViewTest.java
+++ b/src/test/java/reeldeal/endpoints/EndpointViewTest.java
@@ -14,7 +14,7 @@
 import reeldeal.core.Searcher;
 import reeldeal.decision.DecisionModule.EndpointState;
 
-/** The rules of the view, each at the case that it was made for. */
+/** Tests each rule of the view in the cases that the rule is for. */
 public class EndpointViewTest {
     private static final EndpointView.Rules RULES = EndpointView.Rules.DEFAULT;
     private static final List<String> SOURCES = List.of("z1", "z2", "discovery");
@@ -41,7 +41,7 @@
                 addresses.isEmpty() && cells.length == 0);
     }
 
-    private static EndpointReport with(
+    private static EndpointReport copyOf(
             EndpointReport report,
             EndpointState state,
             double startedMs,
@@ -59,23 +59,23 @@
                 startedMs,
                 report.size(),
                 state,
-                report.bare());
+                report.withoutRecords());
     }
 
     private static EndpointReport withWeight(EndpointReport report, int weight) {
-        return with(report, EndpointState.READY, 0, 0, weight);
+        return copyOf(report, EndpointState.READY, 0, 0, weight);
     }
 
     private static EndpointReport withPriority(EndpointReport report, int priority) {
-        return with(report, EndpointState.READY, 0, priority, 0);
+        return copyOf(report, EndpointState.READY, 0, priority, 0);
     }
 
     private static EndpointReport startedAt(EndpointReport report, double startedMs) {
-        return with(report, EndpointState.READY, startedMs, 0, 0);
+        return copyOf(report, EndpointState.READY, startedMs, 0, 0);
     }
 
     private static EndpointReport draining(EndpointReport report) {
-        return with(report, EndpointState.DRAINING, 0, 0, 0);
+        return copyOf(report, EndpointState.DRAINING, 0, 0, 0);
     }
 
     private boolean observe(String source, long version, EndpointReport... reports) {
@@ -87,9 +87,9 @@
         view.tick(now);
     }
 
-    /** State and address of a published name, "-" where it is not listed. */
+    /** Returns the state and address of a published name, or "-" if it is not listed. */
     private String published(String name) {
-        return view.view().stream()
+        return view.entries().stream()
                 .filter(
                         e ->
                                 e.searcher().name().equals(name)
@@ -100,7 +100,7 @@
     }
 
     private EndpointView.Entry entry(String name) {
-        return view.view().stream()
+        return view.entries().stream()
                 .filter(e -> e.searcher().name().equals(name))
                 .findFirst()
                 .orElseThrow();
@@ -118,17 +118,18 @@
     public void aNameThatLeavesDrainsImmediatelyAndComesBackAsANewProcess() {
         observe("z1", 1, S1, S2);
         assertEquals("READY h:1", published("s1"));
-        assertEquals("not new when first listed", 0, searcher("s1").startedMs(), 0);
+        assertEquals("not a new process when first listed", 0, searcher("s1").startedMs(), 0);
         observe("z1", 2, S2);
-        assertEquals("immediately", "DRAINING h:1", published("s1"));
+        assertEquals("drains immediately", "DRAINING h:1", published("s1"));
         advance(3_000);
         observe("z1", 3, S1, S2);
         assertEquals("READY h:1", published("s1"));
-        assertEquals("new under the same address", (double) now, searcher("s1").startedMs(), 0);
+        assertEquals(
+                "a new process at the same address", (double) now, searcher("s1").startedMs(), 0);
     }
 
     @Test
-    public void aNameThatLeftIsRemovedAfterAWhile() {
+    public void aNameThatLeftIsRemovedAfterTheDrainingPeriod() {
         observe("z1", 1, S1, S2);
         observe("z1", 2, S2);
         advance(RULES.goneAfterMs());
@@ -148,11 +149,11 @@
         assertEquals("READY h:1", published("s1"));
         assertEquals(0, searcher("s1").startedMs(), 0);
         observe("z1", 4, startedAt(S1, 5_000), S2);
-        assertEquals("it reports a start itself", 5_000, searcher("s1").startedMs(), 0);
+        assertEquals("the reported start time", 5_000, searcher("s1").startedMs(), 0);
     }
 
     @Test
-    public void anEmptySetThatIsFilledAgainWithinTheGraceChangesNothing() {
+    public void anEmptySetThatIsFilledAgainWithinTheGracePeriodChangesNothing() {
         observe("z1", 1, S1, S2);
         observe("z1", 2);
         advance(200);
@@ -163,7 +164,7 @@
     }
 
     @Test
-    public void anEmptySetDrainsItsSearchersAfterTheGrace() {
+    public void anEmptySetDrainsItsSearchersAfterTheGracePeriod() {
         observe("z1", 1, S1, S2);
         observe("z1", 2);
         advance(RULES.emptyGraceMs() - 1);
@@ -194,7 +195,7 @@
     }
 
     @Test
-    public void anInvalidReportHoldsTheLastValidOneForAWhile() {
+    public void theLastValidReportIsHeldWhileOnlyInvalidOnesAreListed() {
         observe("z1", 2, report("new", "h:9", 2), S2);
         observe("z1", 3, report("new", "", 2), S2);
         advance(RULES.holdMs() - 1);
@@ -203,7 +204,7 @@
         observe("z1", 4, report("new", "h:10", 2), S2);
         assertEquals("valid again", "READY h:10", published("new"));
         assertEquals(
-                "another address is another process", (double) now, searcher("new").startedMs(), 0);
+                "a new process at another address", (double) now, searcher("new").startedMs(), 0);
         observe("z1", 5, report("new", "h:10"), S2);
         assertTrue(reason("new").contains("held: no cell"));
         advance(RULES.holdMs());
@@ -211,7 +212,7 @@
     }
 
     @Test
-    public void aNameWithoutAnyRecordsIsHeldForTheGraceOnly() {
+    public void aNameWithoutAnyRecordsIsHeldForTheGracePeriodOnly() {
         observe("z1", 6, report("new", "h:10", 2), S2);
         observe("z1", 7, report("new", ""), S2);
         advance(RULES.emptyGraceMs());
@@ -225,33 +226,33 @@
     }
 
     @Test
-    public void ofSeveralReportsThePriorityThenThePublishedAddressThenTheWeightCounts() {
+    public void reportsAreChosenByPriorityThenPublishedAddressThenWeight() {
         observe("z1", 1, withPriority(S1, 5), withPriority(report("s1", "h:7", 0), 1));
         assertEquals("the lowest priority", "READY h:7", published("s1"));
         observe("z1", 2, report("s1", "h:7", 0), withWeight(report("s1", "h:8", 0), 100));
-        assertEquals("the published one", "READY h:7", published("s1"));
+        assertEquals("the published address", "READY h:7", published("s1"));
         assertTrue(reason("s1"), reason("s1").contains("of the addresses h:7, h:8 h:7 counts"));
         observe("z1", 3, report("t", "h:20", 0), withWeight(report("t", "h:21", 0), 100));
         assertEquals("the highest weight", "READY h:21", published("t"));
     }
 
     @Test
-    public void ofSeveralAddressesAndCellsThePublishedThenTheLowestCounts() {
+    public void thePublishedAddressAndCellAreKeptOtherwiseTheLowestIsChosen() {
         observe("z1", 4, report("u", "10.0.0.10:1,10.0.0.9:1", 4, 3));
         assertEquals("the lowest address", "READY 10.0.0.9:1", published("u"));
         assertEquals("the lowest cell", 3, searcher("u").cell());
         observe("z1", 5, report("u", "10.0.0.1:1,10.0.0.9:1", 3, 1));
         assertEquals(
-                "the published ones",
+                "the published address and cell",
                 "READY 10.0.0.9:1 3",
                 published("u") + " " + searcher("u").cell());
         observe("z1", 6, report("u", "10.0.0.9:1", 3), draining(report("u", "10.0.0.1:1", 3)));
         assertEquals(
-                "a draining status of any report counts", "DRAINING 10.0.0.9:1", published("u"));
+                "a draining status of any report applies", "DRAINING 10.0.0.9:1", published("u"));
     }
 
     @Test
-    public void anOldCopyRevivesNoSearcher() {
+    public void anObservationWithAnOlderVersionIsIgnored() {
         observe("z1", 5, S1, S2);
         observe("z1", 6, draining(S1), S2);
         assertFalse(observe("z1", 5, S1, S2));
@@ -262,12 +263,12 @@
     }
 
     @Test
-    public void aSourceOfALowerRankRevivesOnlyALaterProcess() {
+    public void aSourceOfALowerRankRelistsOnlyALaterProcess() {
         observe("z1", 5, S1, S2);
         observe("z1", 7, S2);
         assertEquals("DRAINING h:1", published("s1"));
         observe("discovery", -1, S1, S2);
-        assertEquals("a list of a lower rank lags", "DRAINING h:1", published("s1"));
+        assertEquals("a source of lower rank may lag", "DRAINING h:1", published("s1"));
         advance(RULES.goneAfterMs());
         assertEquals("-", published("s1"));
         observe("discovery", -1, startedAt(S1, (double) now), S2);
@@ -284,16 +285,16 @@
     }
 
     @Test
-    public void departedNamesAreKnownAfterARestart() {
+    public void departedNamesAreRestoredAfterARestart() {
         observe("z1", 5, S1, S2);
         observe("discovery", -1, S1, S2);
         observe("z1", 6, S2);
         EndpointView restarted = new EndpointView(RULES, SOURCES);
-        restarted.restore(now + 10_000, view.saved() + "noise\nx y z\n");
+        restarted.restore(now + 10_000, view.departuresAsText() + "noise\nx y z\n");
         restarted.observe(now + 10_000, "z1", 6, List.of(S2));
         restarted.observe(now + 10_000, "discovery", -1, List.of(S1, S2));
         assertTrue(
-                restarted.view().stream()
+                restarted.entries().stream()
                         .noneMatch(
                                 e ->
                                         e.searcher().name().equals("s1")
@@ -302,30 +303,30 @@
         assertEquals(
                 "a new process, although it never left the restarted view",
                 (double) (now + 11_000),
-                restarted.view().get(0).searcher().startedMs(),
+                restarted.entries().get(0).searcher().startedMs(),
                 0);
     }
 
     @Test
-    public void theHighestRankDescribesANameAndADrainingStatusOfAnyRankCounts() {
+    public void theSourceOfHighestRankDescribesANameAndADrainingStatusOfAnySourceApplies() {
         observe("z2", 1, report("s1", "h:5", 0));
         assertEquals("READY h:5", published("s1"));
         observe("z1", 1, S1);
-        assertEquals("the higher rank", "READY h:1", published("s1"));
+        assertEquals("the source of higher rank", "READY h:1", published("s1"));
         observe("z2", 2, draining(report("s1", "h:5", 0)));
         assertEquals("DRAINING h:1", published("s1"));
     }
 
     @Test
-    public void anExpiredSourceLeavesItsNamesToTheOthers() {
+    public void namesOfAnExpiredSourceAreTakenFromTheOtherSources() {
         observe("z1", 1, S1);
         observe("z2", 3, report("s1", "h:5", 0));
-        view.expired(now, "z1");
+        view.expireSource(now, "z1");
         assertEquals("READY h:5", published("s1"));
-        view.expired(now, "z2");
-        assertEquals("listed nowhere", "DRAINING h:5", published("s1"));
+        view.expireSource(now, "z2");
+        assertEquals("no source lists it", "DRAINING h:5", published("s1"));
         observe("z1", 0, S1);
-        assertEquals("after expiry any serial counts", "READY h:1", published("s1"));
+        assertEquals("any serial is accepted after expiry", "READY h:1", published("s1"));
     }
 
     @Test
@@ -340,8 +341,8 @@
         }
         assertEquals("DRAINING h:1", published("s1"));
         assertTrue(reason("s1"), reason("s1").startsWith("damped: penalty 4"));
-        assertTrue("its end is known", view.due() < now + 20_000);
-        advance(view.due() - now);
+        assertTrue("the end of the damping is scheduled", view.nextTickAt() < now + 20_000);
+        advance(view.nextTickAt() - now);
         assertEquals("READY h:1", published("s1"));
     }
 
@@ -355,11 +356,11 @@
             observe("z1", version++, S1, S2, S3);
             advance(10);
         }
-        assertEquals("its cell has no other", "READY h:2", published("s2"));
+        assertEquals("its cell has no other ready searcher", "READY h:2", published("s2"));
     }
 
     @Test
-    public void anAdministrativeOverrideGoesBeforeAll() {
+    public void anAdministrativeOverrideTakesPrecedenceOverAllSources() {
         observe("z1", 1, S1, S2);
         view.setOverrides(
                 now,
@@ -384,7 +385,7 @@
         }
     }
 
-    /** A random history of two sources, checked after each step. */
+    /** A random history of two sources, whose invariants are checked after each step. */
     private static final class RandomHistory {
         private static final int NAMES = 6;
 
@@ -416,7 +417,7 @@
                 for (int i = 0; i < NAMES; i++) {
                     checkName("n" + i, "seed " + seed + " step " + step + " n" + i);
                 }
-                checkChangesAddUpToTheView();
+                checkPublishedChangesMatchTheView();
             }
         }
 
@@ -429,10 +430,10 @@
                     reports.add(random.nextInt(6) == 0 ? draining(report) : report);
                 }
             }
-            boolean old = versions[source] > 1 && random.nextInt(5) == 0;
-            long version = old ? versions[source] - 1 : ++versions[source];
+            boolean older = versions[source] > 1 && random.nextInt(5) == 0;
+            long version = older ? versions[source] - 1 : ++versions[source];
             boolean accepted = view.observe(time, source == 0 ? "a" : "b", version, reports);
-            assertEquals(!old, accepted);
+            assertEquals(!older, accepted);
             if (accepted) {
                 latest.set(source, reports);
             }
@@ -451,7 +452,7 @@
                     context + ": ready though the first source drains it",
                     !(ready && isDraining(0, name)));
             assertTrue(
-                    context + ": ready though listed nowhere for long",
+                    context + ": ready though unlisted for longer than the grace period",
                     !ready || listed || time - absentSince.get(name) <= RULES.emptyGraceMs());
             assertTrue(
                     context + ": ready though the only source that lists it drains it",
@@ -464,12 +465,12 @@
 
         private boolean isDraining(int source, String name) {
             return latest.get(source).stream()
-                    .anyMatch(r -> r.name().equals(name) && r.listed() != EndpointState.READY);
+                    .anyMatch(r -> r.name().equals(name) && r.state() != EndpointState.READY);
         }
 
-        private void checkChangesAddUpToTheView() {
+        private void checkPublishedChangesMatchTheView() {
             Map<String, EndpointState> states = new HashMap<>();
-            view.view().forEach(e -> states.put(e.searcher().name(), e.searcher().state()));
+            view.entries().forEach(e -> states.put(e.searcher().name(), e.searcher().state()));
             published.forEach(
                     (name, searcher) ->
                             assertEquals(
