--- a/src/main/java/reeldeal/store/AdminClient.java
+++ b/src/main/java/reeldeal/store/AdminClient.java
@@ -24,12 +24,12 @@
      *     time
      */
     public static StoreNode.AdminAnswer send(
-            InetSocketAddress node, String group, String question, int timeoutMs)
+            InetSocketAddress node, String group, String request, int timeoutMs)
             throws IOException {
         InetSocketAddress address = node;
         StoreNode.AdminAnswer answer = null;
         for (int i = 0; i < MAX_REDIRECTS; i++) {
-            answer = askOnce(address, group, question, timeoutMs);
+            answer = sendOnce(address, group, request, timeoutMs);
             if (answer.leader().isEmpty()) {
                 return answer;
             }
@@ -42,18 +42,18 @@
         return answer;
     }
 
-    private static StoreNode.AdminAnswer askOnce(
-            InetSocketAddress node, String group, String question, int timeoutMs)
+    private static StoreNode.AdminAnswer sendOnce(
+            InetSocketAddress node, String group, String request, int timeoutMs)
             throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(node, timeoutMs);
             socket.setSoTimeout(timeoutMs);
-            byte[] request =
+            byte[] frame =
                     PeerMessageCodec.write(
-                            group, new PeerMessage.AdminRequest(REQUEST_ID, question));
+                            group, new PeerMessage.AdminRequest(REQUEST_ID, request));
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-            out.writeInt(request.length);
-            out.write(request);
+            out.writeInt(frame.length);
+            out.write(frame);
             out.flush();
             return readAnswer(new DataInputStream(socket.getInputStream()), group);
         }
@@ -64,7 +64,7 @@
             throws IOException {
         while (true) {
             int length = in.readInt();
-            if (length < 1 || length > PeerConnections.MAX_FRAME) {
+            if (length < 1 || length > PeerConnections.MAX_FRAME_BYTES) {
                 throw new IOException("impossible length " + length);
             }
             if (PeerMessageCodec.read(group, in.readNBytes(length))
--- a/src/main/java/reeldeal/store/DaemonThreads.java
+++ b/src/main/java/reeldeal/store/DaemonThreads.java
@@ -7,7 +7,7 @@
 final class DaemonThreads {
     private DaemonThreads() {}
 
-    static ExecutorService single(String name) {
+    static ExecutorService singleThreadExecutor(String name) {
         return Executors.newSingleThreadExecutor(
                 task -> {
                     Thread thread = new Thread(task, name);
--- a/src/main/java/reeldeal/store/DiskQueue.java
+++ b/src/main/java/reeldeal/store/DiskQueue.java
@@ -30,8 +30,8 @@
     private final StoreLoop loop;
     private final DataDirectory directory;
     private final Listener listener;
-    private final ExecutorService thread = DaemonThreads.single("store-disk");
-    private final List<Ready.Persist> queued = new ArrayList<>();
+    private final ExecutorService diskExecutor = DaemonThreads.singleThreadExecutor("store-disk");
+    private final List<Ready.Persist> pending = new ArrayList<>();
     private boolean groupCommit = true;
     private boolean writing;
     private boolean closed;
@@ -48,19 +48,19 @@
     }
 
     void add(List<Ready.Persist> requests) {
-        queued.addAll(requests);
+        pending.addAll(requests);
         writeNext();
     }
 
     private void writeNext() {
-        if (writing || queued.isEmpty() || closed) {
+        if (writing || pending.isEmpty() || closed) {
             return;
         }
         writing = true;
-        List<Ready.Persist> taken = groupCommit ? queued : queued.subList(0, 1);
+        List<Ready.Persist> taken = groupCommit ? pending : pending.subList(0, 1);
         List<Ready.Persist> batch = List.copyOf(taken);
         taken.clear();
-        thread.execute(() -> write(batch));
+        diskExecutor.execute(() -> write(batch));
     }
 
     private void write(List<Ready.Persist> batch) {
@@ -86,9 +86,9 @@
     /** Waits for the batch that is being written. */
     void close() {
         closed = true;
-        thread.shutdown();
+        diskExecutor.shutdown();
         try {
-            thread.awaitTermination(CLOSE_TIMEOUT_S, TimeUnit.SECONDS);
+            diskExecutor.awaitTermination(CLOSE_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/reeldeal/store/ForwardedWrites.java
+++ b/src/main/java/reeldeal/store/ForwardedWrites.java
@@ -23,7 +23,7 @@
      * @param timeoutMs after which a write is answered without a result
      * @param retryMs between two attempts of one write
      */
-    record Limits(int slots, int queued, long timeoutMs, long retryMs) {
+    record Limits(int slots, int maxQueued, long timeoutMs, long retryMs) {
         static final Limits DEFAULT = new Limits(8, 1_000, 5_000, 300);
     }
 
@@ -33,29 +33,29 @@
     private record Write(
             List<KeyValueState.Precondition> preconditions,
             List<Change> changes,
-            long deadline,
+            long deadlineMs,
             Consumer<StoreNode.Result> callback) {}
 
     private static final class Slot {
         private final String session;
         private long number;
         private Write write;
-        private long sentAt;
+        private long lastSentMs;
 
         Slot(String session) {
             this.session = session;
         }
 
-        void begin(Write next, long sent) {
+        void assign(Write next, long sentMs) {
             write = next;
             number++;
-            sentAt = sent;
+            lastSentMs = sentMs;
         }
 
-        Write end() {
-            Write ended = write;
+        Write release() {
+            Write released = write;
             write = null;
-            return ended;
+            return released;
         }
 
         KeyValueState.Command command() {
@@ -78,29 +78,29 @@
 
     /** Accepts a write, or rejects it if too many wait. */
     void submit(
-            long now,
+            long nowMs,
             List<KeyValueState.Precondition> preconditions,
             List<Change> changes,
             Consumer<StoreNode.Result> callback) {
-        if (queue.size() >= limits.queued()) {
+        if (queue.size() >= limits.maxQueued()) {
             callback.accept(new StoreNode.Rejected("too many writes are waiting"));
             return;
         }
-        queue.add(new Write(preconditions, changes, now + limits.timeoutMs(), callback));
+        queue.add(new Write(preconditions, changes, nowMs + limits.timeoutMs(), callback));
     }
 
     /** The attempts to send now, first ones and retries; answers the writes that timed out. */
-    List<Attempt> dueAttempts(long now) {
+    List<Attempt> dueAttempts(long nowMs) {
         List<Write> timedOut = new ArrayList<>();
         List<Attempt> due = new ArrayList<>();
         for (int i = 0; i < slots.size(); i++) {
             Slot slot = slots.get(i);
-            if (slot.write != null && now >= slot.write.deadline()) {
-                timedOut.add(slot.end());
+            if (slot.write != null && nowMs >= slot.write.deadlineMs()) {
+                timedOut.add(slot.release());
             }
-            fill(slot, now);
-            if (slot.write != null && now - slot.sentAt >= limits.retryMs()) {
-                slot.sentAt = now;
+            assignQueued(slot, nowMs);
+            if (slot.write != null && nowMs - slot.lastSentMs >= limits.retryMs()) {
+                slot.lastSentMs = nowMs;
                 due.add(new Attempt(i, slot.number, slot.command()));
             }
         }
@@ -109,13 +109,13 @@
     }
 
     /** Begins the next queued write in a slot that is free. */
-    private void fill(Slot slot, long now) {
+    private void assignQueued(Slot slot, long nowMs) {
         while (slot.write == null && !queue.isEmpty()) {
             Write next = queue.poll();
-            if (now >= next.deadline()) {
+            if (nowMs >= next.deadlineMs()) {
                 next.callback().accept(new StoreNode.Rejected("no leader was found in time"));
             } else {
-                slot.begin(next, now - limits.retryMs());
+                slot.assign(next, nowMs - limits.retryMs());
             }
         }
     }
@@ -126,7 +126,7 @@
         boolean retry =
                 result instanceof StoreNode.Unknown || result instanceof StoreNode.NotLeader;
         if (slot.write != null && slot.number == attempt.number() && !retry) {
-            slot.end().callback().accept(result);
+            slot.release().callback().accept(result);
         }
     }
 
--- a/src/main/java/reeldeal/store/GroupAdminHandler.java
+++ b/src/main/java/reeldeal/store/GroupAdminHandler.java
@@ -17,7 +17,7 @@
  */
 final class GroupAdminHandler {
     /** The level of the program that began the group; absent if that was level 1. */
-    private static final String FIRST_LEVEL_KEY = "feature/fresh";
+    private static final String INITIAL_LEVEL_KEY = "feature/fresh";
 
     private static final int RAISE_RETRY_MS = 200;
     private static final int COMMIT_POLL_MS = 50;
@@ -45,7 +45,7 @@
     void onLeading() {
         if (store.version() == 1) {
             store.write(
-                    List.of(new Change(FIRST_LEVEL_KEY, String.valueOf(PeerMessage.LEVEL))),
+                    List.of(new Change(INITIAL_LEVEL_KEY, String.valueOf(PeerMessage.LEVEL))),
                     result -> {});
         }
         raiseIfNewGroup();
@@ -55,7 +55,7 @@
         if (!store.acceptsWrites() || store.level() >= PeerMessage.LEVEL) {
             return;
         }
-        boolean isNewGroup = store.value(FIRST_LEVEL_KEY) != null;
+        boolean isNewGroup = store.value(INITIAL_LEVEL_KEY) != null;
         if (isNewGroup && nodesBelowLevel().isEmpty()) {
             raiseLevel(result -> {});
         } else if (isNewGroup || store.version() <= 2) {
@@ -64,7 +64,7 @@
     }
 
     private void raiseLevel(Consumer<StoreNode.Result> callback) {
-        String key = KeyValueState.LEVEL;
+        String key = KeyValueState.LEVEL_KEY;
         store.write(
                 new KeyValueState.Command(
                         "",
@@ -84,39 +84,39 @@
     // ---- requests ----
 
     /** Answers one request. */
-    void handle(String text, StoreNode.AdminReply reply) {
-        String[] words = text.trim().split(" +", -1);
-        String verb = words.length > 1 ? words[1] : "";
-        if (verb.equals("nodes") && words.length == 2) {
+    void handle(String requestText, StoreNode.AdminReply reply) {
+        String[] tokens = requestText.trim().split(" +", -1);
+        String subcommand = tokens.length > 1 ? tokens[1] : "";
+        if (subcommand.equals("nodes") && tokens.length == 2) {
             describeNodes(reply);
-        } else if (verb.equals("level") && words.length == 2) {
+        } else if (subcommand.equals("level") && tokens.length == 2) {
             describeLevel(reply);
         } else if (!store.acceptsWrites()) {
             reply.redirect();
-        } else if (verb.equals("level") && words.length == 3 && words[2].equals("raise")) {
+        } else if (subcommand.equals("level") && tokens.length == 3 && tokens[2].equals("raise")) {
             raiseLevel(reply);
-        } else if (verb.equals("add") && words.length == 4) {
-            add(words[2], words[3], reply);
-        } else if (verb.equals("replace") && words.length == 4) {
-            replace(words[2], words[3], reply);
-        } else if (verb.equals("promote") && words.length == 3) {
+        } else if (subcommand.equals("add") && tokens.length == 4) {
+            add(tokens[2], tokens[3], reply);
+        } else if (subcommand.equals("replace") && tokens.length == 4) {
+            replace(tokens[2], tokens[3], reply);
+        } else if (subcommand.equals("promote") && tokens.length == 3) {
             change(
                     MembershipChangeRules.Change.PROMOTE,
-                    words[2],
+                    tokens[2],
                     reply,
-                    () -> reply.answer("promoted " + words[2]));
-        } else if (verb.equals("demote") && words.length == 3) {
+                    () -> reply.answer("promoted " + tokens[2]));
+        } else if (subcommand.equals("demote") && tokens.length == 3) {
             change(
                     MembershipChangeRules.Change.DEMOTE,
-                    words[2],
+                    tokens[2],
                     reply,
-                    () -> reply.answer("demoted " + words[2]));
-        } else if (verb.equals("remove") && words.length == 3) {
+                    () -> reply.answer("demoted " + tokens[2]));
+        } else if (subcommand.equals("remove") && tokens.length == 3) {
             change(
                     MembershipChangeRules.Change.REMOVE,
-                    words[2],
+                    tokens[2],
                     reply,
-                    () -> removeAddress(words[2], reply));
+                    () -> removeAddress(tokens[2], reply));
         } else {
             reply.reject(USAGE);
         }
@@ -155,31 +155,31 @@
     }
 
     private void describeLevel(StoreNode.AdminReply reply) {
-        Set<String> below = nodesBelowLevel();
+        Set<String> nodesBelow = nodesBelowLevel();
         reply.answer(
                 "level "
                         + store.level()
                         + ", this program knows "
                         + PeerMessage.LEVEL
-                        + (below.isEmpty()
+                        + (nodesBelow.isEmpty()
                                 ? "; all nodes do"
-                                : "; not told by " + String.join(" ", below)));
+                                : "; not told by " + String.join(" ", nodesBelow)));
     }
 
     private void raiseLevel(StoreNode.AdminReply reply) {
-        Set<String> below = nodesBelowLevel();
+        Set<String> nodesBelow = nodesBelowLevel();
         if (store.level() >= PeerMessage.LEVEL) {
             reply.answer("level " + store.level() + " holds already");
-        } else if (!below.isEmpty()) {
+        } else if (!nodesBelow.isEmpty()) {
             reply.reject(
                     "not all nodes know level "
                             + PeerMessage.LEVEL
                             + ": "
-                            + String.join(" ", below));
+                            + String.join(" ", nodesBelow));
         } else {
-            String done =
+            String successText =
                     "level " + PeerMessage.LEVEL + "; no earlier program can take part from now on";
-            raiseLevel(result -> answer(reply, result, done));
+            raiseLevel(result -> answer(reply, result, successText));
         }
     }
 
@@ -194,7 +194,7 @@
             return;
         }
         store.write(
-                List.of(new Change(StoreNode.NODE_KEY + node, address)),
+                List.of(new Change(StoreNode.NODE_KEY_PREFIX + node, address)),
                 result -> {
                     if (result instanceof StoreNode.Committed) {
                         change(
@@ -224,13 +224,13 @@
     }
 
     private void removeAddress(String node, StoreNode.AdminReply reply) {
-        String done = "removed " + node;
-        if (store.value(StoreNode.NODE_KEY + node) == null) {
-            reply.answer(done);
+        String successText = "removed " + node;
+        if (store.value(StoreNode.NODE_KEY_PREFIX + node) == null) {
+            reply.answer(successText);
         } else {
             store.write(
-                    List.of(new Change(StoreNode.NODE_KEY + node, null)),
-                    result -> answer(reply, result, done));
+                    List.of(new Change(StoreNode.NODE_KEY_PREFIX + node, null)),
+                    result -> answer(reply, result, successText));
         }
     }
 
@@ -276,9 +276,10 @@
         }
     }
 
-    private static void answer(StoreNode.AdminReply reply, StoreNode.Result result, String done) {
+    private static void answer(
+            StoreNode.AdminReply reply, StoreNode.Result result, String successText) {
         if (result instanceof StoreNode.Committed) {
-            reply.answer(done);
+            reply.answer(successText);
         } else if (result instanceof StoreNode.Rejected rejected) {
             reply.reject("not done: " + rejected.reason());
         } else {
--- a/src/main/java/reeldeal/store/KeyValueCodec.java
+++ b/src/main/java/reeldeal/store/KeyValueCodec.java
@@ -12,8 +12,8 @@
 
 /** Commands and snapshots of the {@link KeyValueState} as bytes. */
 final class KeyValueCodec {
-    private static final int COMMAND_FORM = 1;
-    private static final int SNAPSHOT_FORM = 1;
+    private static final int COMMAND_FORMAT = 1;
+    private static final int SNAPSHOT_FORMAT = 1;
     private static final int INITIAL_SNAPSHOT_BYTES = 1 << 16;
 
     private KeyValueCodec() {}
@@ -32,13 +32,13 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         try {
-            out.writeByte(COMMAND_FORM);
+            out.writeByte(COMMAND_FORMAT);
             ByteBlocks.writeText(out, command.session());
             out.writeLong(command.number());
             out.writeInt(command.preconditions().size());
-            for (KeyValueState.Precondition expect : command.preconditions()) {
-                ByteBlocks.writeText(out, expect.key());
-                out.writeLong(expect.version());
+            for (KeyValueState.Precondition precondition : command.preconditions()) {
+                ByteBlocks.writeText(out, precondition.key());
+                out.writeLong(precondition.version());
             }
             out.writeInt(command.changes().size());
             for (Change change : command.changes()) {
@@ -60,24 +60,25 @@
      */
     static KeyValueState.Command decode(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
-        int form = in.readByte();
-        if (form > COMMAND_FORM) {
-            throw new KeyValueState.UnsupportedFormatException(form);
-        } else if (form < COMMAND_FORM) {
-            throw new IOException("no such form: " + form);
+        int format = in.readByte();
+        if (format > COMMAND_FORMAT) {
+            throw new KeyValueState.UnsupportedFormatException(format);
+        } else if (format < COMMAND_FORMAT) {
+            throw new IOException("no such form: " + format);
         }
         String session = ByteBlocks.readText(in);
         long number = in.readLong();
-        List<KeyValueState.Precondition> expects = new ArrayList<>();
+        List<KeyValueState.Precondition> preconditions = new ArrayList<>();
         for (int count = ByteBlocks.readCount(in); count > 0; count--) {
-            expects.add(new KeyValueState.Precondition(ByteBlocks.readText(in), in.readLong()));
+            preconditions.add(
+                    new KeyValueState.Precondition(ByteBlocks.readText(in), in.readLong()));
         }
         List<Change> changes = new ArrayList<>();
         for (int count = ByteBlocks.readCount(in); count > 0; count--) {
             String key = ByteBlocks.readText(in);
             changes.add(new Change(key, in.readBoolean() ? ByteBlocks.readText(in) : null));
         }
-        return new KeyValueState.Command(session, number, expects, List.copyOf(changes));
+        return new KeyValueState.Command(session, number, preconditions, List.copyOf(changes));
     }
 
     /** A snapshot's bytes. */
@@ -88,7 +89,7 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_SNAPSHOT_BYTES);
         DataOutputStream out = new DataOutputStream(bytes);
         try {
-            out.writeByte(SNAPSHOT_FORM);
+            out.writeByte(SNAPSHOT_FORMAT);
             out.writeLong(version);
             out.writeInt(values.size());
             for (Map.Entry<String, KeyValueState.Value> entry : values.entrySet()) {
@@ -113,13 +114,13 @@
         out.writeLong(session.number());
         out.writeLong(session.lastVersion());
         out.writeLong(outcome.version());
-        ByteBlocks.writeText(out, outcome.done() ? "" : outcome.rejection());
+        ByteBlocks.writeText(out, outcome.isApplied() ? "" : outcome.rejection());
     }
 
     /** Reads a snapshot; throws IOException if the bytes are malformed or of a later program. */
     static void decodeSnapshot(byte[] bytes, SnapshotReader reader) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
-        if (in.readByte() != SNAPSHOT_FORM) {
+        if (in.readByte() != SNAPSHOT_FORMAT) {
             throw new IOException("a snapshot of a later version of the program");
         }
         reader.version(in.readLong());
--- a/src/main/java/reeldeal/store/KeyValueState.java
+++ b/src/main/java/reeldeal/store/KeyValueState.java
@@ -24,19 +24,19 @@
     public static final int MAX_VALUE_BYTES = 256 * 1024;
 
     /** Bytes that may be kept under a first part of a key that has no quota of its own. */
-    public static final long MAX_BYTES = 256L << 20;
+    public static final long DEFAULT_QUOTA_BYTES = 256L << 20;
 
     /** A value {@code quota/PREFIX} limits the bytes kept under that first part of a key. */
     public static final String QUOTA = "quota/";
 
     /** The key of the level of commands and rules that hold; 1 without a value. */
-    public static final String LEVEL = "feature/level";
+    public static final String LEVEL_KEY = "feature/level";
 
     /**
      * A value {@code session/NAME} keeps all sessions whose names begin so from being evicted, from
      * level 2 on.
      */
-    public static final String PINNED = "session/";
+    public static final String PINNED_SESSION_PREFIX = "session/";
 
     private static final int MAX_SESSIONS = 1_000;
     private static final int MAX_HISTORY = 20_000;
@@ -50,8 +50,8 @@
     public static final class UnsupportedFormatException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        UnsupportedFormatException(int form) {
-            super("form " + form);
+        UnsupportedFormatException(int format) {
+            super("form " + format);
         }
     }
 
@@ -76,7 +76,7 @@
     /** The result of a command: the version of its changes, or the reason of its rejection. */
     public record Outcome(long version, String rejection) {
         /** Whether the changes were applied. */
-        public boolean done() {
+        public boolean isApplied() {
             return rejection == null;
         }
     }
@@ -85,7 +85,7 @@
     public record Value(String text, long version) {}
 
     /** The changes of one version. */
-    public record Written(long version, List<Change> changes) {}
+    public record ChangeSet(long version, List<Change> changes) {}
 
     /** The last command of a session, its result, and the version of its entry. */
     record Session(long number, Outcome outcome, long lastVersion) {}
@@ -93,7 +93,7 @@
     private TreePMap<String, Value> values = TreePMap.empty();
     private TreePMap<String, Session> sessions = TreePMap.empty();
     private TreePMap<String, Long> bytesByPrefix = TreePMap.empty();
-    private final ArrayDeque<Written> history = new ArrayDeque<>();
+    private final ArrayDeque<ChangeSet> history = new ArrayDeque<>();
     private long version;
     private long historyStart;
 
@@ -113,11 +113,11 @@
     }
 
     /** At most {@code most} values whose keys begin with a prefix, from after a key on, sorted. */
-    public Map<String, Value> page(String prefix, String after, int most) {
+    public Map<String, Value> page(String prefix, String afterKey, int limit) {
         Map<String, Value> page = new TreeMap<>();
         for (Map.Entry<String, Value> entry :
-                values.subMap(after, false, prefix + Character.MAX_VALUE, false).entrySet()) {
-            if (page.size() >= most) {
+                values.subMap(afterKey, false, prefix + Character.MAX_VALUE, false).entrySet()) {
+            if (page.size() >= limit) {
                 break;
             }
             page.put(entry.getKey(), entry.getValue());
@@ -126,23 +126,23 @@
     }
 
     /** Bytes kept under the first part of a key, up to its first slash. */
-    public long bytesUnder(String part) {
-        return bytesByPrefix.getOrDefault(part, 0L);
+    public long bytesUnder(String prefix) {
+        return bytesByPrefix.getOrDefault(prefix, 0L);
     }
 
     /**
      * What was written after a version, or null if the history does not reach back so far: then the
      * values must be read again.
      */
-    public List<Written> since(long after) {
-        return after < historyStart
+    public List<ChangeSet> changeSetsSince(long afterVersion) {
+        return afterVersion < historyStart
                 ? null
-                : history.stream().filter(written -> written.version() > after).toList();
+                : history.stream().filter(changeSet -> changeSet.version() > afterVersion).toList();
     }
 
     /** The level of commands and rules that hold. */
     public int level() {
-        Value value = values.get(LEVEL);
+        Value value = values.get(LEVEL_KEY);
         return value != null && value.text().matches("[0-9]{1,9}")
                 ? Integer.parseInt(value.text())
                 : 1;
@@ -153,7 +153,7 @@
      * changed}. Throws UnsupportedFormatException, with nothing changed, if only a later program
      * knows the entry's form.
      */
-    public Outcome apply(long index, byte[] data, List<Change> changed) {
+    public Outcome apply(long index, byte[] data, List<Change> appliedChanges) {
         if (data.length == 0) {
             version = index;
             return new Outcome(index, null);
@@ -173,13 +173,13 @@
         if (session != null && command.number() < session.number()) {
             return new Outcome(index, "number " + command.number() + " of this session is past");
         }
-        Outcome outcome = check(index, command);
-        if (outcome.done()) {
+        Outcome outcome = validate(index, command);
+        if (outcome.isApplied()) {
             for (Change change : command.changes()) {
-                change(index, change);
+                applyChange(index, change);
             }
-            changed.addAll(command.changes());
-            addToHistory(new Written(index, command.changes()));
+            appliedChanges.addAll(command.changes());
+            addToHistory(new ChangeSet(index, command.changes()));
         }
         if (!command.session().isEmpty()) {
             Session updated = new Session(command.number(), outcome, index);
@@ -193,19 +193,19 @@
         if (sessions.size() <= MAX_SESSIONS) {
             return;
         }
-        boolean pins = level() >= PINNED_SESSIONS_LEVEL;
+        boolean keepPinned = level() >= PINNED_SESSIONS_LEVEL;
         sessions.entrySet().stream()
-                .filter(entry -> !pins || !isPinned(entry.getKey()))
+                .filter(entry -> !keepPinned || !isPinned(entry.getKey()))
                 .min(Comparator.comparingLong(entry -> entry.getValue().lastVersion()))
                 .ifPresent(entry -> sessions = sessions.minus(entry.getKey()));
     }
 
     private boolean isPinned(String session) {
         int colon = session.lastIndexOf(':');
-        return colon > 0 && values.containsKey(PINNED + session.substring(0, colon));
+        return colon > 0 && values.containsKey(PINNED_SESSION_PREFIX + session.substring(0, colon));
     }
 
-    private Outcome check(long index, Command command) {
+    private Outcome validate(long index, Command command) {
         String rejection = checkPreconditions(command.preconditions());
         if (rejection == null) {
             rejection = checkSizes(command.changes());
@@ -217,11 +217,15 @@
     }
 
     private String checkPreconditions(List<Precondition> preconditions) {
-        for (Precondition expect : preconditions) {
-            Value value = values.get(expect.key());
+        for (Precondition precondition : preconditions) {
+            Value value = values.get(precondition.key());
             long actual = value == null ? 0 : value.version();
-            if (actual != expect.version()) {
-                return expect.key() + " is at version " + actual + ", not " + expect.version();
+            if (actual != precondition.version()) {
+                return precondition.key()
+                        + " is at version "
+                        + actual
+                        + ", not "
+                        + precondition.version();
             }
         }
         return null;
@@ -243,7 +247,7 @@
     private String checkQuotas(List<Change> changes) {
         Map<String, Long> growthByPrefix = new TreeMap<>();
         for (Change change : changes) {
-            growthByPrefix.merge(prefixOf(change.key()), growth(change), Long::sum);
+            growthByPrefix.merge(prefixOf(change.key()), growthOf(change), Long::sum);
         }
         for (Map.Entry<String, Long> growth : growthByPrefix.entrySet()) {
             String prefix = growth.getKey();
@@ -259,7 +263,7 @@
         Value quota = values.get(QUOTA + prefix);
         return quota != null && quota.text().matches("[0-9]{1,15}")
                 ? Long.parseLong(quota.text())
-                : MAX_BYTES;
+                : DEFAULT_QUOTA_BYTES;
     }
 
     private static String prefixOf(String key) {
@@ -281,25 +285,25 @@
     }
 
     /** By how many bytes a change lets its prefix grow. */
-    private long growth(Change change) {
+    private long growthOf(Change change) {
         Value before = values.get(change.key());
         return (long) size(change.key(), change.value())
                 - (before == null ? 0 : size(change.key(), before.text()));
     }
 
-    private void change(long index, Change change) {
-        String prefix = prefixOf(change.key());
-        long bytes = bytesUnder(prefix) + growth(change);
+    private void applyChange(long index, Change applyChange) {
+        String prefix = prefixOf(applyChange.key());
+        long bytes = bytesUnder(prefix) + growthOf(applyChange);
         bytesByPrefix =
                 bytes == 0 ? bytesByPrefix.minus(prefix) : bytesByPrefix.plus(prefix, bytes);
         values =
-                change.value() == null
-                        ? values.minus(change.key())
-                        : values.plus(change.key(), new Value(change.value(), index));
+                applyChange.value() == null
+                        ? values.minus(applyChange.key())
+                        : values.plus(applyChange.key(), new Value(applyChange.value(), index));
     }
 
-    private void addToHistory(Written written) {
-        history.add(written);
+    private void addToHistory(ChangeSet changeSet) {
+        history.add(changeSet);
         if (history.size() > MAX_HISTORY) {
             historyStart = history.poll().version();
         }
@@ -356,7 +360,7 @@
 
         @Override
         public void value(String key, Value value) {
-            change(value.version(), new Change(key, value.text()));
+            applyChange(value.version(), new Change(key, value.text()));
         }
 
         @Override
--- a/src/main/java/reeldeal/store/LegacyFolderUpgrade.java
+++ b/src/main/java/reeldeal/store/LegacyFolderUpgrade.java
@@ -23,52 +23,59 @@
     private static final String OLD_SUFFIX = ".version-0.3";
     private static final String FORMAT_FILE = "FORMAT";
     private static final String WORK_DIRECTORY = "upgrade";
-    private static final int BATCH = 500;
+    private static final int BATCH_ENTRIES = 500;
 
     private record LegacyLog(long term, List<LegacyEntry> entries) {}
 
     private LegacyFolderUpgrade() {}
 
     /** Converts a directory if it is of version 0.3; after a crash it begins again. */
-    static void run(Path folder, String node, Consumer<String> log) throws IOException {
+    static void upgradeIfNeeded(Path folder, String node, Consumer<String> log) throws IOException {
         if (!Files.exists(folder.resolve("log")) || Files.exists(folder.resolve(FORMAT_FILE))) {
             return;
         }
         Path converted = folder.resolve(WORK_DIRECTORY);
-        delete(converted);
-        LegacyLog old = read(folder);
-        convert(old, converted, node);
-        replace(folder, converted);
-        delete(converted);
+        deleteRecursively(converted);
+        LegacyLog legacyLog = readLegacyLog(folder);
+        writeConverted(legacyLog, converted, node);
+        moveIntoPlace(folder, converted);
+        deleteRecursively(converted);
         log.accept(
                 "store: folder upgraded, "
-                        + old.entries().size()
+                        + legacyLog.entries().size()
                         + " versions under term "
-                        + old.term());
+                        + legacyLog.term());
     }
 
-    private static LegacyLog read(Path folder) throws IOException {
+    private static LegacyLog readLegacyLog(Path folder) throws IOException {
         try (LegacyLogFile file = new LegacyLogFile(folder)) {
             return new LegacyLog(
                     Math.max(file.promisedTerm(), file.lastTerm()), List.copyOf(file.entries()));
         }
     }
 
-    private static void convert(LegacyLog old, Path converted, String node) throws IOException {
+    private static void writeConverted(LegacyLog legacyLog, Path converted, String node)
+            throws IOException {
         try (DataDirectory directory =
                 DataDirectory.open(
                         converted, node, GroupConfiguration.of(node), StoreNode.SEGMENT_BYTES)) {
-            for (int start = 0; start < old.entries().size(); start += BATCH) {
-                int end = Math.min(old.entries().size(), start + BATCH);
+            for (int start = 0; start < legacyLog.entries().size(); start += BATCH_ENTRIES) {
+                int end = Math.min(legacyLog.entries().size(), start + BATCH_ENTRIES);
                 List<Entry> entries = new ArrayList<>();
-                for (LegacyEntry entry : old.entries().subList(start, end)) {
+                for (LegacyEntry entry : legacyLog.entries().subList(start, end)) {
                     entries.add(convert(entry));
                 }
                 long firstIndex = entries.get(0).index();
                 directory.write(
                         List.of(
                                 new Ready.Persist(
-                                        0, old.term(), null, firstIndex, entries, null, false)));
+                                        0,
+                                        legacyLog.term(),
+                                        null,
+                                        firstIndex,
+                                        entries,
+                                        null,
+                                        false)));
             }
         }
     }
@@ -82,7 +89,7 @@
     }
 
     /** The file that names the format is moved last: without it the upgrade begins again. */
-    private static void replace(Path folder, Path converted) throws IOException {
+    private static void moveIntoPlace(Path folder, Path converted) throws IOException {
         try (Stream<Path> files = Files.list(converted)) {
             for (Path file : files.toList()) {
                 String name = file.getFileName().toString();
@@ -105,7 +112,7 @@
         }
     }
 
-    private static void delete(Path path) throws IOException {
+    private static void deleteRecursively(Path path) throws IOException {
         if (!Files.exists(path)) {
             return;
         }
--- a/src/main/java/reeldeal/store/LogApplier.java
+++ b/src/main/java/reeldeal/store/LogApplier.java
@@ -76,7 +76,7 @@
     }
 
     private boolean apply(Entry entry) {
-        WriteQueue.Applied write = writes.take(entry);
+        WriteQueue.AppliedWrite write = writes.take(entry);
         List<Change> changed = new ArrayList<>();
         KeyValueState.Outcome outcome;
         try {
--- a/src/main/java/reeldeal/store/PeerConnections.java
+++ b/src/main/java/reeldeal/store/PeerConnections.java
@@ -31,11 +31,11 @@
  */
 final class PeerConnections {
     /** The largest frame, in bytes: a chunk of a snapshot or a message of entries, with reserve. */
-    static final int MAX_FRAME = 4 * 1024 * 1024;
+    static final int MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
     private static final int LENGTH_BYTES = 4;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    private static final int RECONNECT_MS = 100;
+    private static final int RECONNECT_DELAY_MS = 100;
     private static final long MAX_UNSENT_BYTES = 8 << 20;
     private static final int MAX_ACCEPTED = 1_024;
 
@@ -50,7 +50,7 @@
         void onPeerMessage(PeerMessage message, Consumer<PeerMessage> reply);
     }
 
-    private final EventLoopGroup group;
+    private final EventLoopGroup eventLoopGroup;
     private final String groupName;
     private final String self;
     private final Consumer<String> log;
@@ -59,8 +59,9 @@
     private Channel listener;
     private boolean closed;
 
-    PeerConnections(EventLoopGroup group, String groupName, String self, Consumer<String> log) {
-        this.group = group;
+    PeerConnections(
+            EventLoopGroup eventLoopGroup, String groupName, String self, Consumer<String> log) {
+        this.eventLoopGroup = eventLoopGroup;
         this.groupName = groupName;
         this.self = self;
         this.log = log;
@@ -70,7 +71,7 @@
     ChannelFuture listen(InetSocketAddress address, Receiver receiver) {
         ChannelFuture bound =
                 new ServerBootstrap()
-                        .group(group, group)
+                        .group(eventLoopGroup, eventLoopGroup)
                         .channel(NioServerSocketChannel.class)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .childOption(ChannelOption.TCP_NODELAY, true)
@@ -103,7 +104,7 @@
         }
     }
 
-    boolean knows(String node) {
+    boolean hasPeer(String node) {
         return outgoing.containsKey(node);
     }
 
@@ -120,7 +121,7 @@
     }
 
     /** Whether a node can read a log of a level: from level 2 on it must have announced it. */
-    boolean understands(String node, int logLevel) {
+    boolean supportsLevel(String node, int logLevel) {
         return logLevel < PEER_MESSAGE_LEVEL || level(node) >= logLevel;
     }
 
@@ -149,7 +150,7 @@
         outgoing.values().forEach(Outgoing::close);
     }
 
-    private static ByteBuf framed(byte[] bytes) {
+    private static ByteBuf withLengthPrefix(byte[] bytes) {
         return Unpooled.buffer(LENGTH_BYTES + bytes.length)
                 .writeInt(bytes.length)
                 .writeBytes(bytes);
@@ -176,7 +177,7 @@
             }
             ChannelFuture connecting =
                     new Bootstrap()
-                            .group(group)
+                            .group(eventLoopGroup)
                             .channel(NioSocketChannel.class)
                             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                             .option(ChannelOption.TCP_NODELAY, true)
@@ -199,7 +200,9 @@
         private void onClosed() {
             connected = false;
             level = 0;
-            group.next().schedule(this::connect, RECONNECT_MS, TimeUnit.MILLISECONDS);
+            eventLoopGroup
+                    .next()
+                    .schedule(this::connect, RECONNECT_DELAY_MS, TimeUnit.MILLISECONDS);
         }
 
         boolean send(byte[] bytes) {
@@ -209,7 +212,7 @@
                             && (unsent == null
                                     || unsent.totalPendingWriteBytes() < MAX_UNSENT_BYTES);
             if (accepts) {
-                channel.writeAndFlush(framed(bytes));
+                channel.writeAndFlush(withLengthPrefix(bytes));
             }
             return accepts;
         }
@@ -223,7 +226,7 @@
     /** On a connection that this node opened the other only announces its level. */
     private final class OutgoingHandler extends ChannelInboundHandlerAdapter {
         private final Outgoing connection;
-        private final FrameBuffer frames = new FrameBuffer(LENGTH_BYTES, MAX_FRAME);
+        private final FrameBuffer frames = new FrameBuffer(LENGTH_BYTES, MAX_FRAME_BYTES);
 
         OutgoingHandler(Outgoing connection) {
             this.connection = connection;
@@ -252,7 +255,7 @@
     /** A connection that another node, or an operator's command, opened. */
     private final class IncomingHandler extends ChannelInboundHandlerAdapter {
         private final Receiver receiver;
-        private final FrameBuffer frames = new FrameBuffer(LENGTH_BYTES, MAX_FRAME);
+        private final FrameBuffer frames = new FrameBuffer(LENGTH_BYTES, MAX_FRAME_BYTES);
 
         IncomingHandler(Receiver receiver) {
             this.receiver = receiver;
@@ -269,7 +272,7 @@
         }
 
         private void write(ChannelHandlerContext context, PeerMessage message) {
-            context.writeAndFlush(framed(PeerMessageCodec.write(groupName, message)));
+            context.writeAndFlush(withLengthPrefix(PeerMessageCodec.write(groupName, message)));
         }
 
         @Override
@@ -295,7 +298,7 @@
                 return;
             }
             Message message = PeerCodec.read(groupName, frame);
-            if (message.to().equals(self) && knows(message.from())) {
+            if (message.to().equals(self) && hasPeer(message.from())) {
                 receiver.onConsensusMessage(message);
             }
         }
--- a/src/main/java/reeldeal/store/PeerDirectory.java
+++ b/src/main/java/reeldeal/store/PeerDirectory.java
@@ -11,7 +11,7 @@
 final class PeerDirectory {
     private final StoreConfig config;
     private final PeerConnections connections;
-    private GroupConfiguration connectedFor;
+    private GroupConfiguration connectedConfiguration;
 
     PeerDirectory(StoreConfig config, PeerConnections connections) {
         this.config = config;
@@ -20,7 +20,7 @@
 
     /** Connects to all nodes of a configuration and the addresses in a state. */
     void connectAll(GroupConfiguration configuration, KeyValueState state) {
-        connectedFor = configuration;
+        connectedConfiguration = configuration;
         config.nodes()
                 .forEach(
                         (node, address) -> {
@@ -30,14 +30,14 @@
                                 connections.drop(node);
                             }
                         });
-        state.valuesUnder(StoreNode.NODE_KEY)
+        state.valuesUnder(StoreNode.NODE_KEY_PREFIX)
                 .forEach((key, value) -> onAddress(nodeOf(key), value.text()));
     }
 
     /** Connects anew if the configuration is another than the one connected for. */
     @SuppressWarnings("ReferenceEquality") // the very value that connections were made for
     void update(GroupConfiguration configuration, KeyValueState state) {
-        if (connectedFor != null && configuration != connectedFor) {
+        if (connectedConfiguration != null && configuration != connectedConfiguration) {
             connectAll(configuration, state);
         }
     }
@@ -45,20 +45,20 @@
     /** Follows the addresses among committed changes. */
     void onChanges(List<Change> changes) {
         for (Change change : changes) {
-            if (change.key().startsWith(StoreNode.NODE_KEY)) {
+            if (change.key().startsWith(StoreNode.NODE_KEY_PREFIX)) {
                 onAddress(nodeOf(change.key()), change.value());
             }
         }
     }
 
     private static String nodeOf(String key) {
-        return key.substring(StoreNode.NODE_KEY.length());
+        return key.substring(StoreNode.NODE_KEY_PREFIX.length());
     }
 
     /** A learner has messages for voters only, and voters for all. */
     private boolean sendsTo(String node) {
-        return connectedFor.voters().contains(config.node())
-                || connectedFor.voters().contains(node);
+        return connectedConfiguration.voters().contains(config.node())
+                || connectedConfiguration.voters().contains(node);
     }
 
     /** A node's address in the store; the one in this node's own file has precedence. */
--- a/src/main/java/reeldeal/store/PeerMessageRouter.java
+++ b/src/main/java/reeldeal/store/PeerMessageRouter.java
@@ -48,8 +48,8 @@
         topics.put(topic, handler);
     }
 
-    void onAdminRequest(String word, BiConsumer<String, StoreNode.AdminReply> handler) {
-        adminHandlers.put(word, handler);
+    void onAdminRequest(String requestName, BiConsumer<String, StoreNode.AdminReply> handler) {
+        adminHandlers.put(requestName, handler);
     }
 
     @Override
@@ -63,7 +63,7 @@
             return;
         }
         if (message instanceof PeerMessage.Forward forward) {
-            if (isForThis(forward.to(), forward.from())) {
+            if (isFromPeerToThisNode(forward.to(), forward.from())) {
                 onForward(forward);
             }
         } else if (message instanceof PeerMessage.Forwarded forwarded) {
@@ -71,7 +71,7 @@
                 forwarder.onForwarded(forwarded);
             }
         } else if (message instanceof PeerMessage.TopicMessage topicMessage) {
-            if (isForThis(topicMessage.to(), topicMessage.from())) {
+            if (isFromPeerToThisNode(topicMessage.to(), topicMessage.from())) {
                 deliver(topicMessage.from(), topicMessage.bytes());
             }
         } else if (message instanceof PeerMessage.AdminRequest request) {
@@ -79,8 +79,8 @@
         }
     }
 
-    private boolean isForThis(String to, String from) {
-        return to.equals(node) && connections.knows(from);
+    private boolean isFromPeerToThisNode(String to, String from) {
+        return to.equals(node) && connections.hasPeer(from);
     }
 
     private void onForward(PeerMessage.Forward forward) {
@@ -116,8 +116,8 @@
     }
 
     private void onAdminRequest(PeerMessage.AdminRequest request, Consumer<PeerMessage> reply) {
-        String word = request.text().split(" ", 2)[0];
-        BiConsumer<String, StoreNode.AdminReply> handler = adminHandlers.get(word);
+        String requestName = request.text().split(" ", 2)[0];
+        BiConsumer<String, StoreNode.AdminReply> handler = adminHandlers.get(requestName);
         StoreNode.AdminReply adminReply =
                 new StoreNode.AdminReply(
                         answer ->
@@ -129,7 +129,7 @@
                                                 answer.leader())),
                         this::redirection);
         if (handler == null) {
-            adminReply.reject("this node answers no such question: " + word);
+            adminReply.reject("this node answers no such question: " + requestName);
         } else {
             handler.accept(request.text(), adminReply);
         }
--- a/src/main/java/reeldeal/store/RaftDriver.java
+++ b/src/main/java/reeldeal/store/RaftDriver.java
@@ -30,12 +30,12 @@
     private final StoreLoop loop;
     private final Consumer<String> log;
     private final Map<Long, Runnable> confirmations = new HashMap<>();
-    private long nextRead = 1;
+    private long nextReadId = 1;
     private boolean stepping;
     private boolean votesWithheld;
 
     /** The classes that a driver connects, apart from the node itself. */
-    record Parts(
+    record Components(
             StoreStatus status,
             PeerConnections connections,
             PeerDirectory peers,
@@ -46,18 +46,18 @@
     RaftDriver(
             String node,
             RaftNode raft,
-            Parts parts,
+            Components components,
             DataDirectory directory,
             StoreLoop loop,
             Consumer<String> log) {
         this.node = node;
         this.raft = raft;
-        this.status = parts.status();
-        this.connections = parts.connections();
-        this.peers = parts.peers();
-        this.applier = parts.applier();
-        this.writes = parts.writes();
-        this.snapshots = parts.snapshots();
+        this.status = components.status();
+        this.connections = components.connections();
+        this.peers = components.peers();
+        this.applier = components.applier();
+        this.writes = components.writes();
+        this.snapshots = components.snapshots();
         this.loop = loop;
         this.log = log;
         this.disk = new DiskQueue(loop, directory, this);
@@ -84,19 +84,19 @@
     }
 
     void tick() {
-        boolean withheld = votesWithheld && raft.role() == RaftNode.Role.FOLLOWER;
-        if (status.isActive() && !withheld) {
+        boolean ignored = votesWithheld && raft.role() == RaftNode.Role.FOLLOWER;
+        if (status.isActive() && !ignored) {
             raft.tick();
             step();
         }
     }
 
     void receive(Message message) {
-        boolean withheld =
+        boolean ignored =
                 votesWithheld
                         && (message instanceof Message.VoteRequest
                                 || message instanceof Message.TimeoutNow);
-        if (status.isActive() && !withheld) {
+        if (status.isActive() && !ignored) {
             raft.receive(message);
             step();
         }
@@ -108,15 +108,15 @@
     }
 
     boolean changeConfiguration(GroupConfiguration proposed) {
-        boolean begun = raft.changeConfiguration(proposed) >= 0;
+        boolean started = raft.changeConfiguration(proposed) >= 0;
         step();
-        return begun;
+        return started;
     }
 
     boolean transferLeadership(String to) {
-        boolean begun = raft.transferLeadership(to);
+        boolean started = raft.transferLeadership(to);
         step();
-        return begun;
+        return started;
     }
 
     /** Transfers leadership to the reachable voter that has most of the log. */
@@ -129,9 +129,9 @@
 
     /** Runs this once a majority has confirmed, after now, that this node leads. */
     void confirmLeadership(Runnable whenConfirmed) {
-        long read = nextRead++;
-        confirmations.put(read, whenConfirmed);
-        raft.read(read);
+        long readId = nextReadId++;
+        confirmations.put(readId, whenConfirmed);
+        raft.read(readId);
         step();
     }
 
@@ -165,11 +165,11 @@
             return; // the call that runs goes on until there is no more output
         }
         stepping = true;
-        boolean more = true;
-        while (more && !status.isClosed()) {
+        boolean hasMore = true;
+        while (hasMore && !status.isClosed()) {
             Ready ready = raft.takeReady();
-            more = hasOutput(ready);
-            carryOut(ready);
+            hasMore = hasOutput(ready);
+            process(ready);
             updateStatus();
         }
         stepping = false;
@@ -183,11 +183,11 @@
                 || !ready.reads.isEmpty();
     }
 
-    private void carryOut(Ready ready) {
+    private void process(Ready ready) {
         ready.notes.forEach(note -> log.accept("store: " + note));
         disk.add(ready.persists);
         for (Message message : ready.messages) {
-            if (connections.understands(message.to(), applier.state().level())) {
+            if (connections.supportsLevel(message.to(), applier.state().level())) {
                 connections.send(message);
             }
         }
@@ -238,7 +238,7 @@
         if (applier.isStopped()) {
             status.stopServing();
             writes.abandonAll();
-            transferToLaterProgram();
+            transferToNewerProgram();
             return;
         }
         if (raft.role() != RaftNode.Role.LEADER) {
@@ -255,7 +255,7 @@
     }
 
     /** A node that cannot read the log must not be the one that writes it. */
-    private void transferToLaterProgram() {
+    private void transferToNewerProgram() {
         raft.configuration().voters().stream()
                 .filter(voter -> connections.level(voter) > PeerMessage.LEVEL)
                 .findFirst()
--- a/src/main/java/reeldeal/store/SnapshotScheduler.java
+++ b/src/main/java/reeldeal/store/SnapshotScheduler.java
@@ -18,7 +18,8 @@
     private final StoreLoop loop;
     private final DataDirectory directory;
     private final Consumer<String> log;
-    private final ExecutorService thread = DaemonThreads.single("store-snapshot");
+    private final ExecutorService snapshotExecutor =
+            DaemonThreads.singleThreadExecutor("store-snapshot");
     private long logBytes;
     private boolean inProgress;
 
@@ -45,7 +46,7 @@
      */
     void start(KeyValueState.Frozen state, Snapshot header, Consumer<byte[]> whenReady) {
         inProgress = true;
-        thread.execute(
+        snapshotExecutor.execute(
                 () -> {
                     byte[] data = state.toBytes();
                     prepare(
@@ -70,7 +71,7 @@
 
     /** Writes a state to a file, which is replaced as a unit. */
     void backup(Path file, KeyValueState.Frozen state) {
-        thread.execute(
+        snapshotExecutor.execute(
                 () -> {
                     try {
                         Backup.write(file, state);
@@ -82,6 +83,6 @@
     }
 
     void close() {
-        thread.shutdown();
+        snapshotExecutor.shutdown();
     }
 }
--- a/src/main/java/reeldeal/store/StaleStart.java
+++ b/src/main/java/reeldeal/store/StaleStart.java
@@ -35,10 +35,10 @@
     }
 
     /** Makes the copy, from a state and the entries after it. */
-    void begin(KeyValueState.Frozen state, List<Entry> entries) {
+    void createCopy(KeyValueState.Frozen state, List<Entry> entries) {
         try {
             KeyValueState stale = KeyValueState.fromBytes(state.toBytes());
-            applyKnown(stale, entries);
+            applySupported(stale, entries);
             copy = stale;
             log.accept(
                     "store: the group was not reached in "
@@ -52,7 +52,7 @@
         }
     }
 
-    private static void applyKnown(KeyValueState state, List<Entry> entries) {
+    private static void applySupported(KeyValueState state, List<Entry> entries) {
         for (Entry entry : entries) {
             try {
                 state.apply(entry.index(), entry.data(), new ArrayList<>());
--- a/src/main/java/reeldeal/store/StoreNode.java
+++ b/src/main/java/reeldeal/store/StoreNode.java
@@ -36,7 +36,7 @@
     public static final int STALE_START_MS = 2_000;
 
     /** The prefix of the keys of nodes' addresses, for those whose files do not name them. */
-    public static final String NODE_KEY = "node/";
+    public static final String NODE_KEY_PREFIX = "node/";
 
     /** The size of a file of the log from which on another is begun. */
     static final int SEGMENT_BYTES = 4 << 20;
@@ -109,7 +109,7 @@
                 new RaftDriver(
                         config.node(),
                         raft,
-                        new RaftDriver.Parts(
+                        new RaftDriver.Components(
                                 status, connections, peers, applier, writes, snapshots),
                         directory,
                         loop,
@@ -132,7 +132,7 @@
 
     private DataDirectory openDirectory() throws IOException {
         String owner = config.group() + " " + config.node();
-        LegacyFolderUpgrade.run(config.directory(), owner, log);
+        LegacyFolderUpgrade.upgradeIfNeeded(config.directory(), owner, log);
         DataDirectory opened =
                 DataDirectory.open(
                         config.directory(), owner, config.firstConfiguration(), SEGMENT_BYTES);
@@ -151,8 +151,8 @@
      * Whether one flush serves all writes that came while the last one was written; off only to
      * measure the difference.
      */
-    public void groupCommit(boolean on) {
-        driver.groupCommit(on);
+    public void groupCommit(boolean enabled) {
+        driver.groupCommit(enabled);
     }
 
     /** Listens and takes part in the group; the future ends when the address is bound. */
@@ -161,13 +161,13 @@
         bound.addListener(
                 future -> {
                     if (future.isSuccess() && !status.isClosed()) {
-                        begin();
+                        onBound();
                     }
                 });
         return bound;
     }
 
-    private void begin() {
+    private void onBound() {
         applier.publishAll();
         driver.start();
         if (config.backup() != null) {
@@ -187,7 +187,7 @@
     private void serveStaleCopy() {
         if (!status.hasBeenCurrent() && !status.isClosed()) {
             KeyValueState state = applier.state();
-            staleStart.begin(state.freeze(), raft.entriesAfter(state.version()));
+            staleStart.createCopy(state.freeze(), raft.entriesAfter(state.version()));
         }
     }
 
@@ -195,8 +195,8 @@
      * Runs this with the copy on this disk if a start does not reach the group in time; now if that
      * has happened already.
      */
-    public void whenServingStale(Consumer<KeyValueState> run) {
-        staleStart.whenServing(run);
+    public void whenServingStale(Consumer<KeyValueState> listener) {
+        staleStart.whenServing(listener);
     }
 
     /**
@@ -228,8 +228,8 @@
     }
 
     /** The first keys that begin with a prefix, at most {@code most}. */
-    public List<String> keysUnder(String prefix, int most) {
-        return valuesUnder(prefix).keySet().stream().limit(most).toList();
+    public List<String> keysUnder(String prefix, int limit) {
+        return valuesUnder(prefix).keySet().stream().limit(limit).toList();
     }
 
     /** Changes in this node's log that are not applied yet, committed or not. */
@@ -248,8 +248,8 @@
     }
 
     /** Neither votes nor becomes a candidate while this is on, but follows the leader. */
-    public void withholdVotes(boolean on) {
-        driver.withholdVotes(on);
+    public void withholdVotes(boolean enabled) {
+        driver.withholdVotes(enabled);
     }
 
     /** The version up to which this node has applied the log. */
@@ -261,8 +261,8 @@
      * What was written after a version, or null if the history does not reach back so far: then the
      * values must be read again.
      */
-    public List<KeyValueState.Written> since(long version) {
-        return applier.state().since(version);
+    public List<KeyValueState.ChangeSet> changeSetsSince(long version) {
+        return applier.state().changeSetsSince(version);
     }
 
     /** Notifies of each committed write from now on; after a snapshot, of all that it changed. */
@@ -274,8 +274,8 @@
      * Runs this each time that this node begins to accept writes, all that was committed before
      * being applied; now if it accepts them already.
      */
-    public void whenLeading(Runnable run) {
-        status.whenLeading(run);
+    public void whenLeading(Runnable listener) {
+        status.whenLeading(listener);
     }
 
     /** Whether this node leads and accepts writes. */
@@ -289,8 +289,8 @@
     }
 
     /** Runs this each time that the node has become current. */
-    public void whenCurrent(Runnable run) {
-        status.whenCurrent(run);
+    public void whenCurrent(Runnable listener) {
+        status.whenCurrent(listener);
     }
 
     /** The leader as far as it is known, or null. */
@@ -319,8 +319,8 @@
     }
 
     /** At most {@code most} values whose keys begin with a prefix, from after a key on. */
-    public Map<String, KeyValueState.Value> page(String prefix, String after, int most) {
-        return applier.state().page(prefix, after, most);
+    public Map<String, KeyValueState.Value> page(String prefix, String after, int limit) {
+        return applier.state().page(prefix, after, limit);
     }
 
     /** The level of commands and rules that hold. */
@@ -329,13 +329,13 @@
     }
 
     /** Writes changes that are applied together or not at all, if this node leads. */
-    public void write(List<Change> changes, Consumer<Result> then) {
-        write(KeyValueState.Command.of(changes), then);
+    public void write(List<Change> changes, Consumer<Result> callback) {
+        write(KeyValueState.Command.of(changes), callback);
     }
 
     /** Writes with preconditions, or once for each number of a session, if this node leads. */
-    public void write(KeyValueState.Command command, Consumer<Result> then) {
-        proposer.write(command, then);
+    public void write(KeyValueState.Command command, Consumer<Result> callback) {
+        proposer.write(command, callback);
     }
 
     /** Proposes bytes as they are, to test how nodes treat a form that they do not know. */
@@ -349,8 +349,10 @@
      * and at most once even if the leader changes. Without a result in time it is unknown.
      */
     public void submit(
-            List<KeyValueState.Precondition> expects, List<Change> changes, Consumer<Result> then) {
-        forwarder.submit(expects, changes, then);
+            List<KeyValueState.Precondition> preconditions,
+            List<Change> changes,
+            Consumer<Result> callback) {
+        forwarder.submit(preconditions, changes, callback);
     }
 
     /** The answer to a request; {@code leader} is where to send it instead, or empty. */
@@ -415,8 +417,8 @@
     }
 
     /** Runs this once a majority has confirmed, after now, that this node leads; else never. */
-    public void confirmLeadership(Runnable then) {
-        driver.confirmLeadership(then);
+    public void confirmLeadership(Runnable whenConfirmed) {
+        driver.confirmLeadership(whenConfirmed);
     }
 
     /** This node's name. */
@@ -456,7 +458,7 @@
     }
 
     /** Transfers leadership to a voter; false if this node does not lead. */
-    public boolean transfer(String to) {
+    public boolean transferLeadership(String to) {
         return driver.transferLeadership(to);
     }
 
@@ -471,8 +473,8 @@
      * The directory does not hold what this node once had: the node takes part no more, and serves
      * what it has.
      */
-    public void markFolderUntrusted(String why) {
-        driver.halt(why);
+    public void markFolderUntrusted(String reason) {
+        driver.halt(reason);
     }
 
     /** Compacts the log up to the present state; a thread of its own makes the snapshot. */
--- a/src/main/java/reeldeal/store/WriteForwarder.java
+++ b/src/main/java/reeldeal/store/WriteForwarder.java
@@ -21,7 +21,7 @@
     private final StoreLoop loop;
     private final ForwardedWrites writes;
     private final String session;
-    private final Map<Long, ForwardedWrites.Attempt> forwarded = new HashMap<>();
+    private final Map<Long, ForwardedWrites.Attempt> attemptsById = new HashMap<>();
     private long nextId = 1;
     private boolean retryScheduled;
 
@@ -88,15 +88,15 @@
 
     private void forward(ForwardedWrites.Attempt attempt, String leader) {
         long id = nextId++;
-        forwarded.values().removeIf(earlier -> earlier.slot() == attempt.slot());
-        forwarded.put(id, attempt);
+        attemptsById.values().removeIf(earlier -> earlier.slot() == attempt.slot());
+        attemptsById.put(id, attempt);
         byte[] command = KeyValueCodec.encode(attempt.command());
         connections.send(leader, new PeerMessage.Forward(node, leader, id, command));
     }
 
     /** Takes the leader's result of a forwarded write. */
     void onForwarded(PeerMessage.Forwarded message) {
-        ForwardedWrites.Attempt attempt = forwarded.remove(message.id());
+        ForwardedWrites.Attempt attempt = attemptsById.remove(message.id());
         if (attempt != null) {
             onResult(attempt, message.result());
         }
--- a/src/main/java/reeldeal/store/WriteQueue.java
+++ b/src/main/java/reeldeal/store/WriteQueue.java
@@ -34,20 +34,20 @@
     }
 
     /** A write whose entry is being applied; it may be one that another leader replaced. */
-    static final class Applied {
-        private static final Applied NONE = new Applied(null, false);
+    static final class AppliedWrite {
+        private static final AppliedWrite NONE = new AppliedWrite(null, false);
 
         private final PendingWrite write;
-        private final boolean own;
+        private final boolean proposedHere;
 
-        private Applied(PendingWrite write, boolean own) {
+        private AppliedWrite(PendingWrite write, boolean proposedHere) {
             this.write = write;
-            this.own = own;
+            this.proposedHere = proposedHere;
         }
 
         /** The changes for the listeners: this node's own list if the entry is its write. */
         List<Change> changes(List<Change> decoded) {
-            return own ? write.changes : List.copyOf(decoded);
+            return proposedHere ? write.changes : List.copyOf(decoded);
         }
 
         /** Answers the write, if there is one. */
@@ -55,9 +55,9 @@
             if (write == null) {
                 return;
             }
-            if (!own) {
+            if (!proposedHere) {
                 write.answer(new StoreNode.Unknown());
-            } else if (outcome.done()) {
+            } else if (outcome.isApplied()) {
                 write.answer(new StoreNode.Committed(outcome.version()));
             } else {
                 write.answer(new StoreNode.Rejected(outcome.rejection()));
@@ -84,9 +84,11 @@
     }
 
     /** Removes the write of an entry that is being applied. */
-    Applied take(Entry entry) {
+    AppliedWrite take(Entry entry) {
         PendingWrite write = pending.remove(entry.index());
-        return write == null ? Applied.NONE : new Applied(write, write.term == entry.term());
+        return write == null
+                ? AppliedWrite.NONE
+                : new AppliedWrite(write, write.term == entry.term());
     }
 
     /** Answers all writes as unknown: another leader may commit or replace them. */
--- a/src/test/java/reeldeal/store/ForwardedWritesTest.java
+++ b/src/test/java/reeldeal/store/ForwardedWritesTest.java
@@ -63,7 +63,7 @@
             random = RandomSource.XO_SHI_RO_256_PP.create(seed);
         }
 
-        private void after(long delay, Runnable action) {
+        private void schedule(long delay, Runnable action) {
             events.add(new Event(now + delay, nextOrder++, action));
         }
 
@@ -71,9 +71,9 @@
         String run(Results counts) {
             for (int i = 0; i < WRITES; i++) {
                 int write = i;
-                after(random.nextInt(6_000), () -> submit(write));
+                schedule(random.nextInt(6_000), () -> submit(write));
             }
-            after(0, this::sendDue);
+            schedule(0, this::sendDue);
             while (!events.isEmpty()) {
                 Event event = events.poll();
                 now = event.time();
@@ -105,11 +105,11 @@
                 for (int i = 0; i < copies; i++) {
                     boolean slow = random.nextInt(6) == 0;
                     int delay = slow ? random.nextInt(4_000) : 1 + random.nextInt(30);
-                    after(delay, () -> receive(attempt, toLeader));
+                    schedule(delay, () -> receive(attempt, toLeader));
                 }
             }
             if (now < END_MS) {
-                after(20, this::sendDue);
+                schedule(20, this::sendDue);
             }
         }
 
@@ -117,7 +117,7 @@
             StoreNode.Result result =
                     byLeader ? apply(attempt.command()) : new StoreNode.NotLeader("no");
             if (random.nextInt(4) > 0) {
-                after(1 + random.nextInt(300), () -> writes.onResult(attempt, result));
+                schedule(1 + random.nextInt(300), () -> writes.onResult(attempt, result));
             }
         }
 
@@ -129,7 +129,7 @@
             if (random.nextInt(6) == 0) {
                 return new StoreNode.Unknown();
             }
-            return outcome.done()
+            return outcome.isApplied()
                     ? new StoreNode.Committed(outcome.version())
                     : new StoreNode.Rejected(outcome.rejection());
         }
--- a/src/test/java/reeldeal/store/KeyValueStateTest.java
+++ b/src/test/java/reeldeal/store/KeyValueStateTest.java
@@ -24,48 +24,48 @@
         return apply(KeyValueState.Command.of(List.of(new Change(key, value))));
     }
 
-    private static KeyValueState.Command ofSession(String session, String key, String value) {
+    private static KeyValueState.Command sessionCommand(String session, String key, String value) {
         return new KeyValueState.Command(session, 1, List.of(), List.of(new Change(key, value)));
     }
 
     private void useMoreSessionsThanAreKept() {
         for (int i = 0; i < 1_500; i++) {
-            apply(ofSession("other:" + i + ":0", "o", "" + i));
+            apply(sessionCommand("other:" + i + ":0", "o", "" + i));
         }
     }
 
     @Test
     public void sessionsOfLiveMembersAreNeverEvictedFromLevelTwoOn() {
-        put(KeyValueState.LEVEL, "2");
-        put(KeyValueState.PINNED + "n:1", "");
-        apply(ofSession("n:1:0", "k", "once"));
+        put(KeyValueState.LEVEL_KEY, "2");
+        put(KeyValueState.PINNED_SESSION_PREFIX + "n:1", "");
+        apply(sessionCommand("n:1:0", "k", "once"));
         useMoreSessionsThanAreKept();
-        apply(ofSession("n:1:0", "k", "once"));
+        apply(sessionCommand("n:1:0", "k", "once"));
         assertEquals(0, changed.size());
     }
 
     @Test
     public void sessionsOfLiveMembersAreEvictedAtLevelOneAsTheEarlierProgramDoes() {
-        put(KeyValueState.LEVEL, "1");
-        put(KeyValueState.PINNED + "n:1", "");
-        apply(ofSession("n:1:0", "k", "once"));
+        put(KeyValueState.LEVEL_KEY, "1");
+        put(KeyValueState.PINNED_SESSION_PREFIX + "n:1", "");
+        apply(sessionCommand("n:1:0", "k", "once"));
         useMoreSessionsThanAreKept();
-        apply(ofSession("n:1:0", "k", "once"));
+        apply(sessionCommand("n:1:0", "k", "once"));
         assertEquals(1, changed.size());
     }
 
     @Test
-    public void aCommandOfALaterFormChangesNothing() {
-        byte[] laterForm = KeyValueState.encode(KeyValueState.Command.of(List.of()));
-        laterForm[0] = 2;
+    public void aCommandOfANewerFormatChangesNothing() {
+        byte[] newerFormat = KeyValueState.encode(KeyValueState.Command.of(List.of()));
+        newerFormat[0] = 2;
         assertThrows(
                 KeyValueState.UnsupportedFormatException.class,
-                () -> state.apply(1, laterForm, changed));
+                () -> state.apply(1, newerFormat, changed));
         assertEquals(0, state.version());
     }
 
     @Test
-    public void aMalformedCommandIsRejectedAndCounted() {
+    public void aMalformedCommandIsRejectedAndAdvancesTheVersion() {
         KeyValueState.Outcome outcome = state.apply(1, new byte[] {1, 0, 0, 0, 9}, changed);
         assertEquals("malformed command: impossible count 9", outcome.rejection());
         assertEquals(1, state.version());
@@ -88,25 +88,25 @@
     @Test
     public void aQuotaLimitsTheBytesUnderItsPrefix() {
         put(KeyValueState.QUOTA + "p", "10");
-        assertTrue(put("p/1", "1234567").done());
+        assertTrue(put("p/1", "1234567").isApplied());
         assertEquals("quota: p may hold 10 bytes", put("p/2", "1").rejection());
         assertEquals(10, state.bytesUnder("p"));
-        assertTrue("less is allowed", put("p/1", null).done());
+        assertTrue("less is allowed", put("p/1", null).isApplied());
         assertEquals(0, state.bytesUnder("p"));
     }
 
     @Test
     public void aSnapshotKeepsValuesVersionsAndSessions() throws IOException {
         put("k", "1");
-        apply(ofSession("s", "j", "x"));
+        apply(sessionCommand("s", "j", "x"));
         byte[] snapshot = state.freeze().toBytes();
         put("k", "later");
         KeyValueState restored = KeyValueState.fromBytes(snapshot);
         assertEquals(2, restored.version());
         assertEquals(new KeyValueState.Value("1", 1), restored.get("k"));
-        List<Change> again = new ArrayList<>();
-        byte[] repeated = KeyValueState.encode(ofSession("s", "j", "x"));
-        assertEquals(2, restored.apply(3, repeated, again).version());
-        assertEquals(List.of(), again);
+        List<Change> repeatedChanges = new ArrayList<>();
+        byte[] repeated = KeyValueState.encode(sessionCommand("s", "j", "x"));
+        assertEquals(2, restored.apply(3, repeated, repeatedChanges).version());
+        assertEquals(List.of(), repeatedChanges);
     }
 }
--- a/src/test/java/reeldeal/store/LogApplierTest.java
+++ b/src/test/java/reeldeal/store/LogApplierTest.java
@@ -78,13 +78,13 @@
     }
 
     @Test
-    public void aLaterFormEndsTheApplying() {
-        Entry later = entry(2, 1, new Change("k", "2"));
-        later.data()[0] = 2;
+    public void aNewerCommandFormatStopsTheApplier() {
+        Entry newerFormat = entry(2, 1, new Change("k", "2"));
+        newerFormat.data()[0] = 2;
         applier.apply(
                 List.of(
                         entry(1, 1, new Change("k", "1")),
-                        later,
+                        newerFormat,
                         entry(3, 1, new Change("k", "3"))),
                 DURABLE);
         assertTrue(applier.isStopped());
--- a/src/test/java/reeldeal/store/StaleStartTest.java
+++ b/src/test/java/reeldeal/store/StaleStartTest.java
@@ -21,16 +21,16 @@
 
     @Test
     public void theCopyHasTheEntriesAfterTheState() {
-        staleStart.begin(state.freeze(), List.of(entry(1, "1"), entry(2, "2")));
+        staleStart.createCopy(state.freeze(), List.of(entry(1, "1"), entry(2, "2")));
         assertEquals("2", staleStart.copy().get("k").text());
         assertNull("the state is unchanged", state.get("k"));
     }
 
     @Test
-    public void theCopyEndsBeforeAnEntryOfALaterForm() {
-        Entry later = entry(2, "2");
-        later.data()[0] = 2;
-        staleStart.begin(state.freeze(), List.of(entry(1, "1"), later, entry(3, "3")));
+    public void theCopyEndsBeforeAnEntryOfANewerFormat() {
+        Entry newerFormat = entry(2, "2");
+        newerFormat.data()[0] = 2;
+        staleStart.createCopy(state.freeze(), List.of(entry(1, "1"), newerFormat, entry(3, "3")));
         assertEquals("1", staleStart.copy().get("k").text());
     }
 
@@ -38,14 +38,14 @@
     public void listenersGetTheCopyBeforeOrAfterItIsMade() {
         List<KeyValueState> copies = new ArrayList<>();
         staleStart.whenServing(copies::add);
-        staleStart.begin(state.freeze(), List.of());
+        staleStart.createCopy(state.freeze(), List.of());
         staleStart.whenServing(copies::add);
         assertEquals(List.of(staleStart.copy(), staleStart.copy()), copies);
     }
 
     @Test
     public void aDiscardedCopyIsNotServed() {
-        staleStart.begin(state.freeze(), List.of());
+        staleStart.createCopy(state.freeze(), List.of());
         staleStart.discard();
         assertNull(staleStart.copy());
     }
--- a/src/test/java/reeldeal/store/StoreGroup.java
+++ b/src/test/java/reeldeal/store/StoreGroup.java
@@ -90,22 +90,22 @@
 
     /** Starts a node that joins the group. */
     StoreNode startJoining(String node) throws Exception {
-        Map<String, InetSocketAddress> known = new HashMap<>(addresses);
+        Map<String, InetSocketAddress> knownAddresses = new HashMap<>(addresses);
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            known.put(node, (InetSocketAddress) free.getLocalSocketAddress());
+            knownAddresses.put(node, (InetSocketAddress) free.getLocalSocketAddress());
         }
         StoreNode started =
                 start(
                         new StoreConfig(
                                 "g",
                                 node,
-                                known,
+                                knownAddresses,
                                 addresses.keySet(),
                                 true,
                                 folderOf(node),
                                 null,
                                 1));
-        addresses.put(node, known.get(node));
+        addresses.put(node, knownAddresses.get(node));
         return started;
     }
 
@@ -118,7 +118,7 @@
 
     void kill(String node) throws Exception {
         StoreNode killed = running.remove(node);
-        run(killed::close);
+        runOnLoop(killed::close);
         // A closed channel's port is free once the event loop has been back at its selector, which
         // may be after the next task.
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
@@ -146,7 +146,7 @@
     }
 
     /** Calls on the event loop. */
-    <T> T call(Callable<T> task) throws Exception {
+    <T> T callOnLoop(Callable<T> task) throws Exception {
         return group.next().submit(task).sync().getNow();
     }
 
@@ -156,8 +156,8 @@
     }
 
     /** Runs on the event loop. */
-    void run(Task task) throws Exception {
-        call(
+    void runOnLoop(Task task) throws Exception {
+        callOnLoop(
                 () -> {
                     task.run();
                     return null;
@@ -175,17 +175,17 @@
     /** The result of a write, which is begun on the event loop. */
     StoreNode.Result resultOf(Consumer<Consumer<StoreNode.Result>> write) throws Exception {
         CompletableFuture<StoreNode.Result> result = new CompletableFuture<>();
-        run(() -> write.accept(result::complete));
+        runOnLoop(() -> write.accept(result::complete));
         return result.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    StoreNode.AdminAnswer ask(String node, String request) throws Exception {
+    StoreNode.AdminAnswer sendAdminRequest(String node, String request) throws Exception {
         return AdminClient.send(addresses.get(node), "g", request, ADMIN_TIMEOUT_MS);
     }
 
     void await(Callable<Boolean> condition) throws Exception {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
-        while (!call(condition)) {
+        while (!callOnLoop(condition)) {
             assertTrue("not within the time limit; " + log, System.nanoTime() < deadline);
             Thread.sleep(5);
         }
@@ -193,7 +193,7 @@
 
     void awaitValue(StoreNode node, String key, String value) throws Exception {
         await(() -> value.equals(node.get(key)));
-        assertEquals(value, call(() -> node.get(key)));
+        assertEquals(value, callOnLoop(() -> node.get(key)));
     }
 
     void awaitValueOnAll(String key, String value) throws Exception {
--- a/src/test/java/reeldeal/store/StoreNodeTest.java
+++ b/src/test/java/reeldeal/store/StoreNodeTest.java
@@ -51,7 +51,7 @@
         StoreNode restarted = group.start(killed);
         group.awaitValue(restarted, "k", "2");
         group.await(restarted::isCurrent);
-        assertNull(group.call(() -> restarted.get("deleted")));
+        assertNull(group.callOnLoop(() -> restarted.get("deleted")));
         assertRejected(group.write(restarted, "k", "3"));
     }
 
@@ -65,7 +65,7 @@
             StoreNode next = group.writer();
             for (int i = 0; i <= round; i++) {
                 String key = "k" + i;
-                assertEquals("committed", group.call(() -> next.get(key)));
+                assertEquals("committed", group.callOnLoop(() -> next.get(key)));
             }
             group.awaitValue(group.start(writer.node()), "k" + round, "committed");
         }
@@ -81,7 +81,7 @@
         assertCommitted(group.write(writer, "k", "1"));
         group.kill(follower);
         assertEquals(new StoreNode.Unknown(), group.write(writer, "k", "2"));
-        assertEquals("1", group.call(() -> writer.get("k")));
+        assertEquals("1", group.callOnLoop(() -> writer.get("k")));
         group.start(follower);
         assertCommitted(group.write(group.writer(), "j", "3"));
         assertTrue(
@@ -97,17 +97,20 @@
         long version = ((StoreNode.Committed) group.write(writer, "k", "1")).version();
         List<KeyValueState.Precondition> unchanged =
                 List.of(new KeyValueState.Precondition("k", version));
-        KeyValueState.Command swap =
+        KeyValueState.Command conditionalWrite =
                 new KeyValueState.Command("s", 1, unchanged, List.of(new Change("k", "2")));
-        StoreNode.Result first = group.write(writer, swap);
-        assertEquals("the same again, as after a lost answer", first, group.write(writer, swap));
+        StoreNode.Result first = group.write(writer, conditionalWrite);
+        assertEquals(
+                "the same again, as after a lost answer",
+                first,
+                group.write(writer, conditionalWrite));
         assertCommitted(first);
-        KeyValueState.Command late =
+        KeyValueState.Command conflicting =
                 new KeyValueState.Command("s", 2, unchanged, List.of(new Change("k", "3")));
-        StoreNode.Rejected rejected = (StoreNode.Rejected) group.write(writer, late);
+        StoreNode.Rejected rejected = (StoreNode.Rejected) group.write(writer, conflicting);
         assertTrue(rejected.reason(), rejected.reason().startsWith("k is at version"));
-        assertEquals("2", group.call(() -> writer.get("k")));
-        assertEquals(1, group.call(() -> writer.since(version)).size());
+        assertEquals("2", group.callOnLoop(() -> writer.get("k")));
+        assertEquals(1, group.callOnLoop(() -> writer.changeSetsSince(version)).size());
     }
 
     @Test
@@ -141,7 +144,8 @@
         assertTrue(group.log().stream().noneMatch(line -> line.contains("raise")));
         StoreNode joined = group.startJoining(learner);
         int port = group.addressOf(learner).getPort();
-        StoreNode.AdminAnswer added = group.ask("a", "store add " + learner + " 127.0.0.1:" + port);
+        StoreNode.AdminAnswer added =
+                group.sendAdminRequest("a", "store add " + learner + " 127.0.0.1:" + port);
         assertTrue(added.text(), added.ok());
         group.await(joined::isCurrent);
         return joined;
@@ -163,14 +167,17 @@
     @Test
     public void aLearnerBecomesAVoterAndAnotherVoterIsRemoved() throws Exception {
         startAllAndAddLearner("d");
-        assertTrue(group.ask("b", "store promote x").text().contains("x is not in the group"));
-        assertTrue(group.ask("b", "store promote d").ok());
+        assertTrue(
+                group.sendAdminRequest("b", "store promote x")
+                        .text()
+                        .contains("x is not in the group"));
+        assertTrue(group.sendAdminRequest("b", "store promote d").ok());
         String leader = group.writer().node();
         Set<String> kept = Set.of(leader, "d");
         String removed = group.anyNode(node -> !kept.contains(node));
         String other = group.anyNode(node -> !kept.contains(node) && !node.equals(removed));
         group.kill(removed);
-        assertTrue(group.ask(other, "store remove " + removed).ok());
+        assertTrue(group.sendAdminRequest(other, "store remove " + removed).ok());
         Set<String> voters = Set.of(leader, other, "d");
         group.await(
                 () ->
@@ -179,29 +186,32 @@
         // Two of three are running: a change that leaves one of two reachable is rejected.
         group.kill(other);
         group.await(() -> !group.node(leader).progressOf(other).reachable());
-        String rejection = group.ask(leader, "store remove d").text();
+        String rejection = group.sendAdminRequest(leader, "store remove d").text();
         assertTrue(
                 rejection,
                 rejection.contains("only 1 of the 2 voters that there would be are heard"));
     }
 
     @Test
-    public void aNodeThatMeetsALaterFormStopsFollowingAndServesItsCopy() throws Exception {
+    public void aNodeStopsApplyingAtANewerCommandFormatAndServesItsCopy() throws Exception {
         group.start("a");
         group.start("b");
         StoreNode writer = group.writer();
         assertCommitted(group.write(writer, "k", "1"));
         group.awaitValueOnAll("k", "1");
-        byte[] laterForm =
+        byte[] newerFormat =
                 KeyValueState.encode(KeyValueState.Command.of(List.of(new Change("k", "2"))));
-        laterForm[0] = 2;
-        group.run(() -> writer.proposeRaw(laterForm));
-        String line = "a form that this program does not know (form 2)";
-        group.await(() -> group.log().stream().filter(l -> l.contains(line)).count() == 2);
+        newerFormat[0] = 2;
+        group.runOnLoop(() -> writer.proposeRaw(newerFormat));
+        String expectedText = "a form that this program does not know (form 2)";
+        group.await(
+                () ->
+                        group.log().stream().filter(logged -> logged.contains(expectedText)).count()
+                                == 2);
         for (StoreNode node : group.running()) {
-            assertEquals("1", group.call(() -> node.get("k")));
-            assertEquals(false, group.call(node::isCurrent));
-            assertEquals(false, group.call(node::acceptsWrites));
+            assertEquals("1", group.callOnLoop(() -> node.get("k")));
+            assertEquals(false, group.callOnLoop(node::isCurrent));
+            assertEquals(false, group.callOnLoop(node::acceptsWrites));
         }
     }
 }
--- a/src/test/java/reeldeal/store/StoredDataTest.java
+++ b/src/test/java/reeldeal/store/StoredDataTest.java
@@ -46,9 +46,9 @@
         }
     }
 
-    private static KeyValueState replay(RaftNode.PersistentState disk) throws IOException {
-        KeyValueState state = KeyValueState.fromBytes(disk.snapshot().data());
-        for (Entry entry : disk.entries()) {
+    private static KeyValueState replay(RaftNode.PersistentState persisted) throws IOException {
+        KeyValueState state = KeyValueState.fromBytes(persisted.snapshot().data());
+        for (Entry entry : persisted.entries()) {
             state.apply(entry.index(), entry.data(), new ArrayList<>());
         }
         return state;
@@ -71,18 +71,18 @@
 
     @Test
     public void aSnapshotGivesTheSameState() throws Exception {
-        RaftNode.PersistentState disk = open("snapshot", "restored n1");
-        assertEquals(574, disk.snapshot().index());
-        assertArrayEquals(recordedState(), disk.snapshot().data());
-        assertArrayEquals(recordedState(), replay(disk).freeze().toBytes());
+        RaftNode.PersistentState persisted = open("snapshot", "restored n1");
+        assertEquals(574, persisted.snapshot().index());
+        assertArrayEquals(recordedState(), persisted.snapshot().data());
+        assertArrayEquals(recordedState(), replay(persisted).freeze().toBytes());
     }
 
     @Test
-    public void aRestoredDirectoryIsWrittenByteByByte() throws Exception {
-        Path made = folder.newFolder().toPath();
+    public void aRestoredDirectoryEqualsTheRecordedOne() throws Exception {
+        Path restored = folder.newFolder().toPath();
         Backup.restore(
                 RESOURCES.resolve("state.backup"),
-                made,
+                restored,
                 "restored",
                 "n1",
                 java.util.Set.of("n1", "n2", "n3"));
@@ -90,7 +90,7 @@
             assertArrayEquals(
                     file,
                     Files.readAllBytes(RESOURCES.resolve("snapshot").resolve(file)),
-                    Files.readAllBytes(made.resolve(file)));
+                    Files.readAllBytes(restored.resolve(file)));
         }
     }
 
@@ -99,27 +99,30 @@
         Map<String, FleetView.Value> values = new TreeMap<>();
         KeyValueState state = KeyValueState.fromBytes(recordedState());
         state.valuesUnder(FleetView.ROOT)
-                .forEach((k, v) -> values.put(k, new FleetView.Value(v.text(), v.version())));
+                .forEach(
+                        (key, value) ->
+                                values.put(
+                                        key, new FleetView.Value(value.text(), value.version())));
         FleetView fleet = new FleetView(values);
         assertEquals(5, fleet.members().size());
         assertEquals(5, fleet.steps().size());
         fleet.steps()
                 .values()
                 .forEach(
-                        s ->
+                        step ->
                                 assertEquals(
-                                        values.get(FleetView.STEP + s.name()).text(),
-                                        FleetCodec.encode(s).toString()));
+                                        values.get(FleetView.STEP + step.name()).text(),
+                                        FleetCodec.encode(step).toString()));
         fleet.members()
                 .values()
                 .forEach(
-                        m -> {
-                            FleetView.Value stored = values.get(FleetView.STATE + m.name());
+                        member -> {
+                            FleetView.Value stored = values.get(FleetView.STATE + member.name());
                             assertEquals(
                                     stored.text(),
-                                    fleet.stateWrite(m, m.state(), m.reason())
+                                    fleet.stateWrite(member, member.state(), member.reason())
                                             .changes()
-                                            .get(FleetView.STATE + m.name()));
+                                            .get(FleetView.STATE + member.name()));
                         });
         assertEquals(
                 values.get(FleetView.RELEASE).text(),
@@ -127,19 +130,22 @@
         fleet.permits(FleetView.Kind.SEARCHER)
                 .values()
                 .forEach(
-                        p ->
+                        permit ->
                                 assertEquals(
-                                        values.get(FleetView.permitKey(p.kind(), p.name())).text(),
+                                        values.get(
+                                                        FleetView.permitKey(
+                                                                permit.kind(), permit.name()))
+                                                .text(),
                                         FleetCodec.encodePermit(
-                                                        p.processMark(),
-                                                        p.requestedBy(),
-                                                        p.planned(),
-                                                        p.reason())
+                                                        permit.processMark(),
+                                                        permit.requestedBy(),
+                                                        permit.planned(),
+                                                        permit.reason())
                                                 .toString()));
     }
 
     @Test
-    public void theRecordsOfKeyedRequestsAreWrittenAsTheyWereRead() throws Exception {
+    public void requestRecordsAreWrittenAsTheyWereRead() throws Exception {
         KeyValueState state = KeyValueState.fromBytes(recordedState());
         Map<String, KeyValueState.Value> records = state.valuesUnder(RequestRecord.ROOT);
         assertTrue(records.size() + " records", records.size() > 150);
