--- a/src/main/java/reeldeal/store/AdminClient.java
+++ b/src/main/java/reeldeal/store/AdminClient.java
@@ -7,8 +7,8 @@
 import java.net.Socket;
 
 /**
- * Sends one operator's request to a running node, and on to the leader if only that can answer.
- * Blocks; may be used on any thread but an event loop.
+ * Sends an operator's request to a running node, and follows its redirections to the leader. The
+ * calls block, so they must not be made on an event loop.
  */
 public final class AdminClient {
     private static final int MAX_REDIRECTS = 3;
@@ -17,11 +17,11 @@
     private AdminClient() {}
 
     /**
-     * The answer to a request.
+     * Returns the answer to a request, from the node itself or from the leader that it names.
      *
-     * @param timeoutMs for each connection and each read
-     * @throws IOException if the node is not reachable, is of another group, or does not answer in
-     *     time
+     * @param timeoutMs the time limit of each connection attempt and of each read
+     * @throws IOException if the node is not reachable, belongs to another group, or does not
+     *     answer in time
      */
     public static StoreNode.AdminAnswer send(
             InetSocketAddress node, String group, String request, int timeoutMs)
@@ -59,13 +59,17 @@
         }
     }
 
-    /** Reads up to the answer; the node announces its level before. */
+    /** Reads frames up to the answer, and skips the node's level, which it announces first. */
     private static StoreNode.AdminAnswer readAnswer(DataInputStream in, String group)
             throws IOException {
         while (true) {
             int length = in.readInt();
             if (length < 1 || length > PeerConnections.MAX_FRAME_BYTES) {
-                throw new IOException("impossible length " + length);
+                throw new IOException(
+                        "expected a frame length from 1 to "
+                                + PeerConnections.MAX_FRAME_BYTES
+                                + " in the answer, found "
+                                + length);
             }
             if (PeerMessageCodec.read(group, in.readNBytes(length))
                     instanceof PeerMessage.AdminResponse response) {
--- a/src/main/java/reeldeal/store/Backup.java
+++ b/src/main/java/reeldeal/store/Backup.java
@@ -22,16 +22,20 @@
 import reeldeal.storage.DataDirectory;
 
 /**
- * A copy of the state in one file: a line that names the format, a CRC32C, the state. It has
- * nothing of the group that it came from, so that a group made from it shares no term, vote or log
- * with that one. The methods block and use no other state.
+ * Reads and writes backups: a copy of the state in one file, which holds a line that names the
+ * format, a CRC32C checksum, and the state. A backup contains no term, vote or log of its group, so
+ * a group restored from it shares none of these with the original group. The methods block; they
+ * keep no state of their own.
  */
 public final class Backup {
     private static final byte[] FORMAT = "reeldeal-backup 1\n".getBytes(StandardCharsets.US_ASCII);
 
     private Backup() {}
 
-    /** Replaces a file by a state; the new file is complete and flushed before it has its name. */
+    /**
+     * Writes a state to a file, which it replaces atomically: the new file is complete and flushed
+     * to disk before it gets its final name.
+     */
     public static void write(Path file, KeyValueState.Frozen state) throws IOException {
         byte[] bytes = state.toBytes();
         ByteArrayOutputStream header = new ByteArrayOutputStream();
@@ -69,7 +73,10 @@
         return crc.getValue();
     }
 
-    /** The state in a file; throws IOException that says what is wrong with it. */
+    /**
+     * Reads the state from a backup; throws an IOException that names the file and the defect if it
+     * is not a valid backup.
+     */
     public static KeyValueState read(Path file) throws IOException {
         return KeyValueState.fromBytes(readBytes(file));
     }
@@ -85,18 +92,19 @@
             byte[] bytes = in.readAllBytes();
             if (checksum(bytes) != checksum) {
                 throw new IOException(
-                        file + ": the checksum does not fit: the file was cut or changed");
+                        file + ": checksum mismatch: the file was truncated or modified");
             }
             return bytes;
         }
     }
 
     /**
-     * Creates the data directory of one node of a new group from a backup, and returns the state's
-     * version. Every node of the group is made from the same file with the same names.
+     * Creates the data directory of one node of a new group from a backup, and returns the version
+     * of the state. Every node of the group must be restored from the same file with the same set
+     * of node names.
      *
-     * @param folder must not exist, or be empty
-     * @param nodes the names of all nodes, which vote
+     * @param folder the data directory to create; must not exist or must be empty
+     * @param nodes the names of all nodes of the group; all of them are voters
      */
     public static long restore(Path file, Path folder, String group, String node, Set<String> nodes)
             throws IOException {
--- a/src/main/java/reeldeal/store/ByteBlocks.java
+++ b/src/main/java/reeldeal/store/ByteBlocks.java
@@ -6,7 +6,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Bytes and texts after their length, as the store's commands, snapshots and messages have them.
+ * Reads and writes byte arrays and UTF-8 text with a length prefix, the encoding used in the
+ * store's commands, snapshots and messages.
  */
 final class ByteBlocks {
     private ByteBlocks() {}
@@ -28,7 +29,10 @@
         return new String(read(in), StandardCharsets.UTF_8);
     }
 
-    /** Reads a length or a count; throws IOException if it exceeds the bytes that follow. */
+    /**
+     * Reads a length or a number of elements; throws IOException if it is negative or exceeds the
+     * number of bytes that follow, so that malformed input cannot cause a huge allocation.
+     */
     static int readCount(DataInputStream in) throws IOException {
         int count = in.readInt();
         if (count < 0 || count > in.available()) {
--- a/src/main/java/reeldeal/store/Change.java
+++ b/src/main/java/reeldeal/store/Change.java
@@ -1,4 +1,4 @@
 package reeldeal.store;
 
-/** One key's new value; a null value deletes the key. */
+/** The new value of one key; a null value deletes the key. */
 public record Change(String key, String value) {}
--- a/src/main/java/reeldeal/store/DaemonThreads.java
+++ b/src/main/java/reeldeal/store/DaemonThreads.java
@@ -3,7 +3,10 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** Makes the store's threads for what blocks; they do not keep the process running. */
+/**
+ * Creates the threads for the store's blocking work; as daemon threads they do not keep the process
+ * running.
+ */
 final class DaemonThreads {
     private DaemonThreads() {}
 
--- a/src/main/java/reeldeal/store/DiskQueue.java
+++ b/src/main/java/reeldeal/store/DiskQueue.java
@@ -9,21 +9,27 @@
 import reeldeal.storage.DataDirectory;
 
 /**
- * Disk requests on their way to the data directory, which the thread {@code store-disk} writes, one
- * batch at a time. The queue itself belongs to the event loop.
+ * Queues the disk requests of the consensus module. The thread {@code store-disk} writes them to
+ * the data directory, one batch at a time. The queue itself belongs to the event loop.
  */
 final class DiskQueue {
-    /** By which the fault injection makes each write slower. */
+    /** A delay before each write, which fault injection sets to simulate a slow disk. */
     private static final int SLOW_DISK_MS = Integer.getInteger("reeldeal.drill.disk_ms", 0);
 
     private static final int CLOSE_TIMEOUT_S = 5;
 
-    /** Notified on the event loop. */
+    /** Receives the outcome of writes, on the event loop. */
     interface Listener {
-        /** All requests up to this one are on disk, and the log has so many bytes. */
+        /**
+         * Called when all requests up to this number are on disk; {@code logBytes} is the size of
+         * the log.
+         */
         void onPersisted(long request, long logBytes);
 
-        /** What is on disk is not known; no request is written any more. */
+        /**
+         * Called when a write failed. It is unknown what is on disk, and no further request is
+         * written.
+         */
         void onDiskFailure(Exception cause);
     }
 
@@ -42,7 +48,9 @@
         this.listener = listener;
     }
 
-    /** Whether one flush serves all requests that came while the last one was written. */
+    /**
+     * Sets whether the requests that arrive during a write are written together, with one flush.
+     */
     void groupCommit(boolean enabled) {
         groupCommit = enabled;
     }
@@ -83,7 +91,7 @@
         writeNext();
     }
 
-    /** Waits for the batch that is being written. */
+    /** Stops writing, and waits up to 5 s for the batch in progress. */
     void close() {
         closed = true;
         diskExecutor.shutdown();
--- a/src/main/java/reeldeal/store/ForwardedWrites.java
+++ b/src/main/java/reeldeal/store/ForwardedWrites.java
@@ -6,28 +6,30 @@
 import java.util.function.Consumer;
 
 /**
- * Writes of one node on their way to the leader, each applied at most once. A slot is a session of
- * the state with one write in flight: the same number is sent again until its result is known,
- * whoever leads by then, and the state applies it once. A write whose result is not known in time
- * is answered as unknown; its number is not used again, so that a copy that arrives late is either
- * the only one or rejected as past.
+ * Tracks the writes that one node forwards to the leader, and retries them so that each is applied
+ * at most once. A slot is a session of the state with one write in flight. The write is sent again
+ * with the same number until its result is known, even if the leader changes, and the state applies
+ * each number once. A write whose result does not arrive before its deadline is answered as
+ * unknown. Its number is not reused: a copy that arrives late is applied only if no other copy was,
+ * and is rejected once the session has moved on to a higher number.
  *
- * <p>No I/O, clock or threads: time is an argument, in ms of any clock that never goes back.
+ * <p>The class does no I/O and has no clock or threads: the time is passed in, in ms of any
+ * monotonic clock.
  */
 final class ForwardedWrites {
     /**
-     * The limits of one node.
+     * The limits for the writes of one node.
      *
-     * @param slots writes in flight
-     * @param queued writes that wait for a slot
-     * @param timeoutMs after which a write is answered without a result
-     * @param retryMs between two attempts of one write
+     * @param slots the maximum number of writes in flight
+     * @param maxQueued the maximum number of writes that wait for a slot
+     * @param timeoutMs the time after which a write is answered even though its result is not known
+     * @param retryMs the interval between two attempts of one write
      */
     record Limits(int slots, int maxQueued, long timeoutMs, long retryMs) {
         static final Limits DEFAULT = new Limits(8, 1_000, 5_000, 300);
     }
 
-    /** A command to be sent to the leader. */
+    /** A command to send to the leader, with the slot and the number of its write. */
     record Attempt(int slot, long number, KeyValueState.Command command) {}
 
     private record Write(
@@ -68,7 +70,12 @@
     private final List<Slot> slots = new ArrayList<>();
     private final ArrayDeque<Write> queue = new ArrayDeque<>();
 
-    /** Sessions whose names begin so; no other incarnation of any node may use the same. */
+    /**
+     * Creates the slots.
+     *
+     * @param session the prefix of the slots' session names; must be unique to this incarnation of
+     *     this node
+     */
     ForwardedWrites(String session, Limits limits) {
         this.limits = limits;
         for (int i = 0; i < limits.slots(); i++) {
@@ -76,7 +83,7 @@
         }
     }
 
-    /** Accepts a write, or rejects it if too many wait. */
+    /** Queues a write, or rejects it if the queue is full. */
     void submit(
             long nowMs,
             List<KeyValueState.Precondition> preconditions,
@@ -89,7 +96,10 @@
         queue.add(new Write(preconditions, changes, nowMs + limits.timeoutMs(), callback));
     }
 
-    /** The attempts to send now, first ones and retries; answers the writes that timed out. */
+    /**
+     * Returns the attempts to send now, both first attempts and retries, and answers the writes
+     * that timed out.
+     */
     List<Attempt> dueAttempts(long nowMs) {
         List<Write> timedOut = new ArrayList<>();
         List<Attempt> due = new ArrayList<>();
@@ -108,7 +118,10 @@
         return due;
     }
 
-    /** Begins the next queued write in a slot that is free. */
+    /**
+     * Assigns the next queued write to a slot if the slot is free, and rejects queued writes that
+     * are past their deadline.
+     */
     private void assignQueued(Slot slot, long nowMs) {
         while (slot.write == null && !queue.isEmpty()) {
             Write next = queue.poll();
@@ -120,7 +133,10 @@
         }
     }
 
-    /** Ends the write of an attempt, unless the result calls for a retry. */
+    /**
+     * Answers the write of an attempt with its result, unless the result calls for a retry or the
+     * write was answered before.
+     */
     void onResult(Attempt attempt, StoreNode.Result result) {
         Slot slot = slots.get(attempt.slot());
         boolean retry =
@@ -130,7 +146,7 @@
         }
     }
 
-    /** Whether no write is in flight or waits. */
+    /** Whether no write is in flight or queued. */
     boolean isIdle() {
         return queue.isEmpty() && slots.stream().allMatch(slot -> slot.write == null);
     }
--- a/src/main/java/reeldeal/store/GroupAdminHandler.java
+++ b/src/main/java/reeldeal/store/GroupAdminHandler.java
@@ -12,11 +12,14 @@
 import reeldeal.consensus.RaftNode;
 
 /**
- * Operators' requests about the group itself: its members, and the level of commands and rules that
- * its log may have. Belongs to the event loop.
+ * Handles operators' requests about the group itself: its members, and its feature level, which
+ * determines the commands and rules that its log may contain. Belongs to the event loop.
  */
 final class GroupAdminHandler {
-    /** The level of the program that began the group; absent if that was level 1. */
+    /**
+     * The key of the feature level of the program that created the group; absent if that was level
+     * 1.
+     */
     private static final String INITIAL_LEVEL_KEY = "feature/fresh";
 
     private static final int RAISE_RETRY_MS = 200;
@@ -38,9 +41,10 @@
     // ---- level ----
 
     /**
-     * A group that this program began has no earlier program to wait for: its level is raised once
-     * all nodes have announced theirs. A group that an earlier program began keeps its level until
-     * operators raise it, since that ends the possibility of a rollback.
+     * Raises the level of a new group once this node leads it. A group that was created by this
+     * version of the program contains no earlier version, so its level is raised as soon as all
+     * nodes have announced theirs. A group that an earlier version created keeps its level until
+     * operators raise it, since raising it makes a rollback impossible.
      */
     void onLeading() {
         if (store.version() == 1) {
@@ -74,7 +78,7 @@
                 callback);
     }
 
-    /** The members that have not announced this program's level. */
+    /** Returns the members that have not announced the level of this program. */
     private Set<String> nodesBelowLevel() {
         Set<String> nodes = new TreeSet<>(store.configuration().all());
         nodes.removeIf(node -> store.levelOf(node) >= PeerMessage.LEVEL);
@@ -83,7 +87,7 @@
 
     // ---- requests ----
 
-    /** Answers one request. */
+    /** Answers one request, whose first word is {@code store}. */
     void handle(String requestText, StoreNode.AdminReply reply) {
         String[] tokens = requestText.trim().split(" +", -1);
         String subcommand = tokens.length > 1 ? tokens[1] : "";
@@ -183,7 +187,10 @@
         }
     }
 
-    /** The address first, so that whoever leads next can reach the node as well. */
+    /**
+     * Adds a learner. Its address is committed before the membership change, so that a later leader
+     * can connect to the node as well.
+     */
     private void add(String node, String address, StoreNode.AdminReply reply) {
         if (!isValid(node, address)) {
             reply.reject(
@@ -251,7 +258,7 @@
                             + " lead; try again");
         } else {
             log.accept(
-                    "store: members change: "
+                    "store: changing the group's members: "
                             + change.name().toLowerCase(Locale.ROOT)
                             + " "
                             + node);
--- a/src/main/java/reeldeal/store/KeyValueCodec.java
+++ b/src/main/java/reeldeal/store/KeyValueCodec.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Commands and snapshots of the {@link KeyValueState} as bytes. */
+/** Encodes and decodes the commands and snapshots of the {@link KeyValueState}. */
 final class KeyValueCodec {
     private static final int COMMAND_FORMAT = 1;
     private static final int SNAPSHOT_FORMAT = 1;
@@ -18,7 +18,7 @@
 
     private KeyValueCodec() {}
 
-    /** Takes the content of a snapshot while it is read. */
+    /** Receives the content of a snapshot while it is decoded. */
     interface SnapshotReader {
         void version(long version);
 
@@ -27,7 +27,7 @@
         void session(String name, KeyValueState.Session session);
     }
 
-    /** A command as an entry's data. */
+    /** Encodes a command as the data of a log entry. */
     static byte[] encode(KeyValueState.Command command) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
@@ -49,14 +49,15 @@
                 }
             }
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory does not fail
+            throw new UncheckedIOException(e); // a ByteArrayOutputStream does not throw
         }
         return bytes.toByteArray();
     }
 
     /**
-     * Reads a command; throws IOException if the bytes are malformed, and
-     * UnsupportedFormatException if only a later program knows their form.
+     * Decodes a command; throws IOException if the bytes are malformed, and
+     * UnsupportedFormatException if a newer version of the program wrote them in a format that this
+     * one does not support.
      */
     static KeyValueState.Command decode(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
@@ -81,7 +82,7 @@
         return new KeyValueState.Command(session, number, preconditions, List.copyOf(changes));
     }
 
-    /** A snapshot's bytes. */
+    /** Encodes a snapshot of the values and sessions of one version. */
     static byte[] encodeSnapshot(
             long version,
             Map<String, KeyValueState.Value> values,
@@ -103,7 +104,7 @@
                 writeSession(out, entry.getValue());
             }
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory does not fail
+            throw new UncheckedIOException(e); // a ByteArrayOutputStream does not throw
         }
         return bytes.toByteArray();
     }
@@ -117,11 +118,17 @@
         ByteBlocks.writeText(out, outcome.isApplied() ? "" : outcome.rejection());
     }
 
-    /** Reads a snapshot; throws IOException if the bytes are malformed or of a later program. */
+    /**
+     * Decodes a snapshot; throws IOException if the bytes are malformed or were written by a newer
+     * version of the program.
+     */
     static void decodeSnapshot(byte[] bytes, SnapshotReader reader) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         if (in.readByte() != SNAPSHOT_FORMAT) {
-            throw new IOException("a snapshot of a later version of the program");
+            throw new IOException(
+                    "the snapshot does not have format "
+                            + SNAPSHOT_FORMAT
+                            + ": it was written by a newer version of the program");
         }
         reader.version(in.readLong());
         for (int count = ByteBlocks.readCount(in); count > 0; count--) {
--- a/src/main/java/reeldeal/store/KeyValueState.java
+++ b/src/main/java/reeldeal/store/KeyValueState.java
@@ -9,32 +9,41 @@
 import org.pcollections.TreePMap;
 
 /**
- * The replicated state: values by their keys, each with the version that wrote it, and the result
- * of the last write of each session. A version is the index of the entry that made it. The same
- * commands in the same order lead to the same state on every node: it reads no clock, disk or
- * network.
+ * The replicated state: values by key, each with the version that wrote it, and the result of the
+ * last write of each session. A version is the index of the log entry that produced it. The state
+ * is deterministic: it reads no clock, disk or network, so that the same commands in the same order
+ * lead to the same state on every node.
  *
- * <p>Not thread-safe; but a {@link Frozen} copy may be used on any thread.
+ * <p>Not thread-safe, except that a {@link Frozen} copy may be used on any thread.
  */
 public final class KeyValueState {
-    /** The largest key, in bytes of UTF-8. */
+    /** The maximum length of a key, in bytes of UTF-8. */
     public static final int MAX_KEY_BYTES = 1_024;
 
-    /** The largest value, in bytes of UTF-8. */
+    /** The maximum length of a value, in bytes of UTF-8. */
     public static final int MAX_VALUE_BYTES = 256 * 1024;
 
-    /** Bytes that may be kept under a first part of a key that has no quota of its own. */
+    /**
+     * The quota, in bytes, of a prefix without a quota of its own. A prefix is the part of a key up
+     * to its first slash.
+     */
     public static final long DEFAULT_QUOTA_BYTES = 256L << 20;
 
-    /** A value {@code quota/PREFIX} limits the bytes kept under that first part of a key. */
+    /**
+     * The prefix of the keys of quotas: the value of {@code quota/PREFIX} limits the bytes stored
+     * under the keys with that prefix.
+     */
     public static final String QUOTA = "quota/";
 
-    /** The key of the level of commands and rules that hold; 1 without a value. */
+    /**
+     * The key of the feature level, which determines the commands and rules in effect; the level is
+     * 1 if the key has no value.
+     */
     public static final String LEVEL_KEY = "feature/level";
 
     /**
-     * A value {@code session/NAME} keeps all sessions whose names begin so from being evicted, from
-     * level 2 on.
+     * The prefix of the keys that pin sessions: if {@code session/NAME} exists, the sessions {@code
+     * NAME:SLOT} are not evicted, from feature level 2 on.
      */
     public static final String PINNED_SESSION_PREFIX = "session/";
 
@@ -44,8 +53,8 @@
     private static final int MAX_QUOTED_KEY_CHARS = 40;
 
     /**
-     * A command of a form that only a later program knows: neither its effect nor that of later
-     * commands can be determined.
+     * Thrown for a command in a format that only a newer version of the program supports. Neither
+     * its effect nor that of any later command can be determined.
      */
     public static final class UnsupportedFormatException extends RuntimeException {
         private static final long serialVersionUID = 1L;
@@ -55,25 +64,31 @@
         }
     }
 
-    /** A precondition: the key is at this version; 0 if it must not exist. */
+    /**
+     * A condition for a command: the key must be at this version, or must not exist if the version
+     * is 0.
+     */
     public record Precondition(String key, long version) {}
 
     /**
      * Changes that are applied together or not at all.
      *
-     * @param session with {@code number} makes the command idempotent: a session's number is
-     *     applied once; "" for none
-     * @param number ascending within the session
+     * @param session the name of the writer's session, or "" for none; together with {@code number}
+     *     it makes the command idempotent, since each number of a session is applied once
+     * @param number the number of the command, ascending within the session
      */
     public record Command(
             String session, long number, List<Precondition> preconditions, List<Change> changes) {
-        /** Changes without preconditions or session. */
+        /** Returns a command without preconditions or session. */
         public static Command of(List<Change> changes) {
             return new Command("", 0, List.of(), changes);
         }
     }
 
-    /** The result of a command: the version of its changes, or the reason of its rejection. */
+    /**
+     * The result of a command: the version of its changes, or the reason why it was rejected, else
+     * null.
+     */
     public record Outcome(long version, String rejection) {
         /** Whether the changes were applied. */
         public boolean isApplied() {
@@ -81,13 +96,13 @@
         }
     }
 
-    /** A value and the version that wrote it. */
+    /** A value, and the version in which it was written. */
     public record Value(String text, long version) {}
 
-    /** The changes of one version. */
+    /** The changes that were written in one version. */
     public record ChangeSet(long version, List<Change> changes) {}
 
-    /** The last command of a session, its result, and the version of its entry. */
+    /** The number of a session's last command, its result, and the version of its entry. */
     record Session(long number, Outcome outcome, long lastVersion) {}
 
     private TreePMap<String, Value> values = TreePMap.empty();
@@ -97,22 +112,25 @@
     private long version;
     private long historyStart;
 
-    /** The index of the last entry that was applied. */
+    /** Returns the index of the last entry that was applied. */
     public long version() {
         return version;
     }
 
-    /** A value, or null. */
+    /** Returns the value of a key with its version, or null if the key does not exist. */
     public Value get(String key) {
         return values.get(key);
     }
 
-    /** The values whose keys begin with a prefix, in order of their keys; a view. */
+    /** Returns a view of the values whose keys begin with a prefix, ordered by key. */
     public Map<String, Value> valuesUnder(String prefix) {
         return values.subMap(prefix, true, prefix + Character.MAX_VALUE, false);
     }
 
-    /** At most {@code most} values whose keys begin with a prefix, from after a key on, sorted. */
+    /**
+     * Returns the first {@code limit} values whose keys begin with a prefix and are greater than
+     * {@code afterKey}, ordered by key.
+     */
     public Map<String, Value> page(String prefix, String afterKey, int limit) {
         Map<String, Value> page = new TreeMap<>();
         for (Map.Entry<String, Value> entry :
@@ -125,14 +143,17 @@
         return page;
     }
 
-    /** Bytes kept under the first part of a key, up to its first slash. */
+    /**
+     * Returns the bytes stored under the keys with a prefix, the part of a key up to its first
+     * slash.
+     */
     public long bytesUnder(String prefix) {
         return bytesByPrefix.getOrDefault(prefix, 0L);
     }
 
     /**
-     * What was written after a version, or null if the history does not reach back so far: then the
-     * values must be read again.
+     * Returns the changes that were written after a version, or null if the history does not reach
+     * back that far; then the caller must read the values again.
      */
     public List<ChangeSet> changeSetsSince(long afterVersion) {
         return afterVersion < historyStart
@@ -140,7 +161,7 @@
                 : history.stream().filter(changeSet -> changeSet.version() > afterVersion).toList();
     }
 
-    /** The level of commands and rules that hold. */
+    /** Returns the feature level, which determines the commands and rules in effect. */
     public int level() {
         Value value = values.get(LEVEL_KEY);
         return value != null && value.text().matches("[0-9]{1,9}")
@@ -149,9 +170,9 @@
     }
 
     /**
-     * Applies the entry at an index; empty data change nothing. Adds what was changed to {@code
-     * changed}. Throws UnsupportedFormatException, with nothing changed, if only a later program
-     * knows the entry's form.
+     * Applies the entry at an index, and adds its changes to {@code appliedChanges}. Empty data
+     * only advances the version. Throws UnsupportedFormatException, and leaves the state as it is,
+     * if only a newer version of the program supports the entry's format.
      */
     public Outcome apply(long index, byte[] data, List<Change> appliedChanges) {
         if (data.length == 0) {
@@ -164,11 +185,12 @@
             version = index;
         } catch (IOException e) {
             version = index;
-            return new Outcome(index, "malformed command: " + e.getMessage()); // on every node
+            // Every node rejects the command in the same way.
+            return new Outcome(index, "malformed command: " + e.getMessage());
         }
         Session session = command.session().isEmpty() ? null : sessions.get(command.session());
         if (session != null && command.number() == session.number()) {
-            return session.outcome(); // a repetition: it is applied once
+            return session.outcome(); // a duplicate: the command was already applied
         }
         if (session != null && command.number() < session.number()) {
             return new Outcome(index, "number " + command.number() + " of this session is past");
@@ -284,7 +306,10 @@
         return value == null ? 0 : utf8Length(key) + utf8Length(value);
     }
 
-    /** By how many bytes a change lets its prefix grow. */
+    /**
+     * Returns the number of bytes by which a change grows its prefix, negative if the prefix
+     * shrinks.
+     */
     private long growthOf(Change change) {
         Value before = values.get(change.key());
         return (long) size(change.key(), change.value())
@@ -309,38 +334,38 @@
         }
     }
 
-    /** A command as an entry's data. */
+    /** Encodes a command as the data of a log entry. */
     public static byte[] encode(Command command) {
         return KeyValueCodec.encode(command);
     }
 
     /**
-     * An immutable copy of the state, made in constant time; its bytes may be made on any thread.
+     * An immutable copy of the state, created in constant time. It may be encoded on any thread.
      */
     public final class Frozen {
         private final TreePMap<String, Value> frozenValues = values;
         private final TreePMap<String, Session> frozenSessions = sessions;
         private final long frozenVersion = version;
 
-        /** The version of the copy. */
+        /** Returns the version of the state at the time of the copy. */
         public long version() {
             return frozenVersion;
         }
 
-        /** The snapshot's bytes. */
+        /** Encodes the copy as a snapshot. */
         public byte[] toBytes() {
             return KeyValueCodec.encodeSnapshot(frozenVersion, frozenValues, frozenSessions);
         }
     }
 
-    /** A copy of the state as it is now. */
+    /** Returns an immutable copy of the present state. */
     public Frozen freeze() {
         return new Frozen();
     }
 
     /**
-     * A state from a snapshot's bytes, of which none give an empty state; throws IOException if
-     * they are malformed or of a later program.
+     * Decodes a state from a snapshot; no bytes yield an empty state. Throws IOException if the
+     * bytes are malformed or were written by a newer version of the program.
      */
     public static KeyValueState fromBytes(byte[] bytes) throws IOException {
         KeyValueState state = new KeyValueState();
@@ -350,7 +375,7 @@
         return state;
     }
 
-    /** Fills an empty state from a snapshot. */
+    /** Fills an empty state with the content of a snapshot. */
     private final class Loader implements KeyValueCodec.SnapshotReader {
         @Override
         public void version(long snapshotVersion) {
--- a/src/main/java/reeldeal/store/LegacyFolderUpgrade.java
+++ b/src/main/java/reeldeal/store/LegacyFolderUpgrade.java
@@ -15,12 +15,13 @@
 import reeldeal.storage.DataDirectory;
 
 /**
- * Converts a data directory of version 0.3. Its entries keep their versions and terms, which agree
- * among the nodes as they did; so each node can be upgraded by itself. The old files stay, renamed.
+ * Converts a data directory of program version 0.3 to the present format. Entries keep their
+ * versions and terms, so that the logs of the nodes still agree and each node can be upgraded
+ * independently. The old files are renamed and kept.
  */
 final class LegacyFolderUpgrade {
-    private static final List<String> OLD_FILES = List.of("log", "term");
-    private static final String OLD_SUFFIX = ".version-0.3";
+    private static final List<String> LEGACY_FILES = List.of("log", "term");
+    private static final String LEGACY_SUFFIX = ".version-0.3";
     private static final String FORMAT_FILE = "FORMAT";
     private static final String WORK_DIRECTORY = "upgrade";
     private static final int BATCH_ENTRIES = 500;
@@ -29,7 +30,10 @@
 
     private LegacyFolderUpgrade() {}
 
-    /** Converts a directory if it is of version 0.3; after a crash it begins again. */
+    /**
+     * Converts a directory if it is of version 0.3. After a crash during the conversion the next
+     * start repeats it from the beginning.
+     */
     static void upgradeIfNeeded(Path folder, String node, Consumer<String> log) throws IOException {
         if (!Files.exists(folder.resolve("log")) || Files.exists(folder.resolve(FORMAT_FILE))) {
             return;
@@ -41,9 +45,9 @@
         moveIntoPlace(folder, converted);
         deleteRecursively(converted);
         log.accept(
-                "store: folder upgraded, "
+                "store: upgraded the data directory from version 0.3: "
                         + legacyLog.entries().size()
-                        + " versions under term "
+                        + " entries, term "
                         + legacyLog.term());
     }
 
@@ -88,7 +92,10 @@
         return new Entry(entry.version(), entry.term(), data, null);
     }
 
-    /** The file that names the format is moved last: without it the upgrade begins again. */
+    /**
+     * Moves the converted files into the data directory. The FORMAT file is moved last: as long as
+     * it is missing, the next start repeats the upgrade.
+     */
     private static void moveIntoPlace(Path folder, Path converted) throws IOException {
         try (Stream<Path> files = Files.list(converted)) {
             for (Path file : files.toList()) {
@@ -102,11 +109,11 @@
                 converted.resolve(FORMAT_FILE),
                 folder.resolve(FORMAT_FILE),
                 StandardCopyOption.ATOMIC_MOVE);
-        for (String name : OLD_FILES) {
+        for (String name : LEGACY_FILES) {
             if (Files.exists(folder.resolve(name))) {
                 Files.move(
                         folder.resolve(name),
-                        folder.resolve(name + OLD_SUFFIX),
+                        folder.resolve(name + LEGACY_SUFFIX),
                         StandardCopyOption.REPLACE_EXISTING);
             }
         }
--- a/src/main/java/reeldeal/store/LegacyLogFile.java
+++ b/src/main/java/reeldeal/store/LegacyLogFile.java
@@ -12,8 +12,9 @@
 import java.util.zip.CRC32;
 
 /**
- * The log of version 0.3, in one file: each entry after its length and a checksum. A torn write at
- * the end is cut off when the file is opened. Blocks.
+ * Reads the log of program version 0.3, a single file in which a length and a checksum precede each
+ * entry. A torn write at the end of the file is truncated when the file is opened. The methods
+ * block.
  */
 final class LegacyLogFile implements AutoCloseable {
     static final int HEADER_BYTES = 8;
@@ -22,7 +23,10 @@
     private final List<LegacyEntry> entries = new ArrayList<>();
     private final long promisedTerm;
 
-    /** Opens and reads the log in a folder; throws IOException if another process has it open. */
+    /**
+     * Opens and reads the log in a data directory; throws IOException if another process has locked
+     * it.
+     */
     LegacyLogFile(Path folder) throws IOException {
         Files.createDirectories(folder);
         file =
@@ -32,20 +36,26 @@
                         StandardOpenOption.READ,
                         StandardOpenOption.WRITE);
         if (file.tryLock() == null) {
-            throw new IOException("another process holds " + folder);
+            throw new IOException("another process has locked the data directory " + folder);
         }
         promisedTerm = readPromisedTerm(folder.resolve("term"));
         recover();
     }
 
-    /** The file has the term, and after a space the node it was promised to. */
+    /**
+     * Reads the term from its file, which contains the term, a space, and the node to which the
+     * term was promised.
+     */
     private static long readPromisedTerm(Path termFile) throws IOException {
         return Files.exists(termFile)
                 ? Long.parseLong(Files.readString(termFile).trim().split(" ", 2)[0])
                 : 0;
     }
 
-    /** Reads the entries up to the first that is incomplete, and cuts the file there. */
+    /**
+     * Reads the entries up to the first incomplete, corrupt or out-of-order one, and truncates the
+     * file there.
+     */
     private void recover() throws IOException {
         long size = file.size();
         long offset = 0;
@@ -61,7 +71,7 @@
         }
     }
 
-    /** The entry at an offset, or null if there is no complete one. */
+    /** Returns the entry at an offset, or null if there is no complete and valid one. */
     private LegacyEntry readEntry(long offset, long size) throws IOException {
         if (offset + HEADER_BYTES > size) {
             return null;
@@ -78,14 +88,14 @@
         try {
             return checksum == checksum(bytes) ? LegacyEntry.fromBytes(bytes) : null;
         } catch (IOException e) {
-            return null; // malformed, despite its checksum
+            return null; // malformed although the checksum matches
         }
     }
 
     private ByteBuffer read(long offset, int length) throws IOException {
         ByteBuffer bytes = ByteBuffer.allocate(length);
         while (bytes.hasRemaining() && file.read(bytes, offset + bytes.position()) >= 0) {
-            // until full
+            // reads until the buffer is full or the file ends
         }
         return bytes.flip();
     }
@@ -96,17 +106,17 @@
         return (int) crc.getValue();
     }
 
-    /** All entries, of versions from 1 on. */
+    /** Returns all entries, in order of their versions, which start at 1. */
     List<LegacyEntry> entries() {
         return Collections.unmodifiableList(entries);
     }
 
-    /** The term of the last entry, 0 without any. */
+    /** Returns the term of the last entry, or 0 if the log is empty. */
     long lastTerm() {
         return entries.isEmpty() ? 0 : entries.get(entries.size() - 1).term();
     }
 
-    /** The term that this node promised to a writer, 0 for none. */
+    /** Returns the term that this node promised to a writer, or 0 if it promised none. */
     long promisedTerm() {
         return promisedTerm;
     }
--- a/src/main/java/reeldeal/store/LogApplier.java
+++ b/src/main/java/reeldeal/store/LogApplier.java
@@ -8,9 +8,9 @@
 import reeldeal.consensus.Entry;
 
 /**
- * Applies committed entries to the state, on the event loop and in order of their index, and
- * notifies the listeners. An entry is applied once it is on this node's disk too, so that a node
- * never forgets what it has published.
+ * Applies committed entries to the state, on the event loop and in order of their indexes, and
+ * notifies the listeners. A committed entry is applied only when it is on this node's disk too, so
+ * that a restart never loses a change that this node has already published.
  */
 final class LogApplier {
     private final WriteQueue writes;
@@ -32,12 +32,15 @@
         return state;
     }
 
-    /** Whether an entry of a form that this program does not know ended the applying. */
+    /**
+     * Whether this node stopped applying entries because it met one in a command format that this
+     * program does not support.
+     */
     boolean isStopped() {
         return stopped;
     }
 
-    /** Whether all committed entries are applied. */
+    /** Whether all committed entries have been applied. */
     boolean isIdle() {
         return committed.isEmpty();
     }
@@ -46,7 +49,7 @@
         listeners.add(listener);
     }
 
-    /** Notifies the listeners of all values, as of a change of each. */
+    /** Notifies the listeners of all values, as if each had just been written. */
     void publishAll() {
         List<Change> all = new ArrayList<>();
         state.valuesUnder("").forEach((key, value) -> all.add(new Change(key, value.text())));
@@ -60,7 +63,10 @@
         listeners.forEach(listener -> listener.accept(changes));
     }
 
-    /** Adds committed entries and applies those that are on disk. */
+    /**
+     * Adds committed entries, and applies those with an index of at most {@code durableIndex},
+     * which are on this node's disk.
+     */
     void apply(List<Entry> entries, long durableIndex) {
         committed.addAll(entries);
         if (stopped) {
@@ -92,28 +98,31 @@
         return true;
     }
 
-    /** The node goes on voting and keeping the log: those who know the form need a majority. */
+    /**
+     * Stops applying entries. The node goes on voting and storing the log, because the nodes that
+     * support the format still need a majority to commit.
+     */
     private void stop(Entry entry, KeyValueState.UnsupportedFormatException cause) {
         log.accept(
-                "store: version "
+                "store: entry "
                         + entry.index()
-                        + " has a form that this program does not know ("
+                        + " has a command format that this program does not support ("
                         + cause.getMessage()
-                        + "); it follows no more and serves from its copy of version "
+                        + "); this node stops applying entries and serves version "
                         + state.version()
-                        + ", marked as old; start the later program here");
+                        + ", marked as stale; start the newer version of the program on this node");
         stopped = true;
         committed.clear();
     }
 
-    /** Replaces the state by the leader's snapshot, and publishes what differs. */
+    /** Replaces the state with the leader's snapshot, and publishes the differences as changes. */
     void install(byte[] snapshot) throws IOException {
         committed.clear();
         KeyValueState installed = KeyValueState.fromBytes(snapshot);
         List<Change> changes = difference(state, installed);
         state = installed;
         log.accept(
-                "store: took a snapshot of version "
+                "store: installed the leader's snapshot of version "
                         + state.version()
                         + ", "
                         + snapshot.length
--- a/src/main/java/reeldeal/store/NodeIdentity.java
+++ b/src/main/java/reeldeal/store/NodeIdentity.java
@@ -2,11 +2,17 @@
 
 import java.util.SplittableRandom;
 
-/** A node's name, and the name of its present incarnation, with which its sessions' names begin. */
+/**
+ * The name of a node, and the name of its present incarnation, which is the prefix of its sessions'
+ * names.
+ */
 record NodeIdentity(String node, String session) {
     private static final int RADIX = 36;
 
-    /** A name that no other incarnation of any node has. */
+    /**
+     * Returns an identity with a new incarnation name: the node's name, the time and a random
+     * number make it unique.
+     */
     static NodeIdentity ofNewIncarnation(String node) {
         String session =
                 node
--- a/src/main/java/reeldeal/store/PeerCodec.java
+++ b/src/main/java/reeldeal/store/PeerCodec.java
@@ -13,8 +13,9 @@
 import reeldeal.consensus.Message;
 
 /**
- * The messages of consensus as bytes: the group's name, a letter for the type, sender, receiver and
- * term, then the fields of the type. Every length is checked against the bytes that follow.
+ * Encodes and decodes consensus messages: the group's name, a letter for the type, the sender,
+ * receiver and term, then the fields of the type. Every length is checked against the number of
+ * bytes that follow.
  */
 final class PeerCodec {
     private static final char VOTE_REQUEST = 'v';
@@ -62,7 +63,7 @@
                 writeEnvelope(out, TIMEOUT_NOW, message);
             }
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory does not fail
+            throw new UncheckedIOException(e); // a ByteArrayOutputStream does not throw
         }
         return bytes.toByteArray();
     }
@@ -142,7 +143,10 @@
         }
     }
 
-    /** Reads a message; throws IOException if the bytes are none, or of another group. */
+    /**
+     * Decodes a consensus message; throws IOException if the bytes are malformed or come from a
+     * node of another group.
+     */
     static Message read(String group, byte[] frame) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(frame));
         PeerMessageCodec.checkGroup(group, in);
@@ -168,7 +172,9 @@
                                     in.readInt());
                     case TIMEOUT_NOW ->
                             new Message.TimeoutNow(envelope.from(), envelope.to(), envelope.term());
-                    default -> throw new IOException("no such message: " + (int) type);
+                    default ->
+                            throw new IOException(
+                                    "unknown type of consensus message: " + (int) type);
                 };
         PeerMessageCodec.checkEnd(in);
         return message;
--- a/src/main/java/reeldeal/store/PeerConnections.java
+++ b/src/main/java/reeldeal/store/PeerConnections.java
@@ -26,11 +26,14 @@
 import reeldeal.frames.FrameBuffer;
 
 /**
- * A node's connections: one that it opened to each other node, on which it sends, and those that
- * others opened, on which it receives. Belongs to the event loop.
+ * The connections of a node: one outgoing connection to each peer, on which the node sends, and the
+ * incoming connections that peers opened, on which it receives. Belongs to the event loop.
  */
 final class PeerConnections {
-    /** The largest frame, in bytes: a chunk of a snapshot or a message of entries, with reserve. */
+    /**
+     * The maximum size of a frame, in bytes; with some reserve it holds a snapshot chunk or an
+     * append request.
+     */
     static final int MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
     private static final int LENGTH_BYTES = 4;
@@ -39,14 +42,16 @@
     private static final long MAX_UNSENT_BYTES = 8 << 20;
     private static final int MAX_ACCEPTED = 1_024;
 
-    /** The first level whose program reads peer messages. */
+    /** The lowest protocol level whose program can read peer messages. */
     private static final int PEER_MESSAGE_LEVEL = 2;
 
-    /** Receives what arrives, on the event loop. */
+    /** Receives the messages of incoming connections, on the event loop. */
     interface Receiver {
         void onConsensusMessage(Message message);
 
-        /** {@code reply} sends on the connection on which the message came. */
+        /**
+         * Handles a message; {@code reply} sends on the connection on which the message arrived.
+         */
         void onPeerMessage(PeerMessage message, Consumer<PeerMessage> reply);
     }
 
@@ -54,9 +59,9 @@
     private final String groupName;
     private final String self;
     private final Consumer<String> log;
-    private final Map<String, Outgoing> outgoing = new HashMap<>();
+    private final Map<String, OutgoingConnection> outgoing = new HashMap<>();
     private final List<Channel> accepted = new ArrayList<>();
-    private Channel listener;
+    private Channel serverChannel;
     private boolean closed;
 
     PeerConnections(
@@ -67,7 +72,9 @@
         this.log = log;
     }
 
-    /** Accepts connections; what comes on them goes to the receiver. */
+    /**
+     * Listens on an address, and passes the messages of the connections it accepts to the receiver.
+     */
     ChannelFuture listen(InetSocketAddress address, Receiver receiver) {
         ChannelFuture bound =
                 new ServerBootstrap()
@@ -83,22 +90,25 @@
                                     }
                                 })
                         .bind(address);
-        listener = bound.channel();
+        serverChannel = bound.channel();
         return bound;
     }
 
-    /** Keeps a connection to a node at an address; one to another address is closed. */
+    /**
+     * Opens a connection to a node and keeps it open; a connection to another address of the node
+     * is closed.
+     */
     void connect(String node, InetSocketAddress address) {
-        Outgoing existing = outgoing.get(node);
+        OutgoingConnection existing = outgoing.get(node);
         if (!node.equals(self) && (existing == null || !existing.address.equals(address))) {
             drop(node);
-            outgoing.put(node, new Outgoing(node, address));
+            outgoing.put(node, new OutgoingConnection(node, address));
         }
     }
 
-    /** Closes the connection to a node. */
+    /** Closes the connection to a node, if there is one, and stops reopening it. */
     void drop(String node) {
-        Outgoing dropped = outgoing.remove(node);
+        OutgoingConnection dropped = outgoing.remove(node);
         if (dropped != null) {
             dropped.close();
         }
@@ -108,34 +118,43 @@
         return outgoing.containsKey(node);
     }
 
-    /** The address of a node that this one connects to, or null. */
+    /** Returns the address of a peer, or null if this node does not connect to it. */
     InetSocketAddress address(String node) {
-        Outgoing connection = outgoing.get(node);
+        OutgoingConnection connection = outgoing.get(node);
         return connection == null ? null : connection.address;
     }
 
-    /** The level that a node announced on the present connection, 0 if it is not known. */
+    /**
+     * Returns the protocol level that a node announced on the present connection, or 0 if it is not
+     * known.
+     */
     int level(String node) {
-        Outgoing connection = outgoing.get(node);
+        OutgoingConnection connection = outgoing.get(node);
         return connection == null ? 0 : connection.level;
     }
 
-    /** Whether a node can read a log of a level: from level 2 on it must have announced it. */
+    /**
+     * Whether a node can read a log of a feature level. For level 2 and above the node must have
+     * announced at least that level; every node reads level 1.
+     */
     boolean supportsLevel(String node, int logLevel) {
         return logLevel < PEER_MESSAGE_LEVEL || level(node) >= logLevel;
     }
 
-    /** Sends a message of consensus, which is lost if the node is not connected. */
+    /** Sends a consensus message, which is dropped if there is no connection to its receiver. */
     void send(Message message) {
-        Outgoing connection = outgoing.get(message.to());
+        OutgoingConnection connection = outgoing.get(message.to());
         if (connection != null) {
             connection.send(PeerCodec.write(groupName, message));
         }
     }
 
-    /** Sends to a node that announced that it reads such messages; false if it is not sent. */
+    /**
+     * Sends a peer message to a node that announced a level that can read it; returns false if the
+     * message was not sent.
+     */
     boolean send(String node, PeerMessage message) {
-        Outgoing connection = outgoing.get(node);
+        OutgoingConnection connection = outgoing.get(node);
         return connection != null
                 && connection.level >= PEER_MESSAGE_LEVEL
                 && connection.send(PeerMessageCodec.write(groupName, message));
@@ -143,11 +162,11 @@
 
     void close() {
         closed = true;
-        if (listener != null) {
-            listener.close();
+        if (serverChannel != null) {
+            serverChannel.close();
         }
         List.copyOf(accepted).forEach(Channel::close);
-        outgoing.values().forEach(Outgoing::close);
+        outgoing.values().forEach(OutgoingConnection::close);
     }
 
     private static ByteBuf withLengthPrefix(byte[] bytes) {
@@ -156,8 +175,8 @@
                 .writeBytes(bytes);
     }
 
-    /** The connection to one node, opened again whenever it closes. */
-    private final class Outgoing {
+    /** The connection to one peer, which is reopened whenever it closes, until it is dropped. */
+    private final class OutgoingConnection {
         private final String node;
         private final InetSocketAddress address;
         private Channel channel;
@@ -165,7 +184,7 @@
         private boolean dropped;
         private int level;
 
-        Outgoing(String node, InetSocketAddress address) {
+        OutgoingConnection(String node, InetSocketAddress address) {
             this.node = node;
             this.address = address;
             connect();
@@ -189,7 +208,7 @@
         }
 
         private void onConnected(boolean success) {
-            // On loopback a connection to a port that nobody listens on can meet itself.
+            // On loopback, a connection to a port without a listener can connect to itself.
             if (success && channel.localAddress().equals(channel.remoteAddress())) {
                 channel.close();
             } else {
@@ -223,12 +242,12 @@
         }
     }
 
-    /** On a connection that this node opened the other only announces its level. */
+    /** Reads an outgoing connection, on which the peer only announces its level. */
     private final class OutgoingHandler extends ChannelInboundHandlerAdapter {
-        private final Outgoing connection;
+        private final OutgoingConnection connection;
         private final FrameBuffer frames = new FrameBuffer(LENGTH_BYTES, MAX_FRAME_BYTES);
 
-        OutgoingHandler(Outgoing connection) {
+        OutgoingHandler(OutgoingConnection connection) {
             this.connection = connection;
         }
 
@@ -252,7 +271,7 @@
         }
     }
 
-    /** A connection that another node, or an operator's command, opened. */
+    /** Reads a connection that another node or an operator's command opened. */
     private final class IncomingHandler extends ChannelInboundHandlerAdapter {
         private final Receiver receiver;
         private final FrameBuffer frames = new FrameBuffer(LENGTH_BYTES, MAX_FRAME_BYTES);
@@ -305,7 +324,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            log.accept("store: " + cause);
+            log.accept("store: closing an incoming connection after an error: " + cause);
             context.close();
         }
     }
--- a/src/main/java/reeldeal/store/PeerDirectory.java
+++ b/src/main/java/reeldeal/store/PeerDirectory.java
@@ -5,8 +5,8 @@
 import reeldeal.consensus.GroupConfiguration;
 
 /**
- * Keeps a connection to each node that this one sends to: those of its own configuration file, and
- * those whose addresses are in the store. Belongs to the event loop.
+ * Keeps a connection to each node that this node sends to. The addresses come from the node's
+ * configuration file and from the store. Belongs to the event loop.
  */
 final class PeerDirectory {
     private final StoreConfig config;
@@ -18,7 +18,10 @@
         this.connections = connections;
     }
 
-    /** Connects to all nodes of a configuration and the addresses in a state. */
+    /**
+     * Connects to the nodes of the configuration file and to the addresses in a state, as far as
+     * this node sends to them under a group configuration.
+     */
     void connectAll(GroupConfiguration configuration, KeyValueState state) {
         connectedConfiguration = configuration;
         config.nodes()
@@ -34,15 +37,17 @@
                 .forEach((key, value) -> onAddress(nodeOf(key), value.text()));
     }
 
-    /** Connects anew if the configuration is another than the one connected for. */
-    @SuppressWarnings("ReferenceEquality") // the very value that connections were made for
+    /**
+     * Updates the connections if the group configuration is not the one for which they were made.
+     */
+    @SuppressWarnings("ReferenceEquality") // an unchanged configuration is the same instance
     void update(GroupConfiguration configuration, KeyValueState state) {
         if (connectedConfiguration != null && configuration != connectedConfiguration) {
             connectAll(configuration, state);
         }
     }
 
-    /** Follows the addresses among committed changes. */
+    /** Updates the connections for the node addresses among committed changes. */
     void onChanges(List<Change> changes) {
         for (Change change : changes) {
             if (change.key().startsWith(StoreNode.NODE_KEY_PREFIX)) {
@@ -55,13 +60,16 @@
         return key.substring(StoreNode.NODE_KEY_PREFIX.length());
     }
 
-    /** A learner has messages for voters only, and voters for all. */
+    /** Whether this node sends to another: voters send to all nodes, learners to voters only. */
     private boolean sendsTo(String node) {
         return connectedConfiguration.voters().contains(config.node())
                 || connectedConfiguration.voters().contains(node);
     }
 
-    /** A node's address in the store; the one in this node's own file has precedence. */
+    /**
+     * Handles a node's address in the store, null if it was deleted. An address in this node's
+     * configuration file takes precedence.
+     */
     private void onAddress(String node, String address) {
         if (config.nodes().containsKey(node)) {
             return;
@@ -78,7 +86,10 @@
         }
     }
 
-    /** The address of a node, this one included, as {@code HOST:PORT}; "" if it is not known. */
+    /**
+     * Returns the address of any node, including this one, as {@code HOST:PORT}, or "" if it is not
+     * known.
+     */
     String addressOf(String node) {
         InetSocketAddress address =
                 node.equals(config.node()) ? config.nodes().get(node) : connections.address(node);
--- a/src/main/java/reeldeal/store/PeerMessageCodec.java
+++ b/src/main/java/reeldeal/store/PeerMessageCodec.java
@@ -7,7 +7,10 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** {@link PeerMessage}s as bytes: the group's name, a letter for the type, then its fields. */
+/**
+ * Encodes and decodes {@link PeerMessage}s: the group's name, a letter for the type, then the
+ * fields of the type.
+ */
 final class PeerMessageCodec {
     private static final char HELLO = 'L';
     private static final char FORWARD = 'w';
@@ -25,7 +28,7 @@
 
     private PeerMessageCodec() {}
 
-    /** A message as bytes, without its length. */
+    /** Encodes a message, without the length prefix of its frame. */
     static byte[] write(String group, PeerMessage message) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(TYPICAL_BYTES);
         DataOutputStream out = new DataOutputStream(bytes);
@@ -58,7 +61,7 @@
                 out.writeUTF(response.leader());
             }
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory does not fail
+            throw new UncheckedIOException(e); // a ByteArrayOutputStream does not throw
         }
         return bytes.toByteArray();
     }
@@ -99,13 +102,13 @@
             case REJECTED -> new StoreNode.Rejected(reason);
             case NOT_LEADER -> new StoreNode.NotLeader(reason);
             case UNKNOWN -> new StoreNode.Unknown();
-            default -> throw new IOException("no such result: " + type);
+            default -> throw new IOException("unknown result type of a forwarded write: " + type);
         };
     }
 
     /**
-     * Reads a message, or gives null if the frame is one of consensus; throws IOException if the
-     * bytes are none, or of another group.
+     * Decodes a message, or returns null if its type is none of these, as in a consensus message;
+     * throws IOException if the bytes are malformed or come from a node of another group.
      */
     static PeerMessage read(String group, byte[] frame) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(frame));
@@ -138,17 +141,22 @@
         return message;
     }
 
-    /** Reads the group's name with which every message begins. */
+    /**
+     * Reads the group's name, with which every message begins; throws IOException if it is not the
+     * expected one.
+     */
     static void checkGroup(String group, DataInputStream in) throws IOException {
-        String sender = in.readUTF();
-        if (!sender.equals(group)) {
-            throw new IOException("a node of group " + sender + ", not " + group);
+        String senderGroup = in.readUTF();
+        if (!senderGroup.equals(group)) {
+            throw new IOException(
+                    "message from a node of group " + senderGroup + ", expected group " + group);
         }
     }
 
+    /** Throws IOException if bytes are left after the last field of a message. */
     static void checkEnd(DataInputStream in) throws IOException {
         if (in.available() > 0) {
-            throw new IOException("bytes after the message");
+            throw new IOException("unexpected bytes after the end of the message");
         }
     }
 }
--- a/src/main/java/reeldeal/store/PeerMessageRouter.java
+++ b/src/main/java/reeldeal/store/PeerMessageRouter.java
@@ -11,8 +11,8 @@
 import reeldeal.consensus.RaftNode;
 
 /**
- * Passes what arrives from other nodes and from operators' commands to those who handle it. Belongs
- * to the event loop.
+ * Dispatches the messages of other nodes and of operators' commands to their handlers. Belongs to
+ * the event loop.
  */
 final class PeerMessageRouter implements PeerConnections.Receiver {
     private final String node;
@@ -26,7 +26,9 @@
     private final Map<String, BiConsumer<String, StoreNode.AdminReply>> adminHandlers =
             new HashMap<>();
 
-    /** Those who handle writes and consensus. */
+    /**
+     * The handlers of consensus messages, forwarded writes, and the results of forwarded writes.
+     */
     record Handlers(RaftDriver driver, WriteProposer proposer, WriteForwarder forwarder) {}
 
     PeerMessageRouter(
@@ -99,7 +101,8 @@
 
     private void answerForward(PeerMessage.Forward forward, StoreNode.Result result) {
         if (result instanceof StoreNode.Committed committed) {
-            // The writer waits until its own copy has the entry.
+            // The node that forwarded the write waits until it has applied the entry itself, so it
+            // gets the entry first.
             raft.prioritizeReplication(forward.from(), committed.version());
         }
         connections.send(
@@ -107,7 +110,10 @@
                 new PeerMessage.Forwarded(node, forward.from(), forward.id(), result));
     }
 
-    /** Delivers the content of a topic message: one byte for the topic, then the handler's. */
+    /**
+     * Delivers the content of a topic message to the topic's handler; the first byte is the topic.
+     * A message on a topic without a handler is dropped.
+     */
     void deliver(String from, byte[] bytes) {
         BiConsumer<String, byte[]> handler = bytes.length == 0 ? null : topics.get((char) bytes[0]);
         if (handler != null) {
--- a/src/main/java/reeldeal/store/RaftDriver.java
+++ b/src/main/java/reeldeal/store/RaftDriver.java
@@ -14,8 +14,8 @@
 import reeldeal.storage.DataDirectory;
 
 /**
- * Gives the inputs to the {@link RaftNode} and carries out its output: disk requests, messages, the
- * applying of entries, confirmed reads. All calls, and all callbacks, are on the event loop.
+ * Feeds inputs to the {@link RaftNode} and processes its output: disk requests, messages, committed
+ * entries and confirmed reads. All calls and all callbacks are made on the event loop.
  */
 final class RaftDriver implements DiskQueue.Listener {
     private final String node;
@@ -34,7 +34,7 @@
     private boolean stepping;
     private boolean votesWithheld;
 
-    /** The classes that a driver connects, apart from the node itself. */
+    /** The classes that the driver connects to the {@link RaftNode}. */
     record Components(
             StoreStatus status,
             PeerConnections connections,
@@ -67,18 +67,18 @@
         disk.groupCommit(enabled);
     }
 
-    /** Neither votes nor becomes a candidate while this is on. */
+    /** Sets whether the node withholds its votes: it then neither votes nor becomes a candidate. */
     void withholdVotes(boolean enabled) {
         votesWithheld = enabled;
     }
 
     // ---- inputs ----
 
-    /** Begins to take part in the group. */
+    /** Starts taking part in the group. */
     void start() {
         peers.connectAll(raft.configuration(), applier.state());
         if (raft.configuration().voters().equals(Set.of(node))) {
-            raft.campaignNow(); // no other node could
+            raft.campaignNow(); // the only voter need not wait for an election timeout
         }
         step();
     }
@@ -102,7 +102,10 @@
         }
     }
 
-    /** Proposes an entry without carrying out the output; returns its index, or -1. */
+    /**
+     * Proposes an entry and returns its index, or -1 if this node cannot propose. The caller must
+     * then call {@link #step}.
+     */
     long propose(byte[] data) {
         return raft.propose(data);
     }
@@ -119,7 +122,7 @@
         return started;
     }
 
-    /** Transfers leadership to the reachable voter that has most of the log. */
+    /** Transfers leadership to the reachable voter whose log lags the least. */
     void transferLeadership() {
         raft.configuration().voters().stream()
                 .filter(voter -> !voter.equals(node) && raft.progressOf(voter).reachable())
@@ -127,7 +130,10 @@
                 .ifPresent(this::transferLeadership);
     }
 
-    /** Runs this once a majority has confirmed, after now, that this node leads. */
+    /**
+     * Runs a callback when a majority has confirmed, after this call, that this node leads; if it
+     * stops leading before, the callback does not run.
+     */
     void confirmLeadership(Runnable whenConfirmed) {
         long readId = nextReadId++;
         confirmations.put(readId, whenConfirmed);
@@ -146,10 +152,10 @@
     public void onDiskFailure(Exception cause) {
         halt(
                 cause.getMessage()
-                        + "; this node reads on and writes no more until it is started again");
+                        + "; this node serves reads but writes nothing until it is restarted");
     }
 
-    /** Takes part no more, and serves what it has. */
+    /** Stops taking part in the group for good; the node goes on serving its present state. */
     void halt(String reason) {
         if (status.halt()) {
             log.accept("store: " + reason);
@@ -159,10 +165,10 @@
 
     // ---- output ----
 
-    /** Carries out the node's output until there is none. */
+    /** Processes the output of the {@link RaftNode} until there is none left. */
     void step() {
         if (stepping || !status.isActive()) {
-            return; // the call that runs goes on until there is no more output
+            return; // a running call of this method processes all output
         }
         stepping = true;
         boolean hasMore = true;
@@ -217,7 +223,7 @@
         }
     }
 
-    /** Compacts the log up to the state as it is now. */
+    /** Starts a compaction of the log up to the present state. */
     void compactNow() {
         KeyValueState.Frozen state = applier.state().freeze();
         long version = state.version();
@@ -249,12 +255,15 @@
             status.notifyCurrent();
         }
         if (transition.becameWriter()) {
-            log.accept("store: " + node + " writes under term " + raft.term());
+            log.accept("store: " + node + " accepts writes as leader of term " + raft.term());
             status.notifyLeading();
         }
     }
 
-    /** A node that cannot read the log must not be the one that writes it. */
+    /**
+     * Hands leadership to a voter that runs a newer version of the program: a node that cannot read
+     * the log must not lead the group.
+     */
     private void transferToNewerProgram() {
         raft.configuration().voters().stream()
                 .filter(voter -> connections.level(voter) > PeerMessage.LEVEL)
@@ -262,7 +271,7 @@
                 .ifPresent(raft::transferLeadership);
     }
 
-    /** Waits for the disk. */
+    /** Closes the disk queue, which waits for the write in progress. */
     void close() {
         disk.close();
     }
--- a/src/main/java/reeldeal/store/SnapshotScheduler.java
+++ b/src/main/java/reeldeal/store/SnapshotScheduler.java
@@ -8,12 +8,12 @@
 import reeldeal.storage.DataDirectory;
 
 /**
- * Makes snapshots and backups on the thread {@code store-snapshot}, from a copy of the state taken
- * on the event loop. Its own state belongs to the event loop.
+ * Creates snapshots and backups on the thread {@code store-snapshot}, from a copy of the state
+ * taken on the event loop. The scheduler's own state belongs to the event loop.
  */
 final class SnapshotScheduler {
-    /** A log larger than this is compacted. */
-    private static final long COMPACT_BYTES = 16 << 20;
+    /** The size from which on the log is compacted, in bytes. */
+    private static final long COMPACTION_THRESHOLD_BYTES = 16 << 20;
 
     private final StoreLoop loop;
     private final DataDirectory directory;
@@ -34,15 +34,16 @@
         logBytes = bytes;
     }
 
-    /** Whether the log is to be compacted. */
+    /** Whether the log should be compacted now. */
     boolean isDue() {
-        return logBytes > COMPACT_BYTES && !inProgress;
+        return logBytes > COMPACTION_THRESHOLD_BYTES && !inProgress;
     }
 
     /**
-     * Makes the bytes of a state, has them written ahead, and passes them on, on the event loop.
+     * Encodes a state as a snapshot, writes the snapshot to disk in advance, and passes the bytes
+     * to a callback on the event loop.
      *
-     * @param header the snapshot without its data
+     * @param header the snapshot's index, term and configuration, without its data
      */
     void start(KeyValueState.Frozen state, Snapshot header, Consumer<byte[]> whenReady) {
         inProgress = true;
@@ -60,16 +61,19 @@
                 });
     }
 
-    /** A failure is no more than a delay: the disk's thread writes the snapshot again. */
+    /**
+     * Writes the snapshot to disk in advance. A failure only costs time, because the disk thread
+     * then writes the snapshot itself.
+     */
     private void prepare(Snapshot snapshot) {
         try {
             directory.prepare(snapshot);
         } catch (IOException e) {
-            log.accept("store: snapshot not prepared: " + e);
+            log.accept("store: could not write the snapshot to disk in advance: " + e);
         }
     }
 
-    /** Writes a state to a file, which is replaced as a unit. */
+    /** Writes a state to a backup file, which is replaced atomically. */
     void backup(Path file, KeyValueState.Frozen state) {
         snapshotExecutor.execute(
                 () -> {
@@ -77,7 +81,7 @@
                         Backup.write(file, state);
                         log.accept("store: version " + state.version() + " backed up to " + file);
                     } catch (IOException e) {
-                        log.accept("store: no backup: " + e);
+                        log.accept("store: backup to " + file + " failed: " + e);
                     }
                 });
     }
--- a/src/main/java/reeldeal/store/StaleStart.java
+++ b/src/main/java/reeldeal/store/StaleStart.java
@@ -7,10 +7,11 @@
 import reeldeal.consensus.Entry;
 
 /**
- * The copy that a node serves if its start does not reach the group in time: all that is on its
- * disk, including entries of which it is not known whether they are committed. As nothing is
- * published before it is on disk, it holds whatever this node ever published. It is discarded once
- * the node is current. Belongs to the event loop.
+ * Holds the stale copy of the state that a node serves if it does not reach the group in time after
+ * its start. The copy contains everything on the node's disk, including entries that may not be
+ * committed. Since nothing is published before it is on disk, the copy contains everything that
+ * this node ever published. It is discarded when the node becomes current. Belongs to the event
+ * loop.
  */
 final class StaleStart {
     private final Consumer<String> log;
@@ -21,12 +22,12 @@
         this.log = log;
     }
 
-    /** The copy, or null while there is none. */
+    /** Returns the copy, or null if there is none. */
     KeyValueState copy() {
         return copy;
     }
 
-    /** Runs a listener with the copy when it is made, or now if it is there. */
+    /** Calls a listener with the copy when it is created, or immediately if it exists already. */
     void whenServing(Consumer<KeyValueState> listener) {
         listeners.add(listener);
         if (copy != null) {
@@ -34,21 +35,23 @@
         }
     }
 
-    /** Makes the copy, from a state and the entries after it. */
+    /**
+     * Creates the copy from a state and the log entries that follow it, and notifies the listeners.
+     */
     void createCopy(KeyValueState.Frozen state, List<Entry> entries) {
         try {
             KeyValueState stale = KeyValueState.fromBytes(state.toBytes());
             applySupported(stale, entries);
             copy = stale;
             log.accept(
-                    "store: the group was not reached in "
+                    "store: the group was not reached within "
                             + StoreNode.STALE_START_MS
                             + " ms; going on from the copy here, version "
                             + stale.version()
-                            + ", marked as old");
+                            + ", marked as stale");
             listeners.forEach(listener -> listener.accept(stale));
         } catch (IOException e) {
-            log.accept("store: the copy here cannot be read: " + e.getMessage());
+            log.accept("store: the state on this node's disk cannot be read: " + e.getMessage());
         }
     }
 
@@ -57,7 +60,7 @@
             try {
                 state.apply(entry.index(), entry.data(), new ArrayList<>());
             } catch (KeyValueState.UnsupportedFormatException e) {
-                return; // of a later program: this one knows neither it nor what follows
+                return; // of a newer program version; the entries after it may depend on it
             }
         }
     }
--- a/src/main/java/reeldeal/store/StoreConfig.java
+++ b/src/main/java/reeldeal/store/StoreConfig.java
@@ -10,14 +10,16 @@
 /**
  * The configuration of one node of the store.
  *
- * @param group the group's name, which every message carries
+ * @param group the name of the group, which every message contains
  * @param node this node's name
- * @param nodes the addresses on which the nodes listen, this one's included
- * @param voters the first voters of a new group; all nodes if empty, else the others are learners
- * @param joins whether the node joins an existing group, and takes part only once that has added it
+ * @param nodes the addresses on which the nodes listen, including this node's own
+ * @param voters the initial voters of a new group, the other nodes being learners; if empty, all
+ *     nodes are voters
+ * @param joins whether the node joins an existing group; it then takes part only after the group
+ *     has added it
  * @param directory the data directory
- * @param backup the file to which the state is written regularly, or null
- * @param backupMs the interval of the backups
+ * @param backup the file to which the state is backed up regularly, or null for no backups
+ * @param backupMs the interval between backups
  */
 public record StoreConfig(
         String group,
@@ -29,13 +31,16 @@
         Path backup,
         long backupMs) {
 
-    /** Copies the collections. */
+    /** Creates a configuration with immutable copies of the collections. */
     public StoreConfig {
         nodes = Map.copyOf(nodes);
         voters = Set.copyOf(voters);
     }
 
-    /** The configuration with which a new data directory begins. */
+    /**
+     * Returns the group configuration of a new data directory, without this node if it joins an
+     * existing group.
+     */
     GroupConfiguration firstConfiguration() {
         Set<String> firstVoters = new TreeSet<>(voters.isEmpty() ? nodes.keySet() : voters);
         Set<String> learners = new TreeSet<>(nodes.keySet());
--- a/src/main/java/reeldeal/store/StoreLoop.java
+++ b/src/main/java/reeldeal/store/StoreLoop.java
@@ -4,25 +4,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The event loop of a node, on which all of its state is used. Its methods may be called anywhere.
+ * The event loop of a node, which owns all of the node's state. The methods may be called on any
+ * thread.
  */
 final class StoreLoop {
-    private final EventLoopGroup group;
+    private final EventLoopGroup eventLoopGroup;
 
-    /** A group of one event loop. */
-    StoreLoop(EventLoopGroup group) {
-        this.group = group;
+    /** Wraps an event loop group, which must have exactly one event loop. */
+    StoreLoop(EventLoopGroup eventLoopGroup) {
+        this.eventLoopGroup = eventLoopGroup;
     }
 
     void execute(Runnable task) {
-        group.next().execute(task);
+        eventLoopGroup.next().execute(task);
     }
 
     void schedule(long delayMs, Runnable task) {
-        group.next().schedule(task, delayMs, TimeUnit.MILLISECONDS);
+        eventLoopGroup.next().schedule(task, delayMs, TimeUnit.MILLISECONDS);
     }
 
     void scheduleAtFixedRate(long periodMs, Runnable task) {
-        group.next().scheduleAtFixedRate(task, periodMs, periodMs, TimeUnit.MILLISECONDS);
+        eventLoopGroup.next().scheduleAtFixedRate(task, periodMs, periodMs, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/reeldeal/store/StoreNode.java
+++ b/src/main/java/reeldeal/store/StoreNode.java
@@ -17,28 +17,28 @@
 import reeldeal.storage.DataDirectory;
 
 /**
- * A node of a small replicated store: committed values by their keys, writes, messages between
- * nodes, and operators' requests. This class is the store's interface; it wires the classes that
- * own the state.
+ * A node of a small replicated store, which provides committed values by key, writes, messages
+ * between nodes, and operators' requests. This class is the interface of the package; it wires the
+ * classes that own the state.
  *
- * <p>Threads: the event loop of the group given to the constructor owns all state. The committed
+ * <p>Threads: the event loop of the group given to the constructor owns all state. Committed
  * entries are applied on it (see {@link LogApplier}), and all listeners and callbacks run on it.
- * All methods must be called on it, but for the constructor and {@link #start}, which may be called
- * before on any thread. What blocks is done by two threads of the node's own, {@code store-disk}
- * and {@code store-snapshot}; they use no state of the node.
+ * All methods must be called on it, except the constructor and {@link #start}, which may be called
+ * earlier on any thread. Two threads of the node, {@code store-disk} and {@code store-snapshot}, do
+ * the blocking work; they use no state of the node.
  *
- * <p>A write is committed once a majority of the voters has it on disk. It is applied, and so seen
- * by readers and listeners, once it is on this node's disk too: a node never forgets what it has
- * published.
+ * <p>A write is committed once a majority of the voters has it on disk. It is applied, and thus
+ * visible to readers and listeners, once it is on this node's disk too, so that a restart never
+ * loses a change that this node has already published.
  */
 public final class StoreNode implements AutoCloseable {
-    /** How long a start waits for the group, in ms, before the copy on this disk is served. */
+    /** How long a starting node waits for the group, in ms, before it serves its stale copy. */
     public static final int STALE_START_MS = 2_000;
 
-    /** The prefix of the keys of nodes' addresses, for those whose files do not name them. */
+    /** The prefix of the keys of node addresses, for nodes that configuration files do not list. */
     public static final String NODE_KEY_PREFIX = "node/";
 
-    /** The size of a file of the log from which on another is begun. */
+    /** The size of a log file, in bytes, from which on a new one is started. */
     static final int SEGMENT_BYTES = 4 << 20;
 
     private static final int TICK_MS = 50;
@@ -46,18 +46,18 @@
     /** The result of a write. */
     public sealed interface Result {}
 
-    /** It is committed, at this version. */
+    /** The write is committed, at this version. */
     public record Committed(long version) implements Result {}
 
-    /** It did not happen, and will not. */
+    /** The write was not applied, and never will be. */
     public record Rejected(String reason) implements Result {}
 
-    /** It was begun, but no majority has it in time: it may yet be committed. */
+    /** The result did not arrive in time: the write may have been committed, or may still be. */
     public record Unknown() implements Result {}
 
     /**
-     * This node did not propose it: another leads, or this one cannot accept more. Nothing is said
-     * of other attempts of the same write.
+     * This node did not propose the write, because another node leads or because it cannot accept
+     * more writes. Other attempts of the same write may still succeed.
      */
     record NotLeader(String reason) implements Result {}
 
@@ -81,9 +81,9 @@
     /**
      * Opens the node's data directory.
      *
-     * @param group has one event loop, on which the node runs
-     * @param log takes lines for the log, on any thread
-     * @throws IOException if the directory cannot be used; its message says why
+     * @param group the event loop group, with exactly one event loop, on which the node runs
+     * @param log receives log lines, on any thread
+     * @throws IOException if the directory cannot be used; the message contains the reason
      */
     public StoreNode(EventLoopGroup group, StoreConfig config, Consumer<String> log)
             throws IOException {
@@ -92,17 +92,17 @@
         loop = new StoreLoop(group);
         identity = NodeIdentity.ofNewIncarnation(config.node());
         directory = openDirectory();
-        RaftNode.PersistentState onDisk = directory.opened().state();
+        RaftNode.PersistentState persistedState = directory.opened().state();
         raft =
                 new RaftNode(
                         config.node(),
                         RaftNode.Settings.DEFAULT,
-                        onDisk,
+                        persistedState,
                         new SplittableRandom()::nextInt);
         connections = new PeerConnections(group, config.group(), config.node(), log);
         peers = new PeerDirectory(config, connections);
         WriteQueue writes = new WriteQueue(loop);
-        KeyValueState state = KeyValueState.fromBytes(onDisk.snapshot().data());
+        KeyValueState state = KeyValueState.fromBytes(persistedState.snapshot().data());
         applier = new LogApplier(state, writes, peers, log);
         snapshots = new SnapshotScheduler(loop, directory, log);
         driver =
@@ -137,25 +137,26 @@
                 DataDirectory.open(
                         config.directory(), owner, config.firstConfiguration(), SEGMENT_BYTES);
         if (opened.opened().cutBytes() > 0) {
-            RaftNode.PersistentState onDisk = opened.opened().state();
+            RaftNode.PersistentState persistedState = opened.opened().state();
             log.accept(
                     "store: cut a torn write of "
                             + opened.opened().cutBytes()
                             + " bytes after version "
-                            + (onDisk.snapshot().index() + onDisk.entries().size()));
+                            + (persistedState.snapshot().index()
+                                    + persistedState.entries().size()));
         }
         return opened;
     }
 
     /**
-     * Whether one flush serves all writes that came while the last one was written; off only to
-     * measure the difference.
+     * Sets whether the disk requests that arrive during a write are written together, with one
+     * flush. It is disabled only by a benchmark that measures the difference.
      */
     public void groupCommit(boolean enabled) {
         driver.groupCommit(enabled);
     }
 
-    /** Listens and takes part in the group; the future ends when the address is bound. */
+    /** Listens, then takes part in the group; the future completes when the address is bound. */
     public ChannelFuture start() {
         ChannelFuture bound = connections.listen(config.nodes().get(config.node()), router);
         bound.addListener(
@@ -183,7 +184,7 @@
         loop.scheduleAtFixedRate(TICK_MS, driver::tick);
     }
 
-    /** The group was not reached in time: serves what is on this disk. */
+    /** Serves the copy on this node's disk, unless the group was reached in time. */
     private void serveStaleCopy() {
         if (!status.hasBeenCurrent() && !status.isClosed()) {
             KeyValueState state = applier.state();
@@ -192,21 +193,19 @@
     }
 
     /**
-     * Runs this with the copy on this disk if a start does not reach the group in time; now if that
-     * has happened already.
+     * Calls a listener with the copy on this node's disk if the starting node does not reach the
+     * group in time, or immediately if that has happened already.
      */
     public void whenServingStale(Consumer<KeyValueState> listener) {
         staleStart.whenServing(listener);
     }
 
-    /**
-     * Whether {@link #getPossiblyStale} has an answer: the group was heard, or the wait is over.
-     */
+    /** Whether this node has been current or serves a stale copy, so that values can be read. */
     public boolean hasAppliedState() {
         return status.hasBeenCurrent() || staleStart.copy() != null;
     }
 
-    /** A committed value; if the group was not reached at the start, that of the copy on disk. */
+    /** Returns a value, or null: from the stale copy if that is served, else the committed one. */
     public String getPossiblyStale(String key) {
         KeyValueState stale = status.hasBeenCurrent() ? null : staleStart.copy();
         return textOf((stale == null ? applier.state() : stale).get(key));
@@ -216,23 +215,23 @@
         return value == null ? null : value.text();
     }
 
-    /** A committed value, or null. */
+    /** Returns the committed value of a key, or null if the key does not exist. */
     public String get(String key) {
         return textOf(value(key));
     }
 
-    /** The version that wrote a key, 0 if it does not exist. */
+    /** Returns the version that wrote a key, or 0 if the key does not exist. */
     public long versionOf(String key) {
         KeyValueState.Value value = value(key);
         return value == null ? 0 : value.version();
     }
 
-    /** The first keys that begin with a prefix, at most {@code most}. */
+    /** Returns the first keys that begin with a prefix, at most {@code limit} of them. */
     public List<String> keysUnder(String prefix, int limit) {
         return valuesUnder(prefix).keySet().stream().limit(limit).toList();
     }
 
-    /** Changes in this node's log that are not applied yet, committed or not. */
+    /** Returns the changes in this node's log that are not yet applied, committed or not. */
     public List<Change> unappliedChanges() {
         List<Change> changes = new ArrayList<>();
         for (Entry entry : raft.entriesAfter(version())) {
@@ -241,38 +240,38 @@
                     changes.addAll(KeyValueCodec.decode(entry.data()).changes());
                 }
             } catch (IOException | KeyValueState.UnsupportedFormatException e) {
-                break; // of a later program: this one knows neither it nor what follows
+                break; // of a newer program version; later entries may depend on it
             }
         }
         return changes;
     }
 
-    /** Neither votes nor becomes a candidate while this is on, but follows the leader. */
+    /** Sets whether this node only follows: it then neither votes nor becomes a candidate. */
     public void withholdVotes(boolean enabled) {
         driver.withholdVotes(enabled);
     }
 
-    /** The version up to which this node has applied the log. */
+    /** Returns the version up to which this node has applied the log. */
     public long version() {
         return applier.state().version();
     }
 
     /**
-     * What was written after a version, or null if the history does not reach back so far: then the
-     * values must be read again.
+     * Returns the changes that were written after a version, or null if the history does not reach
+     * back that far; then the caller must read the values again.
      */
     public List<KeyValueState.ChangeSet> changeSetsSince(long version) {
         return applier.state().changeSetsSince(version);
     }
 
-    /** Notifies of each committed write from now on; after a snapshot, of all that it changed. */
+    /** Adds a listener for the changes of each committed write and of each installed snapshot. */
     public void onChange(Consumer<List<Change>> listener) {
         applier.addListener(listener);
     }
 
     /**
-     * Runs this each time that this node begins to accept writes, all that was committed before
-     * being applied; now if it accepts them already.
+     * Runs a listener each time this node starts to accept writes, at which point all earlier
+     * committed entries are applied; runs it immediately if the node accepts writes already.
      */
     public void whenLeading(Runnable listener) {
         status.whenLeading(listener);
@@ -283,70 +282,70 @@
         return status.isWriter();
     }
 
-    /** Whether all that was committed at the leader's last heartbeat is applied. */
+    /** Whether everything that was committed at the leader's last heartbeat is applied. */
     public boolean isCurrent() {
         return status.isCurrent();
     }
 
-    /** Runs this each time that the node has become current. */
+    /** Runs a listener each time the node becomes current. */
     public void whenCurrent(Runnable listener) {
         status.whenCurrent(listener);
     }
 
-    /** The leader as far as it is known, or null. */
+    /** Returns the name of the leader, or null if it is not known. */
     public String leader() {
         return raft.leader();
     }
 
-    /** The group's latest configuration in this node's log. */
+    /** Returns the latest group configuration in this node's log. */
     public GroupConfiguration configuration() {
         return raft.configuration();
     }
 
-    /** A value with its version, or null; all values are of one version of the state. */
+    /** Returns a value with its version, or null; all values are of the same state version. */
     public KeyValueState.Value value(String key) {
         return applier.state().get(key);
     }
 
-    /** All values whose keys begin with a prefix, in order of their keys. */
+    /** Returns a view of all values whose keys begin with a prefix, ordered by key. */
     public Map<String, KeyValueState.Value> valuesUnder(String prefix) {
         return applier.state().valuesUnder(prefix);
     }
 
-    /** Bytes kept under the first part of a key, up to its slash, which a quota may limit. */
+    /** Returns the bytes stored under a prefix up to its first slash, which a quota may limit. */
     public long bytesUnder(String prefix) {
         return applier.state().bytesUnder(prefix.substring(0, prefix.indexOf('/')));
     }
 
-    /** At most {@code most} values whose keys begin with a prefix, from after a key on. */
+    /** Returns the first {@code limit} values under a prefix with keys after {@code after}. */
     public Map<String, KeyValueState.Value> page(String prefix, String after, int limit) {
         return applier.state().page(prefix, after, limit);
     }
 
-    /** The level of commands and rules that hold. */
+    /** Returns the feature level, which determines the commands and rules in effect. */
     public int level() {
         return applier.state().level();
     }
 
-    /** Writes changes that are applied together or not at all, if this node leads. */
+    /** Writes changes, all or none of which are applied; rejected if this node does not lead. */
     public void write(List<Change> changes, Consumer<Result> callback) {
         write(KeyValueState.Command.of(changes), callback);
     }
 
-    /** Writes with preconditions, or once for each number of a session, if this node leads. */
+    /** Writes a command with preconditions or a session; rejected if this node does not lead. */
     public void write(KeyValueState.Command command, Consumer<Result> callback) {
         proposer.write(command, callback);
     }
 
-    /** Proposes bytes as they are, to test how nodes treat a form that they do not know. */
+    /** Proposes bytes unchanged, to test how nodes handle an unsupported command format. */
     void proposeRaw(byte[] data) {
         driver.propose(data);
         driver.step();
     }
 
     /**
-     * Writes with preconditions from any node: by this node if it leads, else by way of the leader,
-     * and at most once even if the leader changes. Without a result in time it is unknown.
+     * Writes with preconditions from any node, if necessary by forwarding to the leader; at most
+     * once even if the leader changes. The result is {@link Unknown} if it does not arrive in time.
      */
     public void submit(
             List<KeyValueState.Precondition> preconditions,
@@ -355,10 +354,10 @@
         forwarder.submit(preconditions, changes, callback);
     }
 
-    /** The answer to a request; {@code leader} is where to send it instead, or empty. */
+    /** An answer to an operator; {@code leader} is the address to ask instead, or empty. */
     public record AdminAnswer(boolean ok, String text, String leader) {}
 
-    /** Takes the answer to an operator's request, once. */
+    /** Answers an operator's request; calls after the first one have no effect. */
     public static final class AdminReply {
         private final Supplier<AdminAnswer> redirection;
         private Consumer<AdminAnswer> receiver;
@@ -375,30 +374,30 @@
             }
         }
 
-        /** It was done, or this is the requested information. */
+        /** Answers that the request was carried out, or with the requested information. */
         public void answer(String text) {
             send(new AdminAnswer(true, text, ""));
         }
 
-        /** It was not done, for this reason. */
+        /** Answers that the request was not carried out, with the reason. */
         public void reject(String reason) {
             send(new AdminAnswer(false, reason, ""));
         }
 
-        /** Only the leader can do it: says where that is, or that there is none. */
+        /** Answers that only the leader can do it, with the leader's address if known. */
         public void redirect() {
             send(redirection.get());
         }
     }
 
-    /** Handles operators' requests that begin with this word. */
+    /** Sets the handler of operators' requests that begin with a word. */
     public void onAdminRequest(String word, BiConsumer<String, AdminReply> handler) {
         router.onAdminRequest(word, handler);
     }
 
     /**
-     * Sends bytes on a topic to another node, or to this one; false if they certainly do not
-     * arrive.
+     * Sends bytes on a topic to another node or to this one; returns false if they were not sent.
+     * Even if it returns true they may be lost.
      */
     public boolean sendToPeer(String node, char topic, byte[] bytes) {
         byte[] content = new byte[1 + bytes.length];
@@ -411,27 +410,27 @@
         return connections.send(node, new PeerMessage.TopicMessage(config.node(), node, content));
     }
 
-    /** Handles what other nodes send on a topic, by their names; one handler each. */
+    /** Sets the one handler of a topic, which receives the sender's name and the bytes. */
     public void onPeerMessage(char topic, BiConsumer<String, byte[]> handler) {
         router.onTopic(topic, handler);
     }
 
-    /** Runs this once a majority has confirmed, after now, that this node leads; else never. */
+    /** Runs a callback if a majority confirms, after this call, that this node leads. */
     public void confirmLeadership(Runnable whenConfirmed) {
         driver.confirmLeadership(whenConfirmed);
     }
 
-    /** This node's name. */
+    /** Returns the name of this node. */
     public String node() {
         return config.node();
     }
 
-    /** The name of this incarnation of this node, with which its sessions' names begin. */
+    /** Returns the name of this node's incarnation, the prefix of its sessions' names. */
     public String session() {
         return identity.session();
     }
 
-    /** The level that a node announced, this program's for this node, or 0 if it is not known. */
+    /** Returns the level that a node announced, 0 if unknown; for this node its program's level. */
     public int levelOf(String node) {
         return node.equals(config.node()) ? PeerMessage.LEVEL : connections.level(node);
     }
@@ -452,17 +451,17 @@
         loop.schedule(delayMs, task);
     }
 
-    /** Proposes another configuration; false if this node cannot. */
+    /** Proposes a new group configuration; returns false if this node cannot propose it now. */
     public boolean changeConfiguration(GroupConfiguration proposed) {
         return driver.changeConfiguration(proposed);
     }
 
-    /** Transfers leadership to a voter; false if this node does not lead. */
+    /** Starts a transfer of leadership to a voter; returns false if this node cannot. */
     public boolean transferLeadership(String to) {
         return driver.transferLeadership(to);
     }
 
-    /** Before a shutdown: if this node leads, transfers that to the voter that lacks least. */
+    /** Before a shutdown, transfers leadership to the reachable voter whose log lags the least. */
     public void transferLeadership() {
         if (status.isWriter()) {
             driver.transferLeadership();
@@ -470,24 +469,24 @@
     }
 
     /**
-     * The directory does not hold what this node once had: the node takes part no more, and serves
-     * what it has.
+     * Halts this node because its data directory lacks data that it once held. The node stops
+     * taking part in the group, and serves its present state.
      */
     public void markFolderUntrusted(String reason) {
         driver.halt(reason);
     }
 
-    /** Compacts the log up to the present state; a thread of its own makes the snapshot. */
+    /** Compacts the log up to the present state; a separate thread creates the snapshot. */
     public void compactNow() {
         driver.compactNow();
     }
 
-    /** Writes the state to a file, which is replaced as a unit, while the node goes on. */
+    /** Writes the state to a backup file in the background; the file is replaced atomically. */
     public void backup(Path file) {
         snapshots.backup(file, applier.state().freeze());
     }
 
-    /** Closes connections and waits for the disk, at most 5 s. */
+    /** Closes the connections and waits up to 5 s for the write in progress. */
     @Override
     public void close() throws IOException {
         status.close();
--- a/src/main/java/reeldeal/store/StoreStatus.java
+++ b/src/main/java/reeldeal/store/StoreStatus.java
@@ -5,7 +5,8 @@
 import reeldeal.consensus.RaftNode;
 
 /**
- * Whether a node takes writes, is current, or has stopped taking part. Belongs to the event loop.
+ * The status of a node: whether it accepts writes, is current, or has stopped taking part in the
+ * group. Belongs to the event loop.
  */
 final class StoreStatus {
     private final List<Runnable> leadingListeners = new ArrayList<>();
@@ -16,7 +17,7 @@
     private boolean halted;
     private boolean closed;
 
-    /** What an update brought about. */
+    /** The transitions that an update caused. */
     record Transition(boolean becameCurrent, boolean becameWriter) {}
 
     boolean isWriter() {
@@ -35,7 +36,7 @@
         return closed;
     }
 
-    /** Whether the node takes part in the group. */
+    /** Whether the node still takes part in the group: it has neither halted nor closed. */
     boolean isActive() {
         return !closed && !halted;
     }
@@ -51,7 +52,10 @@
         currentListeners.add(listener);
     }
 
-    /** Takes part no more, and serves what it has; false if it had stopped before. */
+    /**
+     * Stops taking part in the group for good, while reads are still served from the present state;
+     * returns false if the node had stopped before.
+     */
     boolean halt() {
         if (!isActive()) {
             return false;
@@ -61,7 +65,7 @@
         return true;
     }
 
-    /** Neither takes writes nor is current. */
+    /** Marks the node as neither accepting writes nor current. */
     void stopServing() {
         writer = false;
         current = false;
@@ -72,7 +76,11 @@
         writer = false;
     }
 
-    /** Takes over the role of the node; {@code applied} if no committed entry waits. */
+    /**
+     * Updates the status from the consensus state.
+     *
+     * @param applied whether all committed entries have been applied
+     */
     Transition update(RaftNode raft, boolean applied) {
         boolean leads = raft.role() == RaftNode.Role.LEADER;
         boolean mayWrite = leads && raft.hasQuorumLease() && applied;
--- a/src/main/java/reeldeal/store/WriteForwarder.java
+++ b/src/main/java/reeldeal/store/WriteForwarder.java
@@ -7,11 +7,11 @@
 import reeldeal.consensus.RaftNode;
 
 /**
- * Submits writes from any node: by this node if it leads, else by way of the leader. Belongs to the
- * event loop.
+ * Submits writes from any node: proposes them directly if this node leads, else forwards them to
+ * the leader. Belongs to the event loop.
  */
 final class WriteForwarder {
-    private static final int RETRY_INTERVAL_MS = 50;
+    private static final int POLL_INTERVAL_MS = 50;
 
     private final String node;
     private final RaftNode raft;
@@ -23,7 +23,7 @@
     private final String session;
     private final Map<Long, ForwardedWrites.Attempt> attemptsById = new HashMap<>();
     private long nextId = 1;
-    private boolean retryScheduled;
+    private boolean pollScheduled;
 
     WriteForwarder(
             NodeIdentity identity,
@@ -46,12 +46,14 @@
         return System.nanoTime() / 1_000_000;
     }
 
-    /** Accepts a write; the callback is called once, possibly before this returns. */
+    /**
+     * Submits a write; the callback is called exactly once, possibly before this method returns.
+     */
     void submit(
             List<KeyValueState.Precondition> preconditions,
             List<Change> changes,
             Consumer<StoreNode.Result> callback) {
-        // The size with the longest name of a session that the write may get.
+        // The size limit is checked with the longest session name that the write can get.
         KeyValueState.Command largest =
                 new KeyValueState.Command(session + ":00", 0, preconditions, changes);
         if (WriteProposer.isTooLarge(KeyValueCodec.encode(largest))) {
@@ -62,25 +64,28 @@
         sendDue();
     }
 
-    /** Sends the attempts that are due to the leader, and looks again while any write waits. */
+    /**
+     * Sends the due attempts to the leader, and schedules itself again while writes are unanswered.
+     */
     private void sendDue() {
         if (status.isClosed()) {
             return;
         }
         for (ForwardedWrites.Attempt attempt : writes.dueAttempts(nowMs())) {
             if (status.isWriter()) {
-                // A rejection here may follow an earlier attempt that is in another node's log.
+                // Not write(): it turns NotLeader into Rejected, which would be wrong if an
+                // earlier attempt is in another node's log.
                 proposer.propose(attempt.command(), result -> onResult(attempt, result));
             } else if (raft.leader() != null && !raft.leader().equals(node)) {
                 forward(attempt, raft.leader());
             }
         }
-        if (!retryScheduled && !writes.isIdle()) {
-            retryScheduled = true;
+        if (!pollScheduled && !writes.isIdle()) {
+            pollScheduled = true;
             loop.schedule(
-                    RETRY_INTERVAL_MS,
+                    POLL_INTERVAL_MS,
                     () -> {
-                        retryScheduled = false;
+                        pollScheduled = false;
                         sendDue();
                     });
         }
@@ -94,7 +99,7 @@
         connections.send(leader, new PeerMessage.Forward(node, leader, id, command));
     }
 
-    /** Takes the leader's result of a forwarded write. */
+    /** Handles the leader's result of a forwarded write. */
     void onForwarded(PeerMessage.Forwarded message) {
         ForwardedWrites.Attempt attempt = attemptsById.remove(message.id());
         if (attempt != null) {
--- a/src/main/java/reeldeal/store/WriteProposer.java
+++ b/src/main/java/reeldeal/store/WriteProposer.java
@@ -3,7 +3,10 @@
 import java.util.function.Consumer;
 import reeldeal.consensus.RaftNode;
 
-/** Proposes writes on the node that leads, and rejects them elsewhere. On the event loop. */
+/**
+ * Proposes writes if this node accepts writes as leader, and rejects them otherwise. Belongs to the
+ * event loop.
+ */
 final class WriteProposer {
     private static final int MAX_COMMAND_BYTES = 512 * 1024;
 
@@ -23,7 +26,10 @@
         return command.length > MAX_COMMAND_BYTES;
     }
 
-    /** Proposes a command for which no other node is tried: it is rejected if this one cannot. */
+    /**
+     * Proposes a command that is not forwarded or retried: it is rejected if this node cannot
+     * propose it.
+     */
     void write(KeyValueState.Command command, Consumer<StoreNode.Result> callback) {
         propose(
                 command,
@@ -34,7 +40,9 @@
                                         : result));
     }
 
-    /** Proposes a command; the callback is called once, possibly before this returns. */
+    /**
+     * Proposes a command; the callback is called exactly once, possibly before this method returns.
+     */
     void propose(KeyValueState.Command command, Consumer<StoreNode.Result> callback) {
         byte[] data = KeyValueCodec.encode(command);
         if (!status.isWriter()) {
--- a/src/main/java/reeldeal/store/WriteQueue.java
+++ b/src/main/java/reeldeal/store/WriteQueue.java
@@ -6,8 +6,8 @@
 import reeldeal.consensus.Entry;
 
 /**
- * The writes that this node has proposed and that are not applied yet, by the index of their entry.
- * Each is answered once. Belongs to the event loop.
+ * The writes that this node has proposed and not yet applied, by the index of their entry. Each is
+ * answered exactly once. Belongs to the event loop.
  */
 final class WriteQueue {
     private static final int TIMEOUT_MS = 2_000;
@@ -33,7 +33,10 @@
         }
     }
 
-    /** A write whose entry is being applied; it may be one that another leader replaced. */
+    /**
+     * The write that was proposed at the index of an entry being applied. The entry may be a
+     * different one, if another leader replaced the proposed entry.
+     */
     static final class AppliedWrite {
         private static final AppliedWrite NONE = new AppliedWrite(null, false);
 
@@ -45,12 +48,15 @@
             this.proposedHere = proposedHere;
         }
 
-        /** The changes for the listeners: this node's own list if the entry is its write. */
+        /**
+         * Returns the changes for the listeners: the list that was proposed if the entry is this
+         * node's own write, else a copy of the decoded list.
+         */
         List<Change> changes(List<Change> decoded) {
             return proposedHere ? write.changes : List.copyOf(decoded);
         }
 
-        /** Answers the write, if there is one. */
+        /** Answers the write, if this node proposed one at this index. */
         void answer(KeyValueState.Outcome outcome) {
             if (write == null) {
                 return;
@@ -76,14 +82,16 @@
         return pending.size() >= MAX_WRITES;
     }
 
-    /** Adds a proposed write; without a result in time its result is unknown. */
+    /**
+     * Adds a proposed write, which is answered as unknown if its result does not arrive in time.
+     */
     void add(long index, long term, List<Change> changes, Consumer<StoreNode.Result> callback) {
         PendingWrite write = new PendingWrite(term, changes, callback);
         pending.put(index, write);
         loop.schedule(TIMEOUT_MS, () -> write.answer(new StoreNode.Unknown()));
     }
 
-    /** Removes the write of an entry that is being applied. */
+    /** Removes and returns the write at the index of an entry that is being applied. */
     AppliedWrite take(Entry entry) {
         PendingWrite write = pending.remove(entry.index());
         return write == null
@@ -91,7 +99,9 @@
                 : new AppliedWrite(write, write.term == entry.term());
     }
 
-    /** Answers all writes as unknown: another leader may commit or replace them. */
+    /**
+     * Answers all writes as unknown, because another leader may commit or replace their entries.
+     */
     void abandonAll() {
         List<PendingWrite> abandoned = List.copyOf(pending.values());
         pending.clear();
--- a/src/test/java/reeldeal/store/ForwardedWritesTest.java
+++ b/src/test/java/reeldeal/store/ForwardedWritesTest.java
@@ -14,14 +14,14 @@
 import org.junit.Test;
 
 /**
- * Forwarded writes over a network that loses, duplicates and delays, to leaders that change, by
- * seed.
+ * Simulates, for each seed, forwarded writes over a network that loses, duplicates and delays
+ * messages, to nodes that may not lead any more.
  */
 public class ForwardedWritesTest {
     private static final int WRITES = 60;
     private static final long END_MS = 20_000;
 
-    /** How often writes had each result. */
+    /** Counts the writes by their result. */
     private static final class Results {
         private int committed;
         private int unknown;
@@ -67,7 +67,7 @@
             events.add(new Event(now + delay, nextOrder++, action));
         }
 
-        /** Returns what went wrong, or null. */
+        /** Runs the simulation; returns the errors, or null if there were none. */
         String run(Results counts) {
             for (int i = 0; i < WRITES; i++) {
                 int write = i;
@@ -153,7 +153,7 @@
             assertNull("seed " + seed, new Simulation(seed).run(counts));
         }
         assertTrue(
-                "all results occur: " + counts,
+                "each result must occur (committed, unknown, rejected): " + counts,
                 counts.committed > 10_000 && counts.unknown > 30 && counts.rejected > 100);
     }
 }
--- a/src/test/java/reeldeal/store/KeyValueStateTest.java
+++ b/src/test/java/reeldeal/store/KeyValueStateTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** What commands change, and what a snapshot keeps. */
+/** Tests the effects of commands on the state, and the content of snapshots. */
 public class KeyValueStateTest {
     private final KeyValueState state = new KeyValueState();
     private final List<Change> changed = new ArrayList<>();
@@ -28,7 +28,7 @@
         return new KeyValueState.Command(session, 1, List.of(), List.of(new Change(key, value)));
     }
 
-    private void useMoreSessionsThanAreKept() {
+    private void exceedTheSessionLimit() {
         for (int i = 0; i < 1_500; i++) {
             apply(sessionCommand("other:" + i + ":0", "o", "" + i));
         }
@@ -39,7 +39,7 @@
         put(KeyValueState.LEVEL_KEY, "2");
         put(KeyValueState.PINNED_SESSION_PREFIX + "n:1", "");
         apply(sessionCommand("n:1:0", "k", "once"));
-        useMoreSessionsThanAreKept();
+        exceedTheSessionLimit();
         apply(sessionCommand("n:1:0", "k", "once"));
         assertEquals(0, changed.size());
     }
@@ -49,7 +49,7 @@
         put(KeyValueState.LEVEL_KEY, "1");
         put(KeyValueState.PINNED_SESSION_PREFIX + "n:1", "");
         apply(sessionCommand("n:1:0", "k", "once"));
-        useMoreSessionsThanAreKept();
+        exceedTheSessionLimit();
         apply(sessionCommand("n:1:0", "k", "once"));
         assertEquals(1, changed.size());
     }
@@ -91,7 +91,7 @@
         assertTrue(put("p/1", "1234567").isApplied());
         assertEquals("quota: p may hold 10 bytes", put("p/2", "1").rejection());
         assertEquals(10, state.bytesUnder("p"));
-        assertTrue("less is allowed", put("p/1", null).isApplied());
+        assertTrue("a change that frees bytes is allowed", put("p/1", null).isApplied());
         assertEquals(0, state.bytesUnder("p"));
     }
 
--- a/src/test/java/reeldeal/store/LegacyFolderFixture.java
+++ b/src/test/java/reeldeal/store/LegacyFolderFixture.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Writes a folder as version 0.3 of the program did. */
+/** Writes a data directory in the format of program version 0.3. */
 final class LegacyFolderFixture {
     private LegacyFolderFixture() {}
 
--- a/src/test/java/reeldeal/store/LogApplierTest.java
+++ b/src/test/java/reeldeal/store/LogApplierTest.java
@@ -15,12 +15,12 @@
 import org.junit.Test;
 import reeldeal.consensus.Entry;
 
-/** Which committed entries are applied, and how the writes of this node are answered. */
+/** Tests which committed entries are applied, and how the writes of this node are answered. */
 public class LogApplierTest {
     private static final int DURABLE = 100;
 
-    private final EventLoopGroup group = new NioEventLoopGroup(1);
-    private final WriteQueue writes = new WriteQueue(new StoreLoop(group));
+    private final EventLoopGroup eventLoopGroup = new NioEventLoopGroup(1);
+    private final WriteQueue writes = new WriteQueue(new StoreLoop(eventLoopGroup));
     private final List<List<Change>> published = new ArrayList<>();
     private final List<StoreNode.Result> results = new ArrayList<>();
     private final List<String> log = new ArrayList<>();
@@ -34,7 +34,7 @@
 
     @After
     public void closeGroup() {
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
     private static Entry entry(long index, long term, Change... changes) {
@@ -93,7 +93,7 @@
     }
 
     @Test
-    public void aSnapshotPublishesWhatDiffers() throws IOException {
+    public void installingASnapshotPublishesTheDifferences() throws IOException {
         applier.apply(
                 List.of(entry(1, 1, new Change("same", "1"), new Change("deleted", "1"))), DURABLE);
         KeyValueState other = new KeyValueState();
--- a/src/test/java/reeldeal/store/StaleStartTest.java
+++ b/src/test/java/reeldeal/store/StaleStartTest.java
@@ -8,7 +8,7 @@
 import org.junit.Test;
 import reeldeal.consensus.Entry;
 
-/** What a node serves that does not reach its group at the start. */
+/** Tests the copy that a node serves if it does not reach its group after its start. */
 public class StaleStartTest {
     private final StaleStart staleStart = new StaleStart(line -> {});
     private final KeyValueState state = new KeyValueState();
@@ -23,7 +23,7 @@
     public void theCopyHasTheEntriesAfterTheState() {
         staleStart.createCopy(state.freeze(), List.of(entry(1, "1"), entry(2, "2")));
         assertEquals("2", staleStart.copy().get("k").text());
-        assertNull("the state is unchanged", state.get("k"));
+        assertNull("the state itself must not change", state.get("k"));
     }
 
     @Test
--- a/src/test/java/reeldeal/store/StoreGroup.java
+++ b/src/test/java/reeldeal/store/StoreGroup.java
@@ -24,23 +24,29 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** Nodes of one group over loopback, all on one event loop, which can be started and killed. */
+/**
+ * Runs the nodes of one group over loopback, all on one event loop; nodes can be started and
+ * killed.
+ */
 final class StoreGroup implements AutoCloseable {
     private static final long TIMEOUT_MS = 20_000;
     private static final int ADMIN_TIMEOUT_MS = 8_000;
 
-    /** Below the ports that outgoing connections get: none of those may take a killed node's. */
+    /**
+     * The lowest port of a node. The nodes' ports are below the range for outgoing connections, so
+     * that no such connection takes the port of a killed node.
+     */
     private static final int FIRST_PORT = 20_000;
 
     private static final int PORTS = 10_000;
 
     private final Path folder;
-    private final EventLoopGroup group = new NioEventLoopGroup(1);
+    private final EventLoopGroup eventLoopGroup = new NioEventLoopGroup(1);
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private final Map<String, StoreNode> running = new HashMap<>();
     private final List<String> log = new CopyOnWriteArrayList<>();
 
-    /** Chooses a port for each node; none is started yet. */
+    /** Chooses a free port for each node, and starts none of them. */
     StoreGroup(Path folder, String... nodes) throws IOException {
         this.folder = folder;
         int port = FIRST_PORT + new Random().nextInt(PORTS);
@@ -72,7 +78,7 @@
         return running.values();
     }
 
-    /** The lines that the nodes logged. */
+    /** Returns the lines that all nodes have logged. */
     List<String> log() {
         return log;
     }
@@ -88,7 +94,7 @@
                 new StoreConfig("g", node, addresses, Set.of(), false, folderOf(node), null, 1));
     }
 
-    /** Starts a node that joins the group. */
+    /** Starts a node that joins the existing group, and chooses a port for it. */
     StoreNode startJoining(String node) throws Exception {
         Map<String, InetSocketAddress> knownAddresses = new HashMap<>(addresses);
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -110,7 +116,7 @@
     }
 
     private StoreNode start(StoreConfig config) throws Exception {
-        StoreNode node = new StoreNode(group, config, log::add);
+        StoreNode node = new StoreNode(eventLoopGroup, config, log::add);
         running.put(config.node(), node);
         node.start().sync();
         return node;
@@ -119,8 +125,8 @@
     void kill(String node) throws Exception {
         StoreNode killed = running.remove(node);
         runOnLoop(killed::close);
-        // A closed channel's port is free once the event loop has been back at its selector, which
-        // may be after the next task.
+        // The port of a closed channel becomes free when the event loop returns to its selector,
+        // which may be after the next task.
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         boolean free = false;
         while (!free) {
@@ -129,33 +135,35 @@
                             addresses.get(node).getPort(), 1, InetAddress.getLoopbackAddress())) {
                 free = true;
             } catch (BindException e) {
-                assertTrue("the port of " + node + " is still taken", System.nanoTime() < deadline);
+                assertTrue(
+                        "the port of node " + node + " is still in use",
+                        System.nanoTime() < deadline);
             }
         }
     }
 
-    /** The node that accepts writes, once there is one. */
+    /** Waits until a node accepts writes, and returns it. */
     StoreNode writer() throws Exception {
         await(() -> running.values().stream().anyMatch(StoreNode::acceptsWrites));
         return running.values().stream().filter(StoreNode::acceptsWrites).findFirst().orElseThrow();
     }
 
-    /** Any node for whose name this holds. */
+    /** Returns any node whose name matches. */
     String anyNode(Predicate<String> matches) {
         return addresses.keySet().stream().filter(matches).findFirst().orElseThrow();
     }
 
-    /** Calls on the event loop. */
+    /** Calls a task on the event loop, and returns its result. */
     <T> T callOnLoop(Callable<T> task) throws Exception {
-        return group.next().submit(task).sync().getNow();
+        return eventLoopGroup.next().submit(task).sync().getNow();
     }
 
-    /** A task that may fail. */
+    /** A task that may throw an exception. */
     interface Task {
         void run() throws Exception;
     }
 
-    /** Runs on the event loop. */
+    /** Runs a task on the event loop, and waits for its end. */
     void runOnLoop(Task task) throws Exception {
         callOnLoop(
                 () -> {
@@ -172,7 +180,7 @@
         return resultOf(callback -> node.write(command, callback));
     }
 
-    /** The result of a write, which is begun on the event loop. */
+    /** Starts a write on the event loop, and waits for its result. */
     StoreNode.Result resultOf(Consumer<Consumer<StoreNode.Result>> write) throws Exception {
         CompletableFuture<StoreNode.Result> result = new CompletableFuture<>();
         runOnLoop(() -> write.accept(result::complete));
@@ -186,7 +194,9 @@
     void await(Callable<Boolean> condition) throws Exception {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (!callOnLoop(condition)) {
-            assertTrue("not within the time limit; " + log, System.nanoTime() < deadline);
+            assertTrue(
+                    "the condition did not hold within the time limit; log: " + log,
+                    System.nanoTime() < deadline);
             Thread.sleep(5);
         }
     }
@@ -207,6 +217,6 @@
         for (String node : List.copyOf(running.keySet())) {
             kill(node);
         }
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 }
--- a/src/test/java/reeldeal/store/StoreNodeTest.java
+++ b/src/test/java/reeldeal/store/StoreNodeTest.java
@@ -13,7 +13,7 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** Three nodes over loopback, of which some are killed and started again. */
+/** Tests a group of three nodes over loopback, some of which are killed and restarted. */
 public class StoreNodeTest {
     @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
@@ -56,7 +56,7 @@
     }
 
     @Test
-    public void aKilledWriterIsReplacedAndWhatWasCommittedStays() throws Exception {
+    public void aKilledWriterIsReplacedAndCommittedWritesRemain() throws Exception {
         group.startAll();
         for (int round = 0; round < 3; round++) {
             StoreNode writer = group.writer();
@@ -85,7 +85,7 @@
         group.start(follower);
         assertCommitted(group.write(group.writer(), "j", "3"));
         assertTrue(
-                "it steps down and says so",
+                "the leader logs that it hears no majority",
                 group.log().stream().anyMatch(line -> line.contains("hears no majority")));
     }
 
@@ -101,7 +101,7 @@
                 new KeyValueState.Command("s", 1, unchanged, List.of(new Change("k", "2")));
         StoreNode.Result first = group.write(writer, conditionalWrite);
         assertEquals(
-                "the same again, as after a lost answer",
+                "a command repeated after a lost answer gets the same result",
                 first,
                 group.write(writer, conditionalWrite));
         assertCommitted(first);
@@ -135,7 +135,10 @@
         group.awaitValue(group.start(writer.node()), "k", "3");
     }
 
-    /** The level is raised without operators, and a joining node becomes a learner. */
+    /**
+     * Starts all nodes, whose level is raised without an operator's request, and adds a joining
+     * node as a learner.
+     */
     private StoreNode startAllAndAddLearner(String learner) throws Exception {
         group.startAll();
         group.writer();
@@ -152,7 +155,7 @@
     }
 
     @Test
-    public void aLearnersWriteGoesToTheLeaderAndIsSeenOnAllNodes() throws Exception {
+    public void aLearnersWriteIsForwardedToTheLeaderAndAppliedOnAllNodes() throws Exception {
         StoreNode learner = startAllAndAddLearner("d");
         assertCommitted(
                 group.resultOf(
@@ -183,7 +186,8 @@
                 () ->
                         group.running().stream()
                                 .allMatch(node -> node.configuration().voters().equals(voters)));
-        // Two of three are running: a change that leaves one of two reachable is rejected.
+        // Two of three voters are running: a change after which only one of two voters is reachable
+        // is rejected.
         group.kill(other);
         group.await(() -> !group.node(leader).progressOf(other).reachable());
         String rejection = group.sendAdminRequest(leader, "store remove d").text();
@@ -203,7 +207,7 @@
                 KeyValueState.encode(KeyValueState.Command.of(List.of(new Change("k", "2"))));
         newerFormat[0] = 2;
         group.runOnLoop(() -> writer.proposeRaw(newerFormat));
-        String expectedText = "a form that this program does not know (form 2)";
+        String expectedText = "a command format that this program does not support (form 2)";
         group.await(
                 () ->
                         group.log().stream().filter(logged -> logged.contains(expectedText)).count()
--- a/src/test/java/reeldeal/store/StoredDataTest.java
+++ b/src/test/java/reeldeal/store/StoredDataTest.java
@@ -22,9 +22,10 @@
 import reeldeal.storage.DataDirectory;
 
 /**
- * Data directories written by the program of revision 9332643: one in a fault-injection run with a
- * release, keyed requests, a killed broker and a killed leader (scenario.json, seed 7), one
- * restored from its backup. They must be read, and written again, byte by byte.
+ * Reads data directories that revision 9332643 of the program wrote: one in a fault-injection run
+ * with a release, keyed requests, a killed broker and a killed leader (scenario.json, seed 7), the
+ * other restored from the backup of the first. The present program must read them, and must write
+ * the same content byte for byte.
  */
 public class StoredDataTest {
     private static final Path RESOURCES = Path.of("src/test/resources/stored");
@@ -41,7 +42,7 @@
         }
         try (DataDirectory opened =
                 DataDirectory.open(copy, node, GroupConfiguration.of("nobody"), SEGMENT_BYTES)) {
-            assertEquals("nothing is cut", 0, opened.opened().cutBytes());
+            assertEquals("no torn write is cut", 0, opened.opened().cutBytes());
             return opened.opened().state();
         }
     }
--- a/src/test/java/reeldeal/store/StoredIdentifiersTest.java
+++ b/src/test/java/reeldeal/store/StoredIdentifiersTest.java
@@ -21,8 +21,8 @@
 import reeldeal.fleet.takeover.ServerStatsExchange;
 
 /**
- * Everything that is stored, or sent between nodes, under a name or a letter: listed here as
- * literals, so that no rename reaches it.
+ * Checks the names and letters under which data is stored or sent between nodes. They are listed as
+ * literals, so that a rename in the code cannot change them unnoticed.
  */
 public class StoredIdentifiersTest {
     private static final GroupConfiguration GROUP =
@@ -99,7 +99,7 @@
     }
 
     @Test
-    public void aFleetWithZonesKeyedRequestsAndAReleaseHasTheseKinds() throws IOException {
+    public void aFleetWithZonesKeyedRequestsAndAReleaseStoresTheseKindsOfKeys() throws IOException {
         Set<String> kinds = new TreeSet<>();
         KeyValueState state = Backup.read(Path.of("src/test/resources/stored/state.backup"));
         state.valuesUnder("")
@@ -123,7 +123,7 @@
     }
 
     @Test
-    public void messagesOfConsensusHaveTheseBytes() {
+    public void consensusMessagesHaveTheseBytes() {
         Entry entry = new Entry(7, 3, new byte[] {1, 2}, null);
         Entry membershipChange = new Entry(8, 3, new byte[0], GROUP);
         assertEncoded(
@@ -167,7 +167,7 @@
     }
 
     @Test
-    public void messagesBesideConsensusHaveTheseBytes() {
+    public void peerMessagesHaveTheseBytes() {
         assertEncoded(
                 "0001674c00016100000002",
                 PeerMessageCodec.write("g", new PeerMessage.Hello("a", 2)));
