--- a/src/main/java/reeldeal/store/KeyValueState.java
+++ b/src/main/java/reeldeal/store/KeyValueState.java
@@ -316,15 +316,15 @@
                 - (before == null ? 0 : size(change.key(), before.text()));
     }
 
-    private void applyChange(long index, Change applyChange) {
-        String prefix = prefixOf(applyChange.key());
-        long bytes = bytesUnder(prefix) + growthOf(applyChange);
+    private void applyChange(long index, Change change) {
+        String prefix = prefixOf(change.key());
+        long bytes = bytesUnder(prefix) + growthOf(change);
         bytesByPrefix =
                 bytes == 0 ? bytesByPrefix.minus(prefix) : bytesByPrefix.plus(prefix, bytes);
         values =
-                applyChange.value() == null
-                        ? values.minus(applyChange.key())
-                        : values.plus(applyChange.key(), new Value(applyChange.value(), index));
+                change.value() == null
+                        ? values.minus(change.key())
+                        : values.plus(change.key(), new Value(change.value(), index));
     }
 
     private void addToHistory(ChangeSet changeSet) {
