--- a/src/main/java/reeldeal/store/AdminClient.java
+++ b/src/main/java/reeldeal/store/AdminClient.java
@@ -7,8 +7,8 @@
 import java.net.Socket;
 
 /**
- * Sends one operator's request to a running node, and on to the leader if only that can answer.
- * Blocks; may be used on any thread but an event loop.
+ * Sends an operator's request to a running node, and follows its redirections to the leader. The
+ * calls block, so they must not be made on an event loop.
  */
 public final class AdminClient {
     private static final int MAX_REDIRECTS = 3;
@@ -17,19 +17,19 @@
     private AdminClient() {}
 
     /**
-     * The answer to a request.
+     * Returns the answer to a request, from the node itself or from the leader that it names.
      *
-     * @param timeoutMs for each connection and each read
-     * @throws IOException if the node is not reachable, is of another group, or does not answer in
-     *     time
+     * @param timeoutMs the time limit of each connection attempt and of each read
+     * @throws IOException if the node is not reachable, belongs to another group, or does not
+     *     answer in time
      */
     public static StoreNode.AdminAnswer send(
-            InetSocketAddress node, String group, String question, int timeoutMs)
+            InetSocketAddress node, String group, String request, int timeoutMs)
             throws IOException {
         InetSocketAddress address = node;
         StoreNode.AdminAnswer answer = null;
         for (int i = 0; i < MAX_REDIRECTS; i++) {
-            answer = askOnce(address, group, question, timeoutMs);
+            answer = sendOnce(address, group, request, timeoutMs);
             if (answer.leader().isEmpty()) {
                 return answer;
             }
@@ -42,30 +42,34 @@
         return answer;
     }
 
-    private static StoreNode.AdminAnswer askOnce(
-            InetSocketAddress node, String group, String question, int timeoutMs)
+    private static StoreNode.AdminAnswer sendOnce(
+            InetSocketAddress node, String group, String request, int timeoutMs)
             throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(node, timeoutMs);
             socket.setSoTimeout(timeoutMs);
-            byte[] request =
+            byte[] frame =
                     PeerMessageCodec.write(
-                            group, new PeerMessage.AdminRequest(REQUEST_ID, question));
+                            group, new PeerMessage.AdminRequest(REQUEST_ID, request));
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-            out.writeInt(request.length);
-            out.write(request);
+            out.writeInt(frame.length);
+            out.write(frame);
             out.flush();
             return readAnswer(new DataInputStream(socket.getInputStream()), group);
         }
     }
 
-    /** Reads up to the answer; the node announces its level before. */
+    /** Reads frames up to the answer, and skips the node's level, which it announces first. */
     private static StoreNode.AdminAnswer readAnswer(DataInputStream in, String group)
             throws IOException {
         while (true) {
             int length = in.readInt();
-            if (length < 1 || length > PeerConnections.MAX_FRAME) {
-                throw new IOException("impossible length " + length);
+            if (length < 1 || length > PeerConnections.MAX_FRAME_BYTES) {
+                throw new IOException(
+                        "expected a frame length from 1 to "
+                                + PeerConnections.MAX_FRAME_BYTES
+                                + " in the answer, found "
+                                + length);
             }
             if (PeerMessageCodec.read(group, in.readNBytes(length))
                     instanceof PeerMessage.AdminResponse response) {
--- a/src/main/java/reeldeal/store/GroupAdminHandler.java
+++ b/src/main/java/reeldeal/store/GroupAdminHandler.java
@@ -12,12 +12,15 @@
 import reeldeal.consensus.RaftNode;
 
 /**
- * Operators' requests about the group itself: its members, and the level of commands and rules that
- * its log may have. Belongs to the event loop.
+ * Handles operators' requests about the group itself: its members, and its feature level, which
+ * determines the commands and rules that its log may contain. Belongs to the event loop.
  */
 final class GroupAdminHandler {
-    /** The level of the program that began the group; absent if that was level 1. */
-    private static final String FIRST_LEVEL_KEY = "feature/fresh";
+    /**
+     * The key of the feature level of the program that created the group; absent if that was level
+     * 1.
+     */
+    private static final String INITIAL_LEVEL_KEY = "feature/fresh";
 
     private static final int RAISE_RETRY_MS = 200;
     private static final int COMMIT_POLL_MS = 50;
@@ -38,14 +41,15 @@
     // ---- level ----
 
     /**
-     * A group that this program began has no earlier program to wait for: its level is raised once
-     * all nodes have announced theirs. A group that an earlier program began keeps its level until
-     * operators raise it, since that ends the possibility of a rollback.
+     * Raises the level of a new group once this node leads it. A group that was created by this
+     * version of the program contains no earlier version, so its level is raised as soon as all
+     * nodes have announced theirs. A group that an earlier version created keeps its level until
+     * operators raise it, since raising it makes a rollback impossible.
      */
     void onLeading() {
         if (store.version() == 1) {
             store.write(
-                    List.of(new Change(FIRST_LEVEL_KEY, String.valueOf(PeerMessage.LEVEL))),
+                    List.of(new Change(INITIAL_LEVEL_KEY, String.valueOf(PeerMessage.LEVEL))),
                     result -> {});
         }
         raiseIfNewGroup();
@@ -55,7 +59,7 @@
         if (!store.acceptsWrites() || store.level() >= PeerMessage.LEVEL) {
             return;
         }
-        boolean isNewGroup = store.value(FIRST_LEVEL_KEY) != null;
+        boolean isNewGroup = store.value(INITIAL_LEVEL_KEY) != null;
         if (isNewGroup && nodesBelowLevel().isEmpty()) {
             raiseLevel(result -> {});
         } else if (isNewGroup || store.version() <= 2) {
@@ -64,7 +68,7 @@
     }
 
     private void raiseLevel(Consumer<StoreNode.Result> callback) {
-        String key = KeyValueState.LEVEL;
+        String key = KeyValueState.LEVEL_KEY;
         store.write(
                 new KeyValueState.Command(
                         "",
@@ -74,7 +78,7 @@
                 callback);
     }
 
-    /** The members that have not announced this program's level. */
+    /** Returns the members that have not announced the level of this program. */
     private Set<String> nodesBelowLevel() {
         Set<String> nodes = new TreeSet<>(store.configuration().all());
         nodes.removeIf(node -> store.levelOf(node) >= PeerMessage.LEVEL);
@@ -83,40 +87,40 @@
 
     // ---- requests ----
 
-    /** Answers one request. */
-    void handle(String text, StoreNode.AdminReply reply) {
-        String[] words = text.trim().split(" +", -1);
-        String verb = words.length > 1 ? words[1] : "";
-        if (verb.equals("nodes") && words.length == 2) {
+    /** Answers one request, whose first word is {@code store}. */
+    void handle(String requestText, StoreNode.AdminReply reply) {
+        String[] tokens = requestText.trim().split(" +", -1);
+        String subcommand = tokens.length > 1 ? tokens[1] : "";
+        if (subcommand.equals("nodes") && tokens.length == 2) {
             describeNodes(reply);
-        } else if (verb.equals("level") && words.length == 2) {
+        } else if (subcommand.equals("level") && tokens.length == 2) {
             describeLevel(reply);
         } else if (!store.acceptsWrites()) {
             reply.redirect();
-        } else if (verb.equals("level") && words.length == 3 && words[2].equals("raise")) {
+        } else if (subcommand.equals("level") && tokens.length == 3 && tokens[2].equals("raise")) {
             raiseLevel(reply);
-        } else if (verb.equals("add") && words.length == 4) {
-            add(words[2], words[3], reply);
-        } else if (verb.equals("replace") && words.length == 4) {
-            replace(words[2], words[3], reply);
-        } else if (verb.equals("promote") && words.length == 3) {
+        } else if (subcommand.equals("add") && tokens.length == 4) {
+            add(tokens[2], tokens[3], reply);
+        } else if (subcommand.equals("replace") && tokens.length == 4) {
+            replace(tokens[2], tokens[3], reply);
+        } else if (subcommand.equals("promote") && tokens.length == 3) {
             change(
                     MembershipChangeRules.Change.PROMOTE,
-                    words[2],
+                    tokens[2],
                     reply,
-                    () -> reply.answer("promoted " + words[2]));
-        } else if (verb.equals("demote") && words.length == 3) {
+                    () -> reply.answer("promoted " + tokens[2]));
+        } else if (subcommand.equals("demote") && tokens.length == 3) {
             change(
                     MembershipChangeRules.Change.DEMOTE,
-                    words[2],
+                    tokens[2],
                     reply,
-                    () -> reply.answer("demoted " + words[2]));
-        } else if (verb.equals("remove") && words.length == 3) {
+                    () -> reply.answer("demoted " + tokens[2]));
+        } else if (subcommand.equals("remove") && tokens.length == 3) {
             change(
                     MembershipChangeRules.Change.REMOVE,
-                    words[2],
+                    tokens[2],
                     reply,
-                    () -> removeAddress(words[2], reply));
+                    () -> removeAddress(tokens[2], reply));
         } else {
             reply.reject(USAGE);
         }
@@ -155,35 +159,38 @@
     }
 
     private void describeLevel(StoreNode.AdminReply reply) {
-        Set<String> below = nodesBelowLevel();
+        Set<String> nodesBelow = nodesBelowLevel();
         reply.answer(
                 "level "
                         + store.level()
                         + ", this program knows "
                         + PeerMessage.LEVEL
-                        + (below.isEmpty()
+                        + (nodesBelow.isEmpty()
                                 ? "; all nodes do"
-                                : "; not told by " + String.join(" ", below)));
+                                : "; not told by " + String.join(" ", nodesBelow)));
     }
 
     private void raiseLevel(StoreNode.AdminReply reply) {
-        Set<String> below = nodesBelowLevel();
+        Set<String> nodesBelow = nodesBelowLevel();
         if (store.level() >= PeerMessage.LEVEL) {
             reply.answer("level " + store.level() + " holds already");
-        } else if (!below.isEmpty()) {
+        } else if (!nodesBelow.isEmpty()) {
             reply.reject(
                     "not all nodes know level "
                             + PeerMessage.LEVEL
                             + ": "
-                            + String.join(" ", below));
+                            + String.join(" ", nodesBelow));
         } else {
-            String done =
+            String successText =
                     "level " + PeerMessage.LEVEL + "; no earlier program can take part from now on";
-            raiseLevel(result -> answer(reply, result, done));
+            raiseLevel(result -> answer(reply, result, successText));
         }
     }
 
-    /** The address first, so that whoever leads next can reach the node as well. */
+    /**
+     * Adds a learner. Its address is committed before the membership change, so that a later leader
+     * can connect to the node as well.
+     */
     private void add(String node, String address, StoreNode.AdminReply reply) {
         if (!isValid(node, address)) {
             reply.reject(
@@ -194,7 +201,7 @@
             return;
         }
         store.write(
-                List.of(new Change(StoreNode.NODE_KEY + node, address)),
+                List.of(new Change(StoreNode.NODE_KEY_PREFIX + node, address)),
                 result -> {
                     if (result instanceof StoreNode.Committed) {
                         change(
@@ -224,13 +231,13 @@
     }
 
     private void removeAddress(String node, StoreNode.AdminReply reply) {
-        String done = "removed " + node;
-        if (store.value(StoreNode.NODE_KEY + node) == null) {
-            reply.answer(done);
+        String successText = "removed " + node;
+        if (store.value(StoreNode.NODE_KEY_PREFIX + node) == null) {
+            reply.answer(successText);
         } else {
             store.write(
-                    List.of(new Change(StoreNode.NODE_KEY + node, null)),
-                    result -> answer(reply, result, done));
+                    List.of(new Change(StoreNode.NODE_KEY_PREFIX + node, null)),
+                    result -> answer(reply, result, successText));
         }
     }
 
@@ -251,7 +258,7 @@
                             + " lead; try again");
         } else {
             log.accept(
-                    "store: members change: "
+                    "store: changing the group's members: "
                             + change.name().toLowerCase(Locale.ROOT)
                             + " "
                             + node);
@@ -276,9 +283,10 @@
         }
     }
 
-    private static void answer(StoreNode.AdminReply reply, StoreNode.Result result, String done) {
+    private static void answer(
+            StoreNode.AdminReply reply, StoreNode.Result result, String successText) {
         if (result instanceof StoreNode.Committed) {
-            reply.answer(done);
+            reply.answer(successText);
         } else if (result instanceof StoreNode.Rejected rejected) {
             reply.reject("not done: " + rejected.reason());
         } else {
--- a/src/main/java/reeldeal/store/KeyValueCodec.java
+++ b/src/main/java/reeldeal/store/KeyValueCodec.java
@@ -10,15 +10,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Commands and snapshots of the {@link KeyValueState} as bytes. */
+/** Encodes and decodes the commands and snapshots of the {@link KeyValueState}. */
 final class KeyValueCodec {
-    private static final int COMMAND_FORM = 1;
-    private static final int SNAPSHOT_FORM = 1;
+    private static final int COMMAND_FORMAT = 1;
+    private static final int SNAPSHOT_FORMAT = 1;
     private static final int INITIAL_SNAPSHOT_BYTES = 1 << 16;
 
     private KeyValueCodec() {}
 
-    /** Takes the content of a snapshot while it is read. */
+    /** Receives the content of a snapshot while it is decoded. */
     interface SnapshotReader {
         void version(long version);
 
@@ -27,18 +27,18 @@
         void session(String name, KeyValueState.Session session);
     }
 
-    /** A command as an entry's data. */
+    /** Encodes a command as the data of a log entry. */
     static byte[] encode(KeyValueState.Command command) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         try {
-            out.writeByte(COMMAND_FORM);
+            out.writeByte(COMMAND_FORMAT);
             ByteBlocks.writeText(out, command.session());
             out.writeLong(command.number());
             out.writeInt(command.preconditions().size());
-            for (KeyValueState.Precondition expect : command.preconditions()) {
-                ByteBlocks.writeText(out, expect.key());
-                out.writeLong(expect.version());
+            for (KeyValueState.Precondition precondition : command.preconditions()) {
+                ByteBlocks.writeText(out, precondition.key());
+                out.writeLong(precondition.version());
             }
             out.writeInt(command.changes().size());
             for (Change change : command.changes()) {
@@ -49,38 +49,40 @@
                 }
             }
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory does not fail
+            throw new UncheckedIOException(e); // a ByteArrayOutputStream does not throw
         }
         return bytes.toByteArray();
     }
 
     /**
-     * Reads a command; throws IOException if the bytes are malformed, and
-     * UnsupportedFormatException if only a later program knows their form.
+     * Decodes a command; throws IOException if the bytes are malformed, and
+     * UnsupportedFormatException if a newer version of the program wrote them in a format that this
+     * one does not support.
      */
     static KeyValueState.Command decode(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
-        int form = in.readByte();
-        if (form > COMMAND_FORM) {
-            throw new KeyValueState.UnsupportedFormatException(form);
-        } else if (form < COMMAND_FORM) {
-            throw new IOException("no such form: " + form);
+        int format = in.readByte();
+        if (format > COMMAND_FORMAT) {
+            throw new KeyValueState.UnsupportedFormatException(format);
+        } else if (format < COMMAND_FORMAT) {
+            throw new IOException("no such form: " + format);
         }
         String session = ByteBlocks.readText(in);
         long number = in.readLong();
-        List<KeyValueState.Precondition> expects = new ArrayList<>();
+        List<KeyValueState.Precondition> preconditions = new ArrayList<>();
         for (int count = ByteBlocks.readCount(in); count > 0; count--) {
-            expects.add(new KeyValueState.Precondition(ByteBlocks.readText(in), in.readLong()));
+            preconditions.add(
+                    new KeyValueState.Precondition(ByteBlocks.readText(in), in.readLong()));
         }
         List<Change> changes = new ArrayList<>();
         for (int count = ByteBlocks.readCount(in); count > 0; count--) {
             String key = ByteBlocks.readText(in);
             changes.add(new Change(key, in.readBoolean() ? ByteBlocks.readText(in) : null));
         }
-        return new KeyValueState.Command(session, number, expects, List.copyOf(changes));
+        return new KeyValueState.Command(session, number, preconditions, List.copyOf(changes));
     }
 
-    /** A snapshot's bytes. */
+    /** Encodes a snapshot of the values and sessions of one version. */
     static byte[] encodeSnapshot(
             long version,
             Map<String, KeyValueState.Value> values,
@@ -88,7 +90,7 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_SNAPSHOT_BYTES);
         DataOutputStream out = new DataOutputStream(bytes);
         try {
-            out.writeByte(SNAPSHOT_FORM);
+            out.writeByte(SNAPSHOT_FORMAT);
             out.writeLong(version);
             out.writeInt(values.size());
             for (Map.Entry<String, KeyValueState.Value> entry : values.entrySet()) {
@@ -102,7 +104,7 @@
                 writeSession(out, entry.getValue());
             }
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory does not fail
+            throw new UncheckedIOException(e); // a ByteArrayOutputStream does not throw
         }
         return bytes.toByteArray();
     }
@@ -113,14 +115,20 @@
         out.writeLong(session.number());
         out.writeLong(session.lastVersion());
         out.writeLong(outcome.version());
-        ByteBlocks.writeText(out, outcome.done() ? "" : outcome.rejection());
+        ByteBlocks.writeText(out, outcome.isApplied() ? "" : outcome.rejection());
     }
 
-    /** Reads a snapshot; throws IOException if the bytes are malformed or of a later program. */
+    /**
+     * Decodes a snapshot; throws IOException if the bytes are malformed or were written by a newer
+     * version of the program.
+     */
     static void decodeSnapshot(byte[] bytes, SnapshotReader reader) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
-        if (in.readByte() != SNAPSHOT_FORM) {
-            throw new IOException("a snapshot of a later version of the program");
+        if (in.readByte() != SNAPSHOT_FORMAT) {
+            throw new IOException(
+                    "the snapshot does not have format "
+                            + SNAPSHOT_FORMAT
+                            + ": it was written by a newer version of the program");
         }
         reader.version(in.readLong());
         for (int count = ByteBlocks.readCount(in); count > 0; count--) {
--- a/src/main/java/reeldeal/store/KeyValueState.java
+++ b/src/main/java/reeldeal/store/KeyValueState.java
@@ -9,34 +9,43 @@
 import org.pcollections.TreePMap;
 
 /**
- * The replicated state: values by their keys, each with the version that wrote it, and the result
- * of the last write of each session. A version is the index of the entry that made it. The same
- * commands in the same order lead to the same state on every node: it reads no clock, disk or
- * network.
+ * The replicated state: values by key, each with the version that wrote it, and the result of the
+ * last write of each session. A version is the index of the log entry that produced it. The state
+ * is deterministic: it reads no clock, disk or network, so that the same commands in the same order
+ * lead to the same state on every node.
  *
- * <p>Not thread-safe; but a {@link Frozen} copy may be used on any thread.
+ * <p>Not thread-safe, except that a {@link Frozen} copy may be used on any thread.
  */
 public final class KeyValueState {
-    /** The largest key, in bytes of UTF-8. */
+    /** The maximum length of a key, in bytes of UTF-8. */
     public static final int MAX_KEY_BYTES = 1_024;
 
-    /** The largest value, in bytes of UTF-8. */
+    /** The maximum length of a value, in bytes of UTF-8. */
     public static final int MAX_VALUE_BYTES = 256 * 1024;
 
-    /** Bytes that may be kept under a first part of a key that has no quota of its own. */
-    public static final long MAX_BYTES = 256L << 20;
+    /**
+     * The quota, in bytes, of a prefix without a quota of its own. A prefix is the part of a key up
+     * to its first slash.
+     */
+    public static final long DEFAULT_QUOTA_BYTES = 256L << 20;
 
-    /** A value {@code quota/PREFIX} limits the bytes kept under that first part of a key. */
+    /**
+     * The prefix of the keys of quotas: the value of {@code quota/PREFIX} limits the bytes stored
+     * under the keys with that prefix.
+     */
     public static final String QUOTA = "quota/";
 
-    /** The key of the level of commands and rules that hold; 1 without a value. */
-    public static final String LEVEL = "feature/level";
+    /**
+     * The key of the feature level, which determines the commands and rules in effect; the level is
+     * 1 if the key has no value.
+     */
+    public static final String LEVEL_KEY = "feature/level";
 
     /**
-     * A value {@code session/NAME} keeps all sessions whose names begin so from being evicted, from
-     * level 2 on.
+     * The prefix of the keys that pin sessions: if {@code session/NAME} exists, the sessions {@code
+     * NAME:SLOT} are not evicted, from feature level 2 on.
      */
-    public static final String PINNED = "session/";
+    public static final String PINNED_SESSION_PREFIX = "session/";
 
     private static final int MAX_SESSIONS = 1_000;
     private static final int MAX_HISTORY = 20_000;
@@ -44,80 +53,89 @@
     private static final int MAX_QUOTED_KEY_CHARS = 40;
 
     /**
-     * A command of a form that only a later program knows: neither its effect nor that of later
-     * commands can be determined.
+     * Thrown for a command in a format that only a newer version of the program supports. Neither
+     * its effect nor that of any later command can be determined.
      */
     public static final class UnsupportedFormatException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        UnsupportedFormatException(int form) {
-            super("form " + form);
+        UnsupportedFormatException(int format) {
+            super("form " + format);
         }
     }
 
-    /** A precondition: the key is at this version; 0 if it must not exist. */
+    /**
+     * A condition for a command: the key must be at this version, or must not exist if the version
+     * is 0.
+     */
     public record Precondition(String key, long version) {}
 
     /**
      * Changes that are applied together or not at all.
      *
-     * @param session with {@code number} makes the command idempotent: a session's number is
-     *     applied once; "" for none
-     * @param number ascending within the session
+     * @param session the name of the writer's session, or "" for none; together with {@code number}
+     *     it makes the command idempotent, since each number of a session is applied once
+     * @param number the number of the command, ascending within the session
      */
     public record Command(
             String session, long number, List<Precondition> preconditions, List<Change> changes) {
-        /** Changes without preconditions or session. */
+        /** Returns a command without preconditions or session. */
         public static Command of(List<Change> changes) {
             return new Command("", 0, List.of(), changes);
         }
     }
 
-    /** The result of a command: the version of its changes, or the reason of its rejection. */
+    /**
+     * The result of a command: the version of its changes, or the reason why it was rejected, else
+     * null.
+     */
     public record Outcome(long version, String rejection) {
         /** Whether the changes were applied. */
-        public boolean done() {
+        public boolean isApplied() {
             return rejection == null;
         }
     }
 
-    /** A value and the version that wrote it. */
+    /** A value, and the version in which it was written. */
     public record Value(String text, long version) {}
 
-    /** The changes of one version. */
-    public record Written(long version, List<Change> changes) {}
+    /** The changes that were written in one version. */
+    public record ChangeSet(long version, List<Change> changes) {}
 
-    /** The last command of a session, its result, and the version of its entry. */
+    /** The number of a session's last command, its result, and the version of its entry. */
     record Session(long number, Outcome outcome, long lastVersion) {}
 
     private TreePMap<String, Value> values = TreePMap.empty();
     private TreePMap<String, Session> sessions = TreePMap.empty();
     private TreePMap<String, Long> bytesByPrefix = TreePMap.empty();
-    private final ArrayDeque<Written> history = new ArrayDeque<>();
+    private final ArrayDeque<ChangeSet> history = new ArrayDeque<>();
     private long version;
     private long historyStart;
 
-    /** The index of the last entry that was applied. */
+    /** Returns the index of the last entry that was applied. */
     public long version() {
         return version;
     }
 
-    /** A value, or null. */
+    /** Returns the value of a key with its version, or null if the key does not exist. */
     public Value get(String key) {
         return values.get(key);
     }
 
-    /** The values whose keys begin with a prefix, in order of their keys; a view. */
+    /** Returns a view of the values whose keys begin with a prefix, ordered by key. */
     public Map<String, Value> valuesUnder(String prefix) {
         return values.subMap(prefix, true, prefix + Character.MAX_VALUE, false);
     }
 
-    /** At most {@code most} values whose keys begin with a prefix, from after a key on, sorted. */
-    public Map<String, Value> page(String prefix, String after, int most) {
+    /**
+     * Returns the first {@code limit} values whose keys begin with a prefix and are greater than
+     * {@code afterKey}, ordered by key.
+     */
+    public Map<String, Value> page(String prefix, String afterKey, int limit) {
         Map<String, Value> page = new TreeMap<>();
         for (Map.Entry<String, Value> entry :
-                values.subMap(after, false, prefix + Character.MAX_VALUE, false).entrySet()) {
-            if (page.size() >= most) {
+                values.subMap(afterKey, false, prefix + Character.MAX_VALUE, false).entrySet()) {
+            if (page.size() >= limit) {
                 break;
             }
             page.put(entry.getKey(), entry.getValue());
@@ -125,35 +143,38 @@
         return page;
     }
 
-    /** Bytes kept under the first part of a key, up to its first slash. */
-    public long bytesUnder(String part) {
-        return bytesByPrefix.getOrDefault(part, 0L);
+    /**
+     * Returns the bytes stored under the keys with a prefix, the part of a key up to its first
+     * slash.
+     */
+    public long bytesUnder(String prefix) {
+        return bytesByPrefix.getOrDefault(prefix, 0L);
     }
 
     /**
-     * What was written after a version, or null if the history does not reach back so far: then the
-     * values must be read again.
+     * Returns the changes that were written after a version, or null if the history does not reach
+     * back that far; then the caller must read the values again.
      */
-    public List<Written> since(long after) {
-        return after < historyStart
+    public List<ChangeSet> changeSetsSince(long afterVersion) {
+        return afterVersion < historyStart
                 ? null
-                : history.stream().filter(written -> written.version() > after).toList();
+                : history.stream().filter(changeSet -> changeSet.version() > afterVersion).toList();
     }
 
-    /** The level of commands and rules that hold. */
+    /** Returns the feature level, which determines the commands and rules in effect. */
     public int level() {
-        Value value = values.get(LEVEL);
+        Value value = values.get(LEVEL_KEY);
         return value != null && value.text().matches("[0-9]{1,9}")
                 ? Integer.parseInt(value.text())
                 : 1;
     }
 
     /**
-     * Applies the entry at an index; empty data change nothing. Adds what was changed to {@code
-     * changed}. Throws UnsupportedFormatException, with nothing changed, if only a later program
-     * knows the entry's form.
+     * Applies the entry at an index, and adds its changes to {@code appliedChanges}. Empty data
+     * only advances the version. Throws UnsupportedFormatException, and leaves the state as it is,
+     * if only a newer version of the program supports the entry's format.
      */
-    public Outcome apply(long index, byte[] data, List<Change> changed) {
+    public Outcome apply(long index, byte[] data, List<Change> appliedChanges) {
         if (data.length == 0) {
             version = index;
             return new Outcome(index, null);
@@ -164,22 +185,23 @@
             version = index;
         } catch (IOException e) {
             version = index;
-            return new Outcome(index, "malformed command: " + e.getMessage()); // on every node
+            // Every node rejects the command in the same way.
+            return new Outcome(index, "malformed command: " + e.getMessage());
         }
         Session session = command.session().isEmpty() ? null : sessions.get(command.session());
         if (session != null && command.number() == session.number()) {
-            return session.outcome(); // a repetition: it is applied once
+            return session.outcome(); // a duplicate: the command was already applied
         }
         if (session != null && command.number() < session.number()) {
             return new Outcome(index, "number " + command.number() + " of this session is past");
         }
-        Outcome outcome = check(index, command);
-        if (outcome.done()) {
+        Outcome outcome = validate(index, command);
+        if (outcome.isApplied()) {
             for (Change change : command.changes()) {
-                change(index, change);
+                applyChange(index, change);
             }
-            changed.addAll(command.changes());
-            addToHistory(new Written(index, command.changes()));
+            appliedChanges.addAll(command.changes());
+            addToHistory(new ChangeSet(index, command.changes()));
         }
         if (!command.session().isEmpty()) {
             Session updated = new Session(command.number(), outcome, index);
@@ -193,19 +215,19 @@
         if (sessions.size() <= MAX_SESSIONS) {
             return;
         }
-        boolean pins = level() >= PINNED_SESSIONS_LEVEL;
+        boolean keepPinned = level() >= PINNED_SESSIONS_LEVEL;
         sessions.entrySet().stream()
-                .filter(entry -> !pins || !isPinned(entry.getKey()))
+                .filter(entry -> !keepPinned || !isPinned(entry.getKey()))
                 .min(Comparator.comparingLong(entry -> entry.getValue().lastVersion()))
                 .ifPresent(entry -> sessions = sessions.minus(entry.getKey()));
     }
 
     private boolean isPinned(String session) {
         int colon = session.lastIndexOf(':');
-        return colon > 0 && values.containsKey(PINNED + session.substring(0, colon));
+        return colon > 0 && values.containsKey(PINNED_SESSION_PREFIX + session.substring(0, colon));
     }
 
-    private Outcome check(long index, Command command) {
+    private Outcome validate(long index, Command command) {
         String rejection = checkPreconditions(command.preconditions());
         if (rejection == null) {
             rejection = checkSizes(command.changes());
@@ -217,11 +239,15 @@
     }
 
     private String checkPreconditions(List<Precondition> preconditions) {
-        for (Precondition expect : preconditions) {
-            Value value = values.get(expect.key());
+        for (Precondition precondition : preconditions) {
+            Value value = values.get(precondition.key());
             long actual = value == null ? 0 : value.version();
-            if (actual != expect.version()) {
-                return expect.key() + " is at version " + actual + ", not " + expect.version();
+            if (actual != precondition.version()) {
+                return precondition.key()
+                        + " is at version "
+                        + actual
+                        + ", not "
+                        + precondition.version();
             }
         }
         return null;
@@ -243,7 +269,7 @@
     private String checkQuotas(List<Change> changes) {
         Map<String, Long> growthByPrefix = new TreeMap<>();
         for (Change change : changes) {
-            growthByPrefix.merge(prefixOf(change.key()), growth(change), Long::sum);
+            growthByPrefix.merge(prefixOf(change.key()), growthOf(change), Long::sum);
         }
         for (Map.Entry<String, Long> growth : growthByPrefix.entrySet()) {
             String prefix = growth.getKey();
@@ -259,7 +285,7 @@
         Value quota = values.get(QUOTA + prefix);
         return quota != null && quota.text().matches("[0-9]{1,15}")
                 ? Long.parseLong(quota.text())
-                : MAX_BYTES;
+                : DEFAULT_QUOTA_BYTES;
     }
 
     private static String prefixOf(String key) {
@@ -280,16 +306,19 @@
         return value == null ? 0 : utf8Length(key) + utf8Length(value);
     }
 
-    /** By how many bytes a change lets its prefix grow. */
-    private long growth(Change change) {
+    /**
+     * Returns the number of bytes by which a change grows its prefix, negative if the prefix
+     * shrinks.
+     */
+    private long growthOf(Change change) {
         Value before = values.get(change.key());
         return (long) size(change.key(), change.value())
                 - (before == null ? 0 : size(change.key(), before.text()));
     }
 
-    private void change(long index, Change change) {
+    private void applyChange(long index, Change change) {
         String prefix = prefixOf(change.key());
-        long bytes = bytesUnder(prefix) + growth(change);
+        long bytes = bytesUnder(prefix) + growthOf(change);
         bytesByPrefix =
                 bytes == 0 ? bytesByPrefix.minus(prefix) : bytesByPrefix.plus(prefix, bytes);
         values =
@@ -298,45 +327,45 @@
                         : values.plus(change.key(), new Value(change.value(), index));
     }
 
-    private void addToHistory(Written written) {
-        history.add(written);
+    private void addToHistory(ChangeSet changeSet) {
+        history.add(changeSet);
         if (history.size() > MAX_HISTORY) {
             historyStart = history.poll().version();
         }
     }
 
-    /** A command as an entry's data. */
+    /** Encodes a command as the data of a log entry. */
     public static byte[] encode(Command command) {
         return KeyValueCodec.encode(command);
     }
 
     /**
-     * An immutable copy of the state, made in constant time; its bytes may be made on any thread.
+     * An immutable copy of the state, created in constant time. It may be encoded on any thread.
      */
     public final class Frozen {
         private final TreePMap<String, Value> frozenValues = values;
         private final TreePMap<String, Session> frozenSessions = sessions;
         private final long frozenVersion = version;
 
-        /** The version of the copy. */
+        /** Returns the version of the state at the time of the copy. */
         public long version() {
             return frozenVersion;
         }
 
-        /** The snapshot's bytes. */
+        /** Encodes the copy as a snapshot. */
         public byte[] toBytes() {
             return KeyValueCodec.encodeSnapshot(frozenVersion, frozenValues, frozenSessions);
         }
     }
 
-    /** A copy of the state as it is now. */
+    /** Returns an immutable copy of the present state. */
     public Frozen freeze() {
         return new Frozen();
     }
 
     /**
-     * A state from a snapshot's bytes, of which none give an empty state; throws IOException if
-     * they are malformed or of a later program.
+     * Decodes a state from a snapshot; no bytes yield an empty state. Throws IOException if the
+     * bytes are malformed or were written by a newer version of the program.
      */
     public static KeyValueState fromBytes(byte[] bytes) throws IOException {
         KeyValueState state = new KeyValueState();
@@ -346,7 +375,7 @@
         return state;
     }
 
-    /** Fills an empty state from a snapshot. */
+    /** Fills an empty state with the content of a snapshot. */
     private final class Loader implements KeyValueCodec.SnapshotReader {
         @Override
         public void version(long snapshotVersion) {
@@ -356,7 +385,7 @@
 
         @Override
         public void value(String key, Value value) {
-            change(value.version(), new Change(key, value.text()));
+            applyChange(value.version(), new Change(key, value.text()));
         }
 
         @Override
--- a/src/main/java/reeldeal/store/PeerMessageRouter.java
+++ b/src/main/java/reeldeal/store/PeerMessageRouter.java
@@ -11,8 +11,8 @@
 import reeldeal.consensus.RaftNode;
 
 /**
- * Passes what arrives from other nodes and from operators' commands to those who handle it. Belongs
- * to the event loop.
+ * Dispatches the messages of other nodes and of operators' commands to their handlers. Belongs to
+ * the event loop.
  */
 final class PeerMessageRouter implements PeerConnections.Receiver {
     private final String node;
@@ -26,7 +26,9 @@
     private final Map<String, BiConsumer<String, StoreNode.AdminReply>> adminHandlers =
             new HashMap<>();
 
-    /** Those who handle writes and consensus. */
+    /**
+     * The handlers of consensus messages, forwarded writes, and the results of forwarded writes.
+     */
     record Handlers(RaftDriver driver, WriteProposer proposer, WriteForwarder forwarder) {}
 
     PeerMessageRouter(
@@ -48,8 +50,8 @@
         topics.put(topic, handler);
     }
 
-    void onAdminRequest(String word, BiConsumer<String, StoreNode.AdminReply> handler) {
-        adminHandlers.put(word, handler);
+    void onAdminRequest(String requestName, BiConsumer<String, StoreNode.AdminReply> handler) {
+        adminHandlers.put(requestName, handler);
     }
 
     @Override
@@ -63,7 +65,7 @@
             return;
         }
         if (message instanceof PeerMessage.Forward forward) {
-            if (isForThis(forward.to(), forward.from())) {
+            if (isFromPeerToThisNode(forward.to(), forward.from())) {
                 onForward(forward);
             }
         } else if (message instanceof PeerMessage.Forwarded forwarded) {
@@ -71,7 +73,7 @@
                 forwarder.onForwarded(forwarded);
             }
         } else if (message instanceof PeerMessage.TopicMessage topicMessage) {
-            if (isForThis(topicMessage.to(), topicMessage.from())) {
+            if (isFromPeerToThisNode(topicMessage.to(), topicMessage.from())) {
                 deliver(topicMessage.from(), topicMessage.bytes());
             }
         } else if (message instanceof PeerMessage.AdminRequest request) {
@@ -79,8 +81,8 @@
         }
     }
 
-    private boolean isForThis(String to, String from) {
-        return to.equals(node) && connections.knows(from);
+    private boolean isFromPeerToThisNode(String to, String from) {
+        return to.equals(node) && connections.hasPeer(from);
     }
 
     private void onForward(PeerMessage.Forward forward) {
@@ -99,7 +101,8 @@
 
     private void answerForward(PeerMessage.Forward forward, StoreNode.Result result) {
         if (result instanceof StoreNode.Committed committed) {
-            // The writer waits until its own copy has the entry.
+            // The node that forwarded the write waits until it has applied the entry itself, so it
+            // gets the entry first.
             raft.prioritizeReplication(forward.from(), committed.version());
         }
         connections.send(
@@ -107,7 +110,10 @@
                 new PeerMessage.Forwarded(node, forward.from(), forward.id(), result));
     }
 
-    /** Delivers the content of a topic message: one byte for the topic, then the handler's. */
+    /**
+     * Delivers the content of a topic message to the topic's handler; the first byte is the topic.
+     * A message on a topic without a handler is dropped.
+     */
     void deliver(String from, byte[] bytes) {
         BiConsumer<String, byte[]> handler = bytes.length == 0 ? null : topics.get((char) bytes[0]);
         if (handler != null) {
@@ -116,8 +122,8 @@
     }
 
     private void onAdminRequest(PeerMessage.AdminRequest request, Consumer<PeerMessage> reply) {
-        String word = request.text().split(" ", 2)[0];
-        BiConsumer<String, StoreNode.AdminReply> handler = adminHandlers.get(word);
+        String requestName = request.text().split(" ", 2)[0];
+        BiConsumer<String, StoreNode.AdminReply> handler = adminHandlers.get(requestName);
         StoreNode.AdminReply adminReply =
                 new StoreNode.AdminReply(
                         answer ->
@@ -129,7 +135,7 @@
                                                 answer.leader())),
                         this::redirection);
         if (handler == null) {
-            adminReply.reject("this node answers no such question: " + word);
+            adminReply.reject("this node answers no such question: " + requestName);
         } else {
             handler.accept(request.text(), adminReply);
         }
--- a/src/main/java/reeldeal/store/RaftDriver.java
+++ b/src/main/java/reeldeal/store/RaftDriver.java
@@ -14,8 +14,8 @@
 import reeldeal.storage.DataDirectory;
 
 /**
- * Gives the inputs to the {@link RaftNode} and carries out its output: disk requests, messages, the
- * applying of entries, confirmed reads. All calls, and all callbacks, are on the event loop.
+ * Feeds inputs to the {@link RaftNode} and processes its output: disk requests, messages, committed
+ * entries and confirmed reads. All calls and all callbacks are made on the event loop.
  */
 final class RaftDriver implements DiskQueue.Listener {
     private final String node;
@@ -30,12 +30,12 @@
     private final StoreLoop loop;
     private final Consumer<String> log;
     private final Map<Long, Runnable> confirmations = new HashMap<>();
-    private long nextRead = 1;
+    private long nextReadId = 1;
     private boolean stepping;
     private boolean votesWithheld;
 
-    /** The classes that a driver connects, apart from the node itself. */
-    record Parts(
+    /** The classes that the driver connects to the {@link RaftNode}. */
+    record Components(
             StoreStatus status,
             PeerConnections connections,
             PeerDirectory peers,
@@ -46,18 +46,18 @@
     RaftDriver(
             String node,
             RaftNode raft,
-            Parts parts,
+            Components components,
             DataDirectory directory,
             StoreLoop loop,
             Consumer<String> log) {
         this.node = node;
         this.raft = raft;
-        this.status = parts.status();
-        this.connections = parts.connections();
-        this.peers = parts.peers();
-        this.applier = parts.applier();
-        this.writes = parts.writes();
-        this.snapshots = parts.snapshots();
+        this.status = components.status();
+        this.connections = components.connections();
+        this.peers = components.peers();
+        this.applier = components.applier();
+        this.writes = components.writes();
+        this.snapshots = components.snapshots();
         this.loop = loop;
         this.log = log;
         this.disk = new DiskQueue(loop, directory, this);
@@ -67,59 +67,62 @@
         disk.groupCommit(enabled);
     }
 
-    /** Neither votes nor becomes a candidate while this is on. */
+    /** Sets whether the node withholds its votes: it then neither votes nor becomes a candidate. */
     void withholdVotes(boolean enabled) {
         votesWithheld = enabled;
     }
 
     // ---- inputs ----
 
-    /** Begins to take part in the group. */
+    /** Starts taking part in the group. */
     void start() {
         peers.connectAll(raft.configuration(), applier.state());
         if (raft.configuration().voters().equals(Set.of(node))) {
-            raft.campaignNow(); // no other node could
+            raft.campaignNow(); // the only voter need not wait for an election timeout
         }
         step();
     }
 
     void tick() {
-        boolean withheld = votesWithheld && raft.role() == RaftNode.Role.FOLLOWER;
-        if (status.isActive() && !withheld) {
+        boolean ignored = votesWithheld && raft.role() == RaftNode.Role.FOLLOWER;
+        if (status.isActive() && !ignored) {
             raft.tick();
             step();
         }
     }
 
     void receive(Message message) {
-        boolean withheld =
+        boolean ignored =
                 votesWithheld
                         && (message instanceof Message.VoteRequest
                                 || message instanceof Message.TimeoutNow);
-        if (status.isActive() && !withheld) {
+        if (status.isActive() && !ignored) {
             raft.receive(message);
             step();
         }
     }
 
-    /** Proposes an entry without carrying out the output; returns its index, or -1. */
+    /**
+     * Proposes an entry and returns its index, or -1 if this node cannot propose. The caller must
+     * then call {@link #step}.
+     */
     long propose(byte[] data) {
         return raft.propose(data);
     }
 
     boolean changeConfiguration(GroupConfiguration proposed) {
-        boolean begun = raft.changeConfiguration(proposed) >= 0;
+        boolean started = raft.changeConfiguration(proposed) >= 0;
         step();
-        return begun;
+        return started;
     }
 
     boolean transferLeadership(String to) {
-        boolean begun = raft.transferLeadership(to);
+        boolean started = raft.transferLeadership(to);
         step();
-        return begun;
+        return started;
     }
 
-    /** Transfers leadership to the reachable voter that has most of the log. */
+    /** Transfers leadership to the reachable voter whose log lags the least. */
     void transferLeadership() {
         raft.configuration().voters().stream()
                 .filter(voter -> !voter.equals(node) && raft.progressOf(voter).reachable())
@@ -127,11 +130,14 @@
                 .ifPresent(this::transferLeadership);
     }
 
-    /** Runs this once a majority has confirmed, after now, that this node leads. */
+    /**
+     * Runs a callback when a majority has confirmed, after this call, that this node leads; if it
+     * stops leading before, the callback does not run.
+     */
     void confirmLeadership(Runnable whenConfirmed) {
-        long read = nextRead++;
-        confirmations.put(read, whenConfirmed);
-        raft.read(read);
+        long readId = nextReadId++;
+        confirmations.put(readId, whenConfirmed);
+        raft.read(readId);
         step();
     }
 
@@ -146,10 +152,10 @@
     public void onDiskFailure(Exception cause) {
         halt(
                 cause.getMessage()
-                        + "; this node reads on and writes no more until it is started again");
+                        + "; this node serves reads but writes nothing until it is restarted");
     }
 
-    /** Takes part no more, and serves what it has. */
+    /** Stops taking part in the group for good; the node goes on serving its present state. */
     void halt(String reason) {
         if (status.halt()) {
             log.accept("store: " + reason);
@@ -159,17 +165,17 @@
 
     // ---- output ----
 
-    /** Carries out the node's output until there is none. */
+    /** Processes the output of the {@link RaftNode} until there is none left. */
     void step() {
         if (stepping || !status.isActive()) {
-            return; // the call that runs goes on until there is no more output
+            return; // a running call of this method processes all output
         }
         stepping = true;
-        boolean more = true;
-        while (more && !status.isClosed()) {
+        boolean hasMore = true;
+        while (hasMore && !status.isClosed()) {
             Ready ready = raft.takeReady();
-            more = hasOutput(ready);
-            carryOut(ready);
+            hasMore = hasOutput(ready);
+            process(ready);
             updateStatus();
         }
         stepping = false;
@@ -183,11 +189,11 @@
                 || !ready.reads.isEmpty();
     }
 
-    private void carryOut(Ready ready) {
+    private void process(Ready ready) {
         ready.notes.forEach(note -> log.accept("store: " + note));
         disk.add(ready.persists);
         for (Message message : ready.messages) {
-            if (connections.understands(message.to(), applier.state().level())) {
+            if (connections.supportsLevel(message.to(), applier.state().level())) {
                 connections.send(message);
             }
         }
@@ -217,7 +223,7 @@
         }
     }
 
-    /** Compacts the log up to the state as it is now. */
+    /** Starts a compaction of the log up to the present state. */
     void compactNow() {
         KeyValueState.Frozen state = applier.state().freeze();
         long version = state.version();
@@ -238,7 +244,7 @@
         if (applier.isStopped()) {
             status.stopServing();
             writes.abandonAll();
-            transferToLaterProgram();
+            transferToNewerProgram();
             return;
         }
         if (raft.role() != RaftNode.Role.LEADER) {
@@ -249,20 +255,23 @@
             status.notifyCurrent();
         }
         if (transition.becameWriter()) {
-            log.accept("store: " + node + " writes under term " + raft.term());
+            log.accept("store: " + node + " accepts writes as leader of term " + raft.term());
             status.notifyLeading();
         }
     }
 
-    /** A node that cannot read the log must not be the one that writes it. */
-    private void transferToLaterProgram() {
+    /**
+     * Hands leadership to a voter that runs a newer version of the program: a node that cannot read
+     * the log must not lead the group.
+     */
+    private void transferToNewerProgram() {
         raft.configuration().voters().stream()
                 .filter(voter -> connections.level(voter) > PeerMessage.LEVEL)
                 .findFirst()
                 .ifPresent(raft::transferLeadership);
     }
 
-    /** Waits for the disk. */
+    /** Closes the disk queue, which waits for the write in progress. */
     void close() {
         disk.close();
     }
--- a/src/test/java/reeldeal/store/ForwardedWritesTest.java
+++ b/src/test/java/reeldeal/store/ForwardedWritesTest.java
@@ -14,14 +14,14 @@
 import org.junit.Test;
 
 /**
- * Forwarded writes over a network that loses, duplicates and delays, to leaders that change, by
- * seed.
+ * Simulates, for each seed, forwarded writes over a network that loses, duplicates and delays
+ * messages, to nodes that may not lead any more.
  */
 public class ForwardedWritesTest {
     private static final int WRITES = 60;
     private static final long END_MS = 20_000;
 
-    /** How often writes had each result. */
+    /** Counts the writes by their result. */
     private static final class Results {
         private int committed;
         private int unknown;
@@ -63,17 +63,17 @@
             random = RandomSource.XO_SHI_RO_256_PP.create(seed);
         }
 
-        private void after(long delay, Runnable action) {
+        private void schedule(long delay, Runnable action) {
             events.add(new Event(now + delay, nextOrder++, action));
         }
 
-        /** Returns what went wrong, or null. */
+        /** Runs the simulation; returns the errors, or null if there were none. */
         String run(Results counts) {
             for (int i = 0; i < WRITES; i++) {
                 int write = i;
-                after(random.nextInt(6_000), () -> submit(write));
+                schedule(random.nextInt(6_000), () -> submit(write));
             }
-            after(0, this::sendDue);
+            schedule(0, this::sendDue);
             while (!events.isEmpty()) {
                 Event event = events.poll();
                 now = event.time();
@@ -105,11 +105,11 @@
                 for (int i = 0; i < copies; i++) {
                     boolean slow = random.nextInt(6) == 0;
                     int delay = slow ? random.nextInt(4_000) : 1 + random.nextInt(30);
-                    after(delay, () -> receive(attempt, toLeader));
+                    schedule(delay, () -> receive(attempt, toLeader));
                 }
             }
             if (now < END_MS) {
-                after(20, this::sendDue);
+                schedule(20, this::sendDue);
             }
         }
 
@@ -117,7 +117,7 @@
             StoreNode.Result result =
                     byLeader ? apply(attempt.command()) : new StoreNode.NotLeader("no");
             if (random.nextInt(4) > 0) {
-                after(1 + random.nextInt(300), () -> writes.onResult(attempt, result));
+                schedule(1 + random.nextInt(300), () -> writes.onResult(attempt, result));
             }
         }
 
@@ -129,7 +129,7 @@
             if (random.nextInt(6) == 0) {
                 return new StoreNode.Unknown();
             }
-            return outcome.done()
+            return outcome.isApplied()
                     ? new StoreNode.Committed(outcome.version())
                     : new StoreNode.Rejected(outcome.rejection());
         }
@@ -153,7 +153,7 @@
             assertNull("seed " + seed, new Simulation(seed).run(counts));
         }
         assertTrue(
-                "all results occur: " + counts,
+                "each result must occur (committed, unknown, rejected): " + counts,
                 counts.committed > 10_000 && counts.unknown > 30 && counts.rejected > 100);
     }
 }
