--- a/src/main/java/reeldeal/consensus/DurableState.java
+++ b/src/main/java/reeldeal/consensus/DurableState.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The current term and vote, the disk requests that make them and the log durable, and the messages
- * that must not leave before such a request is done.
+ * Holds the current term and vote, the disk requests that make them and the log durable, and the
+ * messages that must not be sent before such a request completes.
  */
 final class DurableState {
     private record HeldMessage(long request, Message message) {}
@@ -37,12 +37,15 @@
         return term;
     }
 
-    /** Whom this node voted for in the current term, or null. */
+    /** Returns the node that this node voted for in the current term, or null. */
     String vote() {
         return vote;
     }
 
-    /** Begins a later term; {@code newVote} is null for none yet. */
+    /**
+     * Begins a later term. {@code newVote} is this node's vote in it, or null if it has not voted
+     * yet.
+     */
     void beginTerm(long newTerm, String newVote) {
         term = newTerm;
         vote = newVote;
@@ -54,7 +57,7 @@
         vote = candidate;
     }
 
-    /** Sends a message once all that was changed before it is on disk. */
+    /** Sends a message once all changes made before this call are on disk. */
     void sendWhenDurable(Message message) {
         if (rules.mustWaitForDisk(message)) {
             unassigned.add(message);
@@ -63,7 +66,10 @@
         }
     }
 
-    /** Whether a vote, this node's or for another, is on its way to the disk. */
+    /**
+     * Whether a vote, for this node itself or for another one, or a vote request is waiting for the
+     * disk.
+     */
     boolean hasVoteInFlight() {
         for (HeldMessage each : held) {
             if (each.message() instanceof Message.VoteResponse
@@ -75,8 +81,8 @@
     }
 
     /**
-     * Makes one disk request of what changed and has the waiting messages wait for it; false if
-     * there was nothing to do.
+     * Issues one disk request for all unsaved changes, and assigns the waiting messages to the
+     * latest request. Returns false if there were neither changes nor messages.
      */
     boolean requestFlush() {
         boolean changed = unsaved || log.hasUnsaved();
@@ -96,7 +102,7 @@
         return true;
     }
 
-    /** The disk has done this request and all before it. */
+    /** Records that the disk has completed this request and all earlier ones. */
     void persisted(long request) {
         lastCompleted = Math.max(lastCompleted, request);
         while (!flushes.isEmpty() && flushes.peek().request() <= lastCompleted) {
@@ -105,7 +111,7 @@
         }
     }
 
-    /** The next message whose disk request is done, or null. */
+    /** Removes and returns the next message whose disk request is complete, or returns null. */
     Message pollReleased() {
         return held.isEmpty() || held.peek().request() > lastCompleted
                 ? null
--- a/src/main/java/reeldeal/consensus/Election.java
+++ b/src/main/java/reeldeal/consensus/Election.java
@@ -5,18 +5,18 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * The role of a node, the timer by which it changes, and the votes. An election is preceded by a
- * pre-vote, which binds nobody (thesis, section 9.6).
+ * Holds a node's role, its election timer and the votes it has received. An election is preceded by
+ * a pre-vote, which does not use up the voters' vote of a term (thesis, section 9.6).
  */
 final class Election {
-    /** What a tick brought about. */
+    /** The event that a tick of the election timer triggered. */
     enum TimerEvent {
         NONE,
         ELECTION_TIMEOUT,
         QUORUM_CHECK
     }
 
-    /** The state of a pre-vote or an election after one more vote. */
+    /** The state of a pre-vote or an election after a vote was counted. */
     enum VoteOutcome {
         OPEN,
         WON,
@@ -32,7 +32,7 @@
     private int timeoutTicks;
     private int ticksSinceLeader;
 
-    /** {@code random} gives a number below its argument. */
+    /** Creates a follower; {@code random} returns a number from 0 to below its argument. */
     Election(RaftContext context, IntUnaryOperator random) {
         this.context = context;
         this.random = random;
@@ -47,15 +47,16 @@
         return role == RaftNode.Role.LEADER;
     }
 
-    /** The leader of the current term as far as it is known, or null. */
+    /** Returns the leader of the current term, or null if this node does not know of one. */
     String leader() {
         return leader;
     }
 
     /**
-     * Counts one tick. The timer pauses while a vote is on its way to the disk: on disks as slow as
-     * an election, a candidate would otherwise give up before its own vote is durable, and a voter
-     * would become a candidate against the one it is voting for.
+     * Counts one tick. The timer pauses while a vote is being written to disk: if a disk write
+     * takes as long as the election timeout, a candidate would otherwise give up before its own
+     * vote is durable, and a voter would start an election against the candidate that it is voting
+     * for.
      */
     TimerEvent tick() {
         elapsedTicks += !isLeader() && context.durable().hasVoteInFlight() ? 0 : 1;
@@ -80,7 +81,10 @@
         timeoutTicks = electionTicks + random.applyAsInt(electionTicks);
     }
 
-    /** Follows a leader, or none yet if null, in the current term or a later one. */
+    /**
+     * Becomes a follower in the current term or a later one. {@code newLeader} is null if the
+     * leader is not known yet.
+     */
     void becomeFollower(long term, String newLeader) {
         if (term > context.term()) {
             context.durable().beginTerm(term, null);
@@ -98,14 +102,17 @@
         elapsedTicks = 0;
     }
 
-    /** Notes a message of the current term's leader. */
+    /** Records that a message from the current term's leader was received. */
     void heardLeader(String node) {
         leader = node;
         elapsedTicks = 0;
         ticksSinceLeader = 0;
     }
 
-    /** Asks whether an election could be won, so that a node that was cut off disrupts nobody. */
+    /**
+     * Asks the voters whether this node could win an election, so that a node that was partitioned
+     * from the group does not disrupt it by raising the term.
+     */
     VoteOutcome startPreVote() {
         votes.clear();
         leader = null;
@@ -114,7 +121,10 @@
         return count(context.id(), true);
     }
 
-    /** Begins a term as candidate; {@code transfer} if the leader asked for this election. */
+    /**
+     * Begins a new term as a candidate. {@code transfer} is true if the leader requested this
+     * election to transfer its leadership.
+     */
     void startElection(boolean transfer) {
         votes.clear();
         leader = null;
@@ -122,7 +132,7 @@
         String id = context.id();
         context.durable().beginTerm(context.term() + 1, id);
         requestVotes(context.term(), false, transfer);
-        // Its own vote counts once it is on disk, as others' do.
+        // This node's own vote counts once it is on disk, like the votes of other nodes.
         context.durable()
                 .sendWhenDurable(new Message.VoteResponse(id, id, context.term(), false, true));
     }
@@ -150,7 +160,10 @@
         }
     }
 
-    /** Counts an answer to a pre-vote or vote request; one for another phase changes nothing. */
+    /**
+     * Counts a response to a pre-vote or vote request, and ignores a response to a phase that has
+     * ended.
+     */
     VoteOutcome onVoteResponse(Message.VoteResponse message) {
         RaftNode.Role phase =
                 message.preVote() ? RaftNode.Role.PRE_CANDIDATE : RaftNode.Role.CANDIDATE;
@@ -203,7 +216,10 @@
         }
     }
 
-    /** A pre-vote request and its grant are of a term that has not begun. */
+    /**
+     * Whether a message is a pre-vote request or a granted pre-vote. Their term has not begun, so
+     * it must not replace the receiver's.
+     */
     static boolean isPreVote(Message message) {
         return (message instanceof Message.VoteRequest request && request.preVote())
                 || (message instanceof Message.VoteResponse response
@@ -211,7 +227,10 @@
                         && response.granted());
     }
 
-    /** A vote request of a later term does not disrupt a live leader unless that asked for it. */
+    /**
+     * Whether a message is a vote request that must be ignored so that it does not disrupt a live
+     * leader. Requests for an election that the leader itself asked for are not ignored.
+     */
     boolean ignores(Message message, long ticksSinceStart) {
         return message instanceof Message.VoteRequest request
                 && !request.leadershipTransfer()
@@ -219,9 +238,11 @@
     }
 
     /**
-     * Whether a leader was heard so recently that no vote is granted (thesis, section 4.2.3). With
-     * leases, a promise made before a restart counts too; as it is not known, a node waits for an
-     * election time after its start.
+     * Whether this node leads, or received a message from a leader so recently that it grants no
+     * vote (thesis, section 4.2.3). With leases, a heartbeat that this node answered before a
+     * restart counts too, because the leader may still hold a lease that relies on it. A node does
+     * not know this after a restart, so with leases it grants no votes for one election timeout
+     * after its start.
      */
     private boolean hasLiveLeader(long ticksSinceStart) {
         int electionTicks = context.settings().electionTicks();
--- a/src/main/java/reeldeal/consensus/GroupConfiguration.java
+++ b/src/main/java/reeldeal/consensus/GroupConfiguration.java
@@ -9,29 +9,32 @@
 import java.util.TreeSet;
 
 /**
- * A group's configuration: which nodes vote, and which only receive the log (thesis, section
- * 4.2.1). Immutable; both sets are sorted.
+ * The members of a group: voters, and learners, which receive the log but do not vote (thesis,
+ * section 4.2.1). Immutable; both sets are sorted.
  */
 public record GroupConfiguration(Set<String> voters, Set<String> learners) {
 
-    /** Copies both sets; throws IllegalArgumentException without a voter, or if they overlap. */
+    /**
+     * Copies both sets. Throws IllegalArgumentException if there is no voter, or if a node is in
+     * both sets.
+     */
     public GroupConfiguration {
         voters = Collections.unmodifiableSet(new TreeSet<>(voters));
         learners = Collections.unmodifiableSet(new TreeSet<>(learners));
         if (voters.isEmpty()) {
-            throw new IllegalArgumentException("a group needs a voter");
+            throw new IllegalArgumentException("a group needs at least one voter");
         }
         if (voters.stream().anyMatch(learners::contains)) {
-            throw new IllegalArgumentException("a node that votes is no learner");
+            throw new IllegalArgumentException("a node cannot be both a voter and a learner");
         }
     }
 
-    /** A group of these voters, without learners. */
+    /** Returns a group of these voters without learners. */
     public static GroupConfiguration of(String... voters) {
         return new GroupConfiguration(Set.of(voters), Set.of());
     }
 
-    /** All members, sorted. */
+    /** Returns all voters and learners, sorted. */
     public Set<String> all() {
         Set<String> all = new TreeSet<>(voters);
         all.addAll(learners);
@@ -43,8 +46,8 @@
     }
 
     /**
-     * Whether this differs from the other by one voter at most: majorities of the two then share a
-     * node.
+     * Whether this configuration differs from the other one by at most one voter. Any majority of
+     * the one then shares a node with any majority of the other.
      */
     boolean oneStepFrom(GroupConfiguration other) {
         long added = voters.stream().filter(v -> !other.voters.contains(v)).count();
@@ -52,7 +55,7 @@
         return added + removed <= 1;
     }
 
-    /** With one more learner; a voter stays a voter. */
+    /** Returns this configuration with one more learner, or unchanged if the node is a voter. */
     public GroupConfiguration withLearner(String node) {
         Set<String> newLearners = new TreeSet<>(learners);
         if (!voters.contains(node)) {
@@ -61,14 +64,14 @@
         return new GroupConfiguration(voters, newLearners);
     }
 
-    /** With one more voter, which is no longer a learner. */
+    /** Returns this configuration with the node as a voter, and no longer as a learner. */
     public GroupConfiguration withVoter(String node) {
         Set<String> newVoters = new TreeSet<>(voters);
         newVoters.add(node);
         return new GroupConfiguration(newVoters, minus(learners, node));
     }
 
-    /** Without a node. */
+    /** Returns this configuration without the node. */
     public GroupConfiguration without(String node) {
         return new GroupConfiguration(minus(voters, node), minus(learners, node));
     }
@@ -79,7 +82,7 @@
         return others;
     }
 
-    /** Writes both sets of names, in the one form that files and messages share. */
+    /** Writes both sets of names; files and messages share this format. */
     public void writeTo(DataOutput out) throws IOException {
         for (Set<String> names : List.of(voters, learners)) {
             out.writeShort(names.size());
@@ -89,7 +92,7 @@
         }
     }
 
-    /** Reads what {@link #writeTo} wrote; throws IOException if that is no valid configuration. */
+    /** Reads a configuration written by {@link #writeTo}; throws IOException if it is not valid. */
     public static GroupConfiguration readFrom(DataInput in) throws IOException {
         Set<String> voters = readNames(in);
         Set<String> learners = readNames(in);
--- a/src/main/java/reeldeal/consensus/Heartbeats.java
+++ b/src/main/java/reeldeal/consensus/Heartbeats.java
@@ -1,6 +1,9 @@
 package reeldeal.consensus;
 
-/** A leader's heartbeats. They are numbered by rounds, by which their answers confirm reads. */
+/**
+ * Sends a leader's heartbeats. Each round has a number, which the responses repeat; a round that a
+ * majority has acknowledged confirms the reads that were waiting for it.
+ */
 final class Heartbeats {
     private final RaftContext context;
     private final ProgressTracker tracker;
@@ -16,7 +19,7 @@
         elapsedTicks = 0;
     }
 
-    /** Counts one tick; true if a round is due, from which the timer starts again. */
+    /** Counts one tick. Returns true, and restarts the timer, if the next round is due. */
     boolean tick() {
         elapsedTicks++;
         if (elapsedTicks < context.settings().heartbeatTicks()) {
@@ -30,13 +33,13 @@
         return round;
     }
 
-    /** Begins a round: a heartbeat to each peer. */
+    /** Begins a new round and sends a heartbeat to each peer. */
     void startRound() {
         round++;
         sendToAll();
     }
 
-    /** Sends the current round again, with what is committed by now. */
+    /** Sends a heartbeat of the current round to each peer, with the latest commit index. */
     void sendToAll() {
         tracker.forEach(this::send);
     }
--- a/src/main/java/reeldeal/consensus/LeadershipTransfer.java
+++ b/src/main/java/reeldeal/consensus/LeadershipTransfer.java
@@ -1,6 +1,8 @@
 package reeldeal.consensus;
 
-/** Transfers leadership to a voter whose log is complete (thesis, section 3.10). */
+/**
+ * Transfers leadership to a voter once its log is as long as the leader's (thesis, section 3.10).
+ */
 final class LeadershipTransfer {
     private final RaftContext context;
     private String target;
@@ -22,8 +24,8 @@
     }
 
     /**
-     * Has the target start an election once its log is complete; false if that is not so, or if the
-     * node is not the target.
+     * Asks the target to start an election if its log matches the leader's up to the last entry.
+     * Returns false, and sends nothing, if it does not or if the node is not the target.
      */
     boolean completeIfCaughtUp(String node, PeerProgress peer) {
         if (!node.equals(target) || peer.matchIndex != context.log().lastIndex()) {
--- a/src/main/java/reeldeal/consensus/LogReplication.java
+++ b/src/main/java/reeldeal/consensus/LogReplication.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** Replicates a leader's log to its followers, and takes a leader's entries on a follower. */
+/**
+ * Replicates a leader's log to its followers and, on a follower, stores the entries that a leader
+ * sends.
+ */
 final class LogReplication {
     private final RaftContext context;
     private final RaftLog log;
@@ -25,7 +28,10 @@
 
     // ---- leader ----
 
-    /** Appends an entry of the current term; {@code configuration} is null if it changes none. */
+    /**
+     * Appends an entry of the current term and returns its index. {@code configuration} is null if
+     * the entry does not change the group.
+     */
     long append(byte[] data, GroupConfiguration configuration) {
         Entry entry = new Entry(log.lastIndex() + 1, context.term(), data, configuration);
         log.append(entry);
@@ -36,7 +42,10 @@
         tracker.forEach(this::send);
     }
 
-    /** Sends a follower what it lacks, as far as its window allows. */
+    /**
+     * Sends a follower the entries that it lacks, as far as its window of unanswered requests
+     * allows. Starts a snapshot transfer if the next entry is already compacted.
+     */
     void send(String node, PeerProgress peer) {
         if (peer.snapshot != null) {
             return;
@@ -66,15 +75,18 @@
         }
     }
 
-    /** A follower rejected entries: goes back to where the logs may agree. */
+    /**
+     * Handles a rejected append request: goes back to an index at which the two logs may match, and
+     * sends from there.
+     */
     void onRejection(Message.AppendResponse message, PeerProgress peer) {
         if (peer.isStaleRejection(message.index())) {
             return;
         }
         reportLostEntries(message, peer);
         long next = Math.min(message.index(), message.hintIndex() + 1);
-        // The follower's log may hold more of an old term than this one: go back to where this one
-        // has no later term.
+        // The follower's log may have more entries of an old term than the leader's log. Go back to
+        // an entry of the leader whose term is not later than that of the hint.
         while (next - 1 > peer.matchIndex && log.term(next - 1) > message.hintTerm()) {
             next--;
         }
@@ -83,8 +95,9 @@
     }
 
     /**
-     * A follower that lacks what it has acknowledged has a disk that lied or a folder that was put
-     * back. It must not be helped to vote again as if nothing had happened.
+     * Logs once that a follower lacks entries that it has acknowledged: its disk did not keep
+     * flushed data, or its data directory was restored from an old copy. Such a node must not go on
+     * voting as if nothing had happened.
      */
     private void reportLostEntries(Message.AppendResponse message, PeerProgress peer) {
         if (message.index() == peer.matchIndex
@@ -94,18 +107,22 @@
             context.outbox()
                     .note(
                             message.from()
-                                    + " has lost entries that it had acknowledged, up to "
+                                    + " has lost entries that it had acknowledged, up to index "
                                     + peer.matchIndex
-                                    + "; take it out of the group and add it under a new name");
+                                    + "; remove it from the group and add it again"
+                                    + " under a new name");
         }
     }
 
-    /** A follower has the log up to an index on its disk. */
+    /** Records that a follower has the log up to an index on its disk. */
     void onAcknowledgement(Message.AppendResponse message, PeerProgress peer) {
         peer.acknowledged(Math.min(message.index(), log.lastIndex()));
     }
 
-    /** Commits what a majority has on disk (thesis, section 3.6); false if that is no more. */
+    /**
+     * Commits the entries that a majority has on disk (thesis, section 3.6). Returns false if the
+     * commit index did not advance.
+     */
     boolean advanceCommitIndex() {
         GroupConfiguration configuration = context.configuration();
         long index =
@@ -121,13 +138,18 @@
         return true;
     }
 
-    /** Has a follower learn of the commit of an entry without waiting for the next message. */
+    /**
+     * Notifies a follower of the commit of an entry without waiting for the next regular message.
+     */
     void prioritize(String node, PeerProgress peer, long index) {
         peer.urgentCommitIndex = Math.max(peer.urgentCommitIndex, index);
         sendUrgentCommit(node, peer);
     }
 
-    /** Sends a heartbeat if the follower has the committed entry that it waits for. */
+    /**
+     * Sends a heartbeat with the commit index if the entry that the follower waits for is committed
+     * and in its log.
+     */
     void sendUrgentCommit(String node, PeerProgress peer) {
         if (peer.urgentCommitIndex > 0
                 && peer.urgentCommitIndex <= Math.min(log.commitIndex(), peer.matchIndex)) {
@@ -136,7 +158,9 @@
         }
     }
 
-    /** After an answered heartbeat round: sends again what may be lost. */
+    /**
+     * Retransmits, after a follower has answered a new heartbeat round, messages that may be lost.
+     */
     void resume(String node, PeerProgress peer) {
         if (peer.snapshot != null) {
             snapshots.sendChunk(node, peer);
@@ -148,7 +172,7 @@
 
     // ---- follower ----
 
-    /** Takes entries that follow one which this log has, and rejects others. */
+    /** Stores entries that directly follow an entry of this log, and rejects others. */
     void onAppendRequest(Message.AppendRequest message) {
         if (message.prevLogIndex() < log.commitIndex()) {
             context.acknowledge(message.from(), log.commitIndex());
@@ -178,7 +202,7 @@
                         context.id()
                                 + ": entry "
                                 + entry.index()
-                                + " is committed and would change");
+                                + " is committed, but the leader sent a different one");
             }
             log.truncateFrom(entry.index());
         }
@@ -188,7 +212,10 @@
         }
     }
 
-    /** Hints where the logs may agree: at or before this, in no later term (section 3.5). */
+    /**
+     * Rejects an append request with a hint: the last index at which the logs may match, whose term
+     * is not later than that of the leader's previous entry (thesis, section 3.5).
+     */
     private void reject(Message.AppendRequest message) {
         long hint = Math.min(message.prevLogIndex(), log.lastIndex());
         while (hint > log.snapshotIndex() && log.term(hint) > message.prevLogTerm()) {
@@ -215,12 +242,18 @@
                                 context.id(), message.from(), context.term(), message.round()));
     }
 
-    /** Whether this log has all that was committed at the leader's last heartbeat. */
+    /**
+     * Whether this node has committed every entry that was committed at the leader's last
+     * heartbeat.
+     */
     boolean hasCaughtUp() {
         return log.commitIndex() >= leaderCommitIndex;
     }
 
-    /** Forgets the last leader's commit index, until the next one sends its own. */
+    /**
+     * Clears the commit index of the previous leader; this node has not caught up until the next
+     * leader sends its own.
+     */
     void forgetLeaderCommitIndex() {
         leaderCommitIndex = Long.MAX_VALUE;
     }
--- a/src/main/java/reeldeal/consensus/MembershipChange.java
+++ b/src/main/java/reeldeal/consensus/MembershipChange.java
@@ -1,8 +1,8 @@
 package reeldeal.consensus;
 
 /**
- * The group's configuration. It takes effect as soon as it is in the log, whether committed or not
- * (thesis, section 4.1).
+ * Holds the group's current configuration. A configuration takes effect as soon as its entry is in
+ * the log, whether or not it is committed (thesis, section 4.1).
  */
 final class MembershipChange {
     private final RaftLog log;
@@ -20,13 +20,16 @@
         return configuration;
     }
 
-    /** Takes the configuration from the log, after the log changed. */
+    /** Reads the configuration from the log again, after the log has changed. */
     void reload() {
         configuration = log.configuration();
         configurationIndex = log.configurationIndex();
     }
 
-    /** Takes the configuration from the log if a truncation removed the entry that set it. */
+    /**
+     * Reads the configuration from the log again if the entry that sets it has changed, as after a
+     * truncation.
+     */
     void reloadIfMoved() {
         if (log.configurationIndex() != configurationIndex) {
             reload();
@@ -37,7 +40,7 @@
         return configurationIndex <= log.commitIndex();
     }
 
-    /** Whether a leader may propose a configuration now. */
+    /** Whether a leader may propose this configuration now. */
     boolean mayChangeTo(GroupConfiguration proposed, boolean committedInCurrentTerm) {
         return rules.mayChangeConfiguration(
                 configuration, proposed, isCommitted(), committedInCurrentTerm);
--- a/src/main/java/reeldeal/consensus/MembershipChangeRules.java
+++ b/src/main/java/reeldeal/consensus/MembershipChangeRules.java
@@ -1,12 +1,13 @@
 package reeldeal.consensus;
 
 /**
- * Which changes of a running group's members are allowed, from what its leader knows. Each differs
- * from the current configuration by one voter at most, and none leads to a group whose majority is
- * not reachable. Pure: it reads its arguments only.
+ * Decides which membership changes a running group allows, based on the progress that its leader
+ * has recorded for each member. An allowed change differs from the current configuration by at most
+ * one voter, and does not lead to a group whose majority is unreachable. Pure functions of their
+ * arguments.
  */
 public final class MembershipChangeRules {
-    /** A learner may become a voter if it lacks no more of the leader's entries than this. */
+    /** The most of the leader's entries that a learner may lack when it becomes a voter. */
     public static final long MAX_ENTRIES_BEHIND = 1_000;
 
     /** The changes that operators may request. */
@@ -21,7 +22,10 @@
         REMOVE
     }
 
-    /** The configuration after the change, or else the reason of the rejection. */
+    /**
+     * The configuration after the change, or the reason why the change is rejected; the other one
+     * is null.
+     */
     public record Decision(GroupConfiguration configuration, String rejection) {
         private static Decision accept(GroupConfiguration configuration) {
             return new Decision(configuration, null);
@@ -32,15 +36,15 @@
         }
     }
 
-    /** The progress of the members as their leader knows it. */
+    /** Gives access to the members' progress as recorded by their leader. */
     public interface ProgressView {
-        /** The progress of one member. */
+        /** Returns the progress of one member. */
         RaftNode.NodeProgress progressOf(String node);
     }
 
     private MembershipChangeRules() {}
 
-    /** Decides on one change of {@code current}. */
+    /** Decides whether a change of one node may be made to {@code current}. */
     public static Decision judge(
             GroupConfiguration current, Change change, String node, ProgressView view) {
         return switch (change) {
@@ -102,7 +106,10 @@
                 : requireReachableMajority(current.without(node), view);
     }
 
-    /** A change that cannot commit would leave a group that can neither write nor revert it. */
+    /**
+     * Rejects a configuration without a reachable majority: it could not be committed, and the
+     * group could then neither write nor revert the change.
+     */
     private static Decision requireReachableMajority(
             GroupConfiguration proposed, ProgressView view) {
         long reachable =
--- a/src/main/java/reeldeal/consensus/Message.java
+++ b/src/main/java/reeldeal/consensus/Message.java
@@ -2,21 +2,24 @@
 
 import java.util.List;
 
-/** What nodes send to one another; each message has its sender's term. */
+/** A message from one node of a group to another. Each message carries its sender's term. */
 public sealed interface Message {
-    /** The sender. */
+    /** Returns the name of the sender. */
     String from();
 
-    /** The receiver. */
+    /** Returns the name of the receiver. */
     String to();
 
-    /** The sender's term; in a pre-vote request and its grant, the term that would begin. */
+    /**
+     * Returns the sender's term or, in a pre-vote request and its grant, the term that the election
+     * would begin.
+     */
     long term();
 
-    /** Sent by the leader of a term only. */
+    /** A message that only the leader of a term sends. */
     sealed interface LeaderMessage extends Message {}
 
-    /** Answers a leader's message. */
+    /** A follower's response to a leader's message. */
     sealed interface FollowerResponse extends Message {}
 
     /**
@@ -24,8 +27,9 @@
      *
      * @param lastLogIndex the index of the candidate's last entry
      * @param lastLogTerm the term of the candidate's last entry
-     * @param preVote whether the vote binds nobody (thesis, section 9.6)
-     * @param leadershipTransfer whether the leader asked for this election (section 3.10)
+     * @param preVote whether this is a pre-vote, which does not use up the voter's vote (thesis,
+     *     section 9.6)
+     * @param leadershipTransfer whether the leader requested this election (thesis, section 3.10)
      */
     record VoteRequest(
             String from,
@@ -37,15 +41,15 @@
             boolean leadershipTransfer)
             implements Message {}
 
-    /** Grants a vote, or not. */
+    /** Grants or rejects a vote or a pre-vote. */
     record VoteResponse(String from, String to, long term, boolean preVote, boolean granted)
             implements Message {}
 
     /**
-     * Entries that follow one which the receiver must have.
+     * Sends entries for the receiver to append directly after an entry that it must already have.
      *
-     * @param prevLogIndex the index of the entry before them
-     * @param prevLogTerm the term of the entry before them
+     * @param prevLogIndex the index of the entry before {@code entries}
+     * @param prevLogTerm the term of the entry before {@code entries}
      * @param leaderCommit the leader's commit index
      */
     record AppendRequest(
@@ -59,12 +63,12 @@
             implements LeaderMessage {}
 
     /**
-     * The result of an append request or a snapshot.
+     * The response to an append request or to a complete snapshot.
      *
      * @param success whether the receiver's log has all entries up to {@code index} on disk
-     * @param index the last entry that both logs share; in a rejection the request's {@code
+     * @param index the index up to which both logs match; in a rejection, the request's {@code
      *     prevLogIndex}
-     * @param hintIndex in a rejection, the last index at which the logs may still agree
+     * @param hintIndex in a rejection, the last index at which the logs may still match
      * @param hintTerm in a rejection, the term of the entry at {@code hintIndex}
      */
     record AppendResponse(
@@ -77,47 +81,48 @@
             long hintTerm)
             implements FollowerResponse {
 
-        /** Acknowledges the entries up to an index. */
+        /** Returns a response that acknowledges the entries up to an index. */
         static AppendResponse accepted(String from, String to, long term, long index) {
             return new AppendResponse(from, to, term, true, index, 0, 0);
         }
     }
 
     /**
-     * Announces that the leader is alive, and how far the log is committed.
+     * Tells the receiver that the leader is alive and up to which entry the log is committed.
      *
-     * @param commit the commit index, as far as the receiver's log is known to match
-     * @param round numbers the heartbeats; the answers confirm the reads before it
-     * @param leaderCommit the leader's commit index, or {@link Long#MAX_VALUE} if a new leader does
-     *     not know it yet
+     * @param commit the commit index, limited to the entries known to match in the receiver's log
+     * @param round the number of the heartbeat round; its acknowledgements confirm the reads
+     *     accepted before it
+     * @param leaderCommit the leader's commit index, or {@link Long#MAX_VALUE} if a new leader has
+     *     not committed an entry of its own term yet
      */
     record Heartbeat(String from, String to, long term, long commit, long round, long leaderCommit)
             implements LeaderMessage {}
 
-    /** Answers a heartbeat of a round. */
+    /** Acknowledges a heartbeat of a round. */
     record HeartbeatResponse(String from, String to, long term, long round)
             implements FollowerResponse {}
 
     /**
      * Describes the snapshot that a chunk belongs to.
      *
-     * @param index the last entry in the snapshot
+     * @param index the index of the last entry in the snapshot
      * @param indexTerm the term of that entry
      * @param configuration the group's configuration at that entry
-     * @param totalBytes the size of its data
+     * @param totalBytes the size of the snapshot's data
      */
     record SnapshotHeader(
             long index, long indexTerm, GroupConfiguration configuration, int totalBytes) {}
 
-    /** A chunk of a snapshot's data, which begins at an offset in bytes. */
+    /** Sends a chunk of a snapshot's data; {@code offset} is the chunk's position in bytes. */
     record SnapshotChunk(
             String from, String to, long term, SnapshotHeader header, int offset, byte[] data)
             implements LeaderMessage {}
 
-    /** How many bytes of a snapshot have been received in order. */
+    /** Reports how many bytes of a snapshot the sender has received without a gap. */
     record SnapshotChunkResponse(String from, String to, long term, long index, int receivedBytes)
             implements FollowerResponse {}
 
-    /** The leader has the receiver start an election without delay (thesis, section 3.10). */
+    /** Asks the receiver to start an election without delay (thesis, section 3.10). */
     record TimeoutNow(String from, String to, long term) implements Message {}
 }
--- a/src/main/java/reeldeal/consensus/Outbox.java
+++ b/src/main/java/reeldeal/consensus/Outbox.java
@@ -16,7 +16,10 @@
         ready.committed.add(entry);
     }
 
-    /** Has a snapshot replace the state, and with it the entries not yet taken. */
+    /**
+     * Outputs a snapshot that replaces the state, and drops committed entries not yet taken, which
+     * it includes.
+     */
     void install(Snapshot snapshot) {
         ready.committed.clear();
         ready.install = snapshot;
@@ -34,7 +37,7 @@
         ready.notes.add(line);
     }
 
-    /** The output since the last call. */
+    /** Returns the output collected since the last call. */
     Ready take() {
         Ready taken = ready;
         ready = new Ready();
--- a/src/main/java/reeldeal/consensus/PeerProgress.java
+++ b/src/main/java/reeldeal/consensus/PeerProgress.java
@@ -3,41 +3,47 @@
 import java.util.ArrayDeque;
 
 /**
- * What a leader knows of one follower's log, and what it has sent to it. {@code ProgressTracker}
- * creates it; log replication and snapshot transfer change it.
+ * The replication progress of one follower, as recorded by the leader. {@code ProgressTracker}
+ * creates it; log replication and snapshot transfer update it.
  */
 final class PeerProgress {
-    /** The last index that the follower has acknowledged as on its disk. */
+    /** The last index that the follower has acknowledged as durable. */
     long matchIndex;
 
-    /** The next index to send. */
+    /** The index of the next entry to send. */
     long nextIndex;
 
-    /** Whether the leader still searches where the logs agree, one request at a time. */
+    /**
+     * Whether the leader is still searching for the last index at which the logs match, with one
+     * request at a time.
+     */
     boolean probing = true;
 
-    /** Whether the one request of a probe is unanswered. */
+    /** Whether a probe request is unanswered, so that no other may be sent. */
     boolean paused;
 
     /** The snapshot being sent, or null. */
     Snapshot snapshot;
 
-    /** How many bytes of the snapshot the follower has. */
+    /** How many bytes of the snapshot the follower has received. */
     int snapshotOffset;
 
-    /** Whether it lost entries that it had acknowledged; reported once. */
+    /** Whether it was logged that the follower lost entries that it had acknowledged. */
     boolean lostEntries;
 
-    /** Whether a message came since the last quorum check. */
+    /** Whether the follower has sent a message since the last quorum check. */
     boolean heardSinceCheck;
 
-    /** The tick of the last message. */
+    /** The tick at which the follower's last message arrived. */
     long lastHeardTick = Long.MIN_VALUE / 2;
 
-    /** The last heartbeat round that it has answered. */
+    /** The last heartbeat round that the follower has acknowledged. */
     long acknowledgedRound;
 
-    /** The entry whose commit it is to learn without delay; 0 for none. */
+    /**
+     * The index of an entry whose commit the follower must be notified of without delay; 0 for
+     * none.
+     */
     long urgentCommitIndex;
 
     private long matchIndexBefore = -1;
@@ -48,12 +54,12 @@
         lastHeardTick = tick;
     }
 
-    /** Whether a further append request fits in a window of so many unanswered ones. */
+    /** Whether another append request may be sent; {@code window} limits the unanswered ones. */
     boolean maySend(int window) {
         return !paused && inFlight.size() < window;
     }
 
-    /** Notes an append request of {@code count} entries. */
+    /** Records that an append request of {@code count} entries was sent. */
     void sent(int count) {
         if (probing) {
             paused = true;
@@ -63,12 +69,15 @@
         }
     }
 
-    /** Whether a rejection answers a request before the latest one. */
+    /**
+     * Whether a rejection of the request after {@code index} is outdated: it does not answer the
+     * current probe, or that index is already known to match.
+     */
     boolean isStaleRejection(long index) {
         return probing ? nextIndex - 1 != index : index <= matchIndex;
     }
 
-    /** Searches again where the logs agree, from an index on. */
+    /** Starts to search for the point at which the logs match, beginning at an index. */
     void probeFrom(long index) {
         nextIndex = index;
         probing = true;
@@ -76,7 +85,7 @@
         inFlight.clear();
     }
 
-    /** Notes that the follower has the log up to an index. */
+    /** Records that the follower has the log up to an index on its disk. */
     void acknowledged(long index) {
         matchIndex = Math.max(matchIndex, index);
         paused = false;
@@ -95,7 +104,10 @@
         }
     }
 
-    /** Notes the answer to a heartbeat; false for a round that was answered before. */
+    /**
+     * Records the response to a heartbeat; returns false if this round or a later one was
+     * acknowledged before.
+     */
     boolean acknowledgedRound(long round) {
         boolean isNew = round > acknowledgedRound;
         acknowledgedRound = Math.max(acknowledgedRound, round);
@@ -103,7 +115,10 @@
         return isNew;
     }
 
-    /** Sends again what was not acknowledged within a heartbeat round: it may be lost. */
+    /**
+     * Goes back to probing if requests are unanswered and nothing was acknowledged since the last
+     * call, one heartbeat round ago: the requests may be lost.
+     */
     void probeIfStalled() {
         if (!inFlight.isEmpty() && matchIndex == matchIndexBefore) {
             probing = true;
--- a/src/main/java/reeldeal/consensus/ProgressTracker.java
+++ b/src/main/java/reeldeal/consensus/ProgressTracker.java
@@ -6,7 +6,10 @@
 import java.util.function.BiConsumer;
 import java.util.function.ToLongFunction;
 
-/** The progress of all other members, as their leader knows it. Of no meaning on a follower. */
+/**
+ * Records the progress of all other members on the leader. On a follower the content is
+ * meaningless.
+ */
 final class ProgressTracker {
     private final String id;
     private final Map<String, PeerProgress> peers = new TreeMap<>();
@@ -15,13 +18,19 @@
         this.id = id;
     }
 
-    /** Begins a term of leadership: nothing is known, all is sent from {@code nextIndex} on. */
+    /**
+     * Discards all progress at the start of a leader's term; every member is sent entries from
+     * {@code nextIndex} on.
+     */
     void reset(GroupConfiguration configuration, long nextIndex) {
         peers.clear();
         reconcile(configuration, nextIndex);
     }
 
-    /** Adds members that are new, to be sent entries from {@code nextIndex} on; drops removed. */
+    /**
+     * Adds new members, which are sent entries from {@code nextIndex} on, and drops removed
+     * members.
+     */
     void reconcile(GroupConfiguration configuration, long nextIndex) {
         Set<String> members = configuration.all();
         peers.keySet().retainAll(members);
@@ -29,13 +38,13 @@
             if (!node.equals(id) && !peers.containsKey(node)) {
                 PeerProgress peer = new PeerProgress();
                 peer.nextIndex = nextIndex;
-                peer.heardSinceCheck = true; // it has until the next quorum check
+                peer.heardSinceCheck = true; // counts as active until the next quorum check
                 peers.put(node, peer);
             }
         }
     }
 
-    /** The progress of a member, or null. */
+    /** Returns the progress of a member, or null if there is no such other member. */
     PeerProgress of(String node) {
         return peers.get(node);
     }
@@ -44,12 +53,12 @@
         peers.forEach(action);
     }
 
-    /** The highest index that {@code majority} voters have on disk. */
+    /** Returns the highest index that {@code majority} voters have on disk. */
     long matchIndexOf(int majority, Set<String> voters, long ownIndex) {
         return reachedBy(majority, voters, ownIndex, peer -> peer.matchIndex);
     }
 
-    /** The latest heartbeat round that {@code majority} voters have answered. */
+    /** Returns the latest heartbeat round that {@code majority} voters have acknowledged. */
     long roundAcknowledgedBy(int majority, Set<String> voters, long ownRound) {
         return reachedBy(majority, voters, ownRound, peer -> peer.acknowledgedRound);
     }
@@ -64,7 +73,10 @@
         return values[values.length - majority];
     }
 
-    /** How many voters, this node included, were heard since the last call. */
+    /**
+     * Returns how many voters, including this node, have sent a message since the last call, and
+     * starts counting anew.
+     */
     long takeHeard(Set<String> voters) {
         long heard =
                 voters.stream().filter(v -> v.equals(id) || peers.get(v).heardSinceCheck).count();
--- a/src/main/java/reeldeal/consensus/RaftContext.java
+++ b/src/main/java/reeldeal/consensus/RaftContext.java
@@ -1,8 +1,8 @@
 package reeldeal.consensus;
 
 /**
- * What the classes of a node share: its name and settings, and the state that all of them read. The
- * classes named here own that state; others change it through their methods only.
+ * The name, settings and state that the classes of a node share. Each state object is owned by its
+ * class here; other classes change it only through the methods of that class.
  */
 record RaftContext(
         String id,
@@ -26,14 +26,14 @@
     }
 
     /**
-     * Whether an entry of the current term is committed. On a leader this says that it knows all
-     * that was committed before its term (thesis, section 6.4).
+     * Whether an entry of the current term is committed. If so, a leader's commit index covers
+     * every entry committed in earlier terms (thesis, section 6.4).
      */
     boolean committedInCurrentTerm() {
         return log.term(log.commitIndex()) == durable.term();
     }
 
-    /** Acknowledges to the leader the log up to an index, once that is on disk. */
+    /** Acknowledges the log up to an index to the leader, once it is on disk. */
     void acknowledge(String leader, long index) {
         durable.sendWhenDurable(Message.AppendResponse.accepted(id, leader, term(), index));
     }
--- a/src/main/java/reeldeal/consensus/RaftLog.java
+++ b/src/main/java/reeldeal/consensus/RaftLog.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * The log of one node: its latest snapshot and the entries after it, how far they are committed and
- * delivered, how far they are on disk, and which changes the disk has not been given yet.
+ * The log of one node: its latest snapshot and the entries after it, the index up to which they are
+ * committed, delivered and on disk, and the changes for which no disk request was issued yet.
  */
 final class RaftLog {
-    /** Approximate size of an entry without its data, in bytes. */
+    /** The approximate size of an entry without its data, in bytes. */
     private static final int ENTRY_OVERHEAD_BYTES = 32;
 
     private final Outbox outbox;
@@ -21,7 +21,10 @@
     private Snapshot unsavedSnapshot;
     private boolean unsavedReset;
 
-    /** A log with what is on disk; committed entries and snapshots go to {@code outbox}. */
+    /**
+     * Creates a log from the snapshot and entries on disk. Committed entries and installed
+     * snapshots go to {@code outbox}.
+     */
     RaftLog(Snapshot snapshot, List<Entry> entries, Outbox outbox) {
         this.outbox = outbox;
         this.snapshot = snapshot;
@@ -51,12 +54,12 @@
         return commitIndex;
     }
 
-    /** The last index that is on this node's disk. */
+    /** Returns the index of the last entry on this node's disk. */
     long durableIndex() {
         return Math.max(durableIndex, snapshot.index());
     }
 
-    /** The term of an entry, or -1 if this log does not have it. */
+    /** Returns the term of an entry, or -1 if this log does not have the entry. */
     long term(long index) {
         if (index == snapshot.index()) {
             return snapshot.term();
@@ -68,7 +71,10 @@
         return entries.get((int) (index - snapshot.index() - 1));
     }
 
-    /** Entries from an index on, up to about {@code maxBytes}, but at least one if there is one. */
+    /**
+     * Returns entries from an index on, up to about {@code maxBytes}, but at least one entry if the
+     * log has it.
+     */
     List<Entry> from(long index, int maxBytes) {
         List<Entry> found = new ArrayList<>();
         int bytes = 0;
@@ -91,7 +97,10 @@
         durableIndex = Math.min(durableIndex, lastIndex());
     }
 
-    /** Commits up to an index and delivers the entries up to it; an earlier index does nothing. */
+    /**
+     * Advances the commit index and delivers the newly committed entries. Does nothing if the index
+     * is already committed.
+     */
     void commitTo(long index) {
         commitIndex = Math.max(commitIndex, index);
         while (deliveredIndex < commitIndex) {
@@ -100,7 +109,10 @@
         }
     }
 
-    /** The snapshot of {@code state} at an index of this log that was delivered. */
+    /**
+     * Returns a snapshot of {@code state} at a delivered index, with the term and configuration at
+     * that index.
+     */
     Snapshot snapshotAt(long index, byte[] state) {
         GroupConfiguration configuration = snapshot.configuration();
         for (long i = snapshotIndex() + 1; i <= index; i++) {
@@ -110,7 +122,10 @@
         return new Snapshot(index, term(index), configuration, state);
     }
 
-    /** Replaces the entries up to an index by a snapshot; false if that is not possible. */
+    /**
+     * Replaces the entries up to an index by a snapshot. Returns false, and changes nothing, if the
+     * index is already compacted or not delivered yet.
+     */
     boolean compact(long index, byte[] state) {
         if (index <= snapshotIndex() || index > deliveredIndex) {
             return false;
@@ -119,7 +134,10 @@
         return true;
     }
 
-    /** Installs the leader's snapshot, and keeps entries after it only if they continue it. */
+    /**
+     * Installs a snapshot received from the leader. Keeps the entries after it only if this log has
+     * the snapshot's last entry with the same term.
+     */
     void install(Snapshot received) {
         if (term(received.index()) == received.term()) {
             replacePrefix(received);
@@ -143,7 +161,7 @@
         unsavedSnapshot = replacement;
     }
 
-    /** The latest configuration in the log, committed or not. */
+    /** Returns the latest configuration in the log, committed or not. */
     GroupConfiguration configuration() {
         for (int i = entries.size() - 1; i >= 0; i--) {
             if (entries.get(i).configuration() != null) {
@@ -153,7 +171,10 @@
         return snapshot.configuration();
     }
 
-    /** The index of the last entry that changes the configuration, or the snapshot's. */
+    /**
+     * Returns the index of the last entry that changes the configuration, or the snapshot's index
+     * if there is none.
+     */
     long configurationIndex() {
         for (int i = entries.size() - 1; i >= 0; i--) {
             if (entries.get(i).configuration() != null) {
@@ -163,7 +184,7 @@
         return snapshot.index();
     }
 
-    /** Whether there are changes that no disk request covers. */
+    /** Whether there are changes for which no disk request was issued. */
     boolean hasUnsaved() {
         return hasUnsavedEntries() || unsavedSnapshot != null;
     }
@@ -172,7 +193,9 @@
         return unsavedFrom <= lastIndex();
     }
 
-    /** A disk request for all changes since the last one. */
+    /**
+     * Returns a disk request for all changes since the last request, and marks them as requested.
+     */
     Ready.Persist takeUnsaved(long request, long term, String vote) {
         boolean withEntries = hasUnsavedEntries();
         long from = withEntries ? Math.max(unsavedFrom, snapshotIndex() + 1) : Long.MAX_VALUE;
@@ -191,7 +214,10 @@
         return persist;
     }
 
-    /** The disk has the log up to this entry, unless the entry was replaced meanwhile. */
+    /**
+     * Records that the log is on disk up to this entry, unless the entry was replaced in the
+     * meantime.
+     */
     void markDurable(long index, long term) {
         if (term(index) == term) {
             durableIndex = Math.max(durableIndex, index);
--- a/src/main/java/reeldeal/consensus/RaftNode.java
+++ b/src/main/java/reeldeal/consensus/RaftNode.java
@@ -4,62 +4,64 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * One node of a group that agrees on a log. This class dispatches the inputs and carries out the
- * changes of role; the classes that it delegates to own the state.
+ * One node of a Raft group. This class dispatches the inputs and carries out role changes; the
+ * classes that it delegates to own the state.
  *
- * <p>What differs from the publications, and why, is in docs/design/store.md. In short: elections
- * are preceded by a pre-vote (thesis, section 9.6); a leader that hears no majority steps down, and
- * a node that hears a leader grants no votes (section 6.2); members change by one voter at a time
- * (section 4.1), and not before the leader has committed an entry of its own term; reads take the
- * commit index once a majority has answered a heartbeat sent after they came (section 6.4). Disks
- * may be slow: a message that promises something which must survive a crash waits until the disk
- * request made before it is done.
+ * <p>docs/design/store.md describes the differences from the publications and their reasons. In
+ * short: an election is preceded by a pre-vote (thesis, section 9.6). A leader that receives no
+ * messages from a majority steps down, and a node that receives messages from a leader grants no
+ * votes (section 6.2). The members change by one voter at a time (section 4.1), and not before the
+ * leader has committed an entry of its own term. A read takes the commit index, and is answered
+ * once a majority has acknowledged a heartbeat sent after the read arrived (section 6.4). Disks may
+ * be slow, so a message whose content must survive a crash of its sender is held back until the
+ * disk request issued before it is complete.
  *
- * <p>Not thread-safe: one thread makes all calls. After each input the caller takes {@link
- * #takeReady} and carries it out.
+ * <p>Not thread-safe: one thread makes all calls. After each input the caller fetches the output
+ * with {@link #takeReady} and carries it out.
  */
 public final class RaftNode {
 
     /** The role of a node in the current term. */
     public enum Role {
-        /** Follows a leader, or waits for one. */
+        /** Follows the leader, or waits for an election. */
         FOLLOWER,
-        /** Asks whether it could win an election. */
+        /** Asks the voters whether it could win an election. */
         PRE_CANDIDATE,
         /** Requests votes. */
         CANDIDATE,
-        /** Leads the term. */
+        /** Won the election of the current term. */
         LEADER
     }
 
     /**
-     * Times in ticks, sizes in bytes.
+     * The timing and size limits of a node; times are in ticks, sizes in bytes.
      *
-     * @param electionTicks without a leader for so long, up to twice that at random, a node becomes
-     *     a candidate
-     * @param heartbeatTicks between a leader's heartbeats; well under {@code electionTicks}
-     * @param leaseTicks for how long after a heartbeat that a majority answered the leader answers
-     *     reads without another round; 0 to disable it, else less than {@code electionTicks} by
-     *     more than clocks can drift
-     * @param messageBytes entries, or a chunk of a snapshot, in one message
-     * @param window append requests that may be unanswered at one follower
+     * @param electionTicks the minimum election timeout; each timeout is drawn at random between
+     *     this and twice this
+     * @param heartbeatTicks the heartbeat interval; well below {@code electionTicks}
+     * @param leaseTicks how long after sending a heartbeat that a majority acknowledged the leader
+     *     answers reads without another round; 0 to disable leases, else less than {@code
+     *     electionTicks} by a margin larger than the possible clock drift
+     * @param messageBytes the approximate size limit of the entries in one message, and the size of
+     *     a snapshot chunk
+     * @param window how many append requests to one follower may be unanswered
      */
     public record Settings(
             int electionTicks, int heartbeatTicks, int leaseTicks, int messageBytes, int window) {
-        /** What suits a tick of 50 ms on a local network. */
+        /** Settings for a tick of 50 ms on a local network. */
         public static final Settings DEFAULT = new Settings(10, 2, 0, 256 * 1024, 32);
     }
 
     /**
-     * What a node has on disk at its start.
+     * The state that a node reads from its disk at its start.
      *
      * @param term the current term
      * @param vote the vote in that term, or null
-     * @param snapshot the latest snapshot; one of index 0 without data on a new node
+     * @param snapshot the latest snapshot; on a new node, a snapshot of index 0 without data
      * @param entries the entries after the snapshot, in order
      */
     public record PersistentState(long term, String vote, Snapshot snapshot, List<Entry> entries) {
-        /** A new node of a group with this first configuration. */
+        /** Returns the state of a new node in a group with this initial configuration. */
         public static PersistentState fresh(GroupConfiguration configuration) {
             return new PersistentState(
                     0, null, new Snapshot(0, 0, configuration, new byte[0]), List.of());
@@ -67,10 +69,10 @@
     }
 
     /**
-     * The progress of a member as the leader knows it.
+     * The progress of a member as recorded by the leader.
      *
-     * @param reachable whether it was heard within an election time
-     * @param entriesBehind how many of the leader's entries are not known to be on its disk
+     * @param reachable whether the leader received a message from it within {@code electionTicks}
+     * @param entriesBehind how many of the leader's entries the member has not acknowledged
      */
     public record NodeProgress(boolean reachable, long entriesBehind) {}
 
@@ -88,15 +90,12 @@
     private final ReadIndex reads;
     private long ticks;
 
-    /**
-     * A node that starts with what it has on disk; {@code random} gives a number from 0 on below
-     * its argument.
-     */
+    /** Starts a node from its state on disk; {@code random} returns a number below its argument. */
     public RaftNode(String id, Settings settings, PersistentState disk, IntUnaryOperator random) {
         this(id, settings, disk, random, new RaftRules());
     }
 
-    /** For tests: a node with other rules. */
+    /** Starts a node with other safety rules, for tests. */
     RaftNode(
             String id,
             Settings settings,
@@ -116,47 +115,47 @@
         reads = new ReadIndex(context, tracker, heartbeats, transfer);
     }
 
-    /** The role of this node. */
+    /** Returns the role of this node. */
     public Role role() {
         return election.role();
     }
 
-    /** The current term. */
+    /** Returns the current term. */
     public long term() {
         return durable.term();
     }
 
-    /** The leader of the current term as far as it is known, or null. */
+    /** Returns the leader of the current term, or null if this node does not know of one. */
     public String leader() {
         return election.leader();
     }
 
-    /** The last index that is known to be committed. */
+    /** Returns the last index that this node knows to be committed. */
     public long commitIndex() {
         return log.commitIndex();
     }
 
-    /** The index of the last entry, committed or not. */
+    /** Returns the index of the last entry, committed or not. */
     public long lastIndex() {
         return log.lastIndex();
     }
 
-    /** The last index that the latest snapshot includes. */
+    /** Returns the last index that the latest snapshot includes. */
     public long snapshotIndex() {
         return log.snapshotIndex();
     }
 
-    /** The latest configuration in the log, committed or not. */
+    /** Returns the latest configuration in the log, committed or not. */
     public GroupConfiguration configuration() {
         return membership.configuration();
     }
 
-    /** The term of an entry that this node has, or -1. */
+    /** Returns the term of an entry, or -1 if this node does not have the entry. */
     public long termAt(long index) {
         return log.term(index);
     }
 
-    /** The progress of a member; on a node that does not lead, no member is reachable. */
+    /** Returns the progress of a member; unless this node leads, every member is unreachable. */
     public NodeProgress progressOf(String node) {
         if (election.isLeader() && node.equals(context.id())) {
             return new NodeProgress(true, log.lastIndex() - log.durableIndex());
@@ -169,7 +168,7 @@
                         log.lastIndex() - peer.matchIndex);
     }
 
-    /** The progress of a follower, or null if this node does not lead or has no such member. */
+    /** Returns a follower's progress, or null if this node does not lead or lacks that follower. */
     private PeerProgress followerOf(String node) {
         return election.isLeader() ? tracker.of(node) : null;
     }
@@ -179,29 +178,29 @@
         return membership.isCommitted();
     }
 
-    /** All entries after an index that this node has, committed or not. */
+    /** Returns all entries after an index that are in this node's log, committed or not. */
     public List<Entry> entriesAfter(long index) {
         return log.from(Math.max(index, log.snapshotIndex()) + 1, Integer.MAX_VALUE);
     }
 
-    /** The last index that is on this node's disk. */
+    /** Returns the index of the last entry on this node's disk. */
     public long durableIndex() {
         return log.durableIndex();
     }
 
-    /** Whether this node leads and knows all that was committed before its term. */
+    /** Whether this node leads and its commit index covers all entries of earlier terms. */
     public boolean hasQuorumLease() {
         return election.isLeader() && context.committedInCurrentTerm();
     }
 
-    /** Whether this node has all that was committed at the leader's last heartbeat. */
+    /** Whether this node has committed all entries that were committed at the last heartbeat. */
     public boolean isCurrent() {
         return election.isLeader()
                 ? context.committedInCurrentTerm()
                 : election.leader() != null && replication.hasCaughtUp();
     }
 
-    /** The output since the last call. */
+    /** Returns the output since the last call. */
     public Ready takeReady() {
         while (durable.requestFlush()) {
             releaseDurableMessages();
@@ -209,7 +208,7 @@
         return outbox.take();
     }
 
-    /** Starts a pre-vote without waiting: for a node that is its group's only voter. */
+    /** Starts a pre-vote without an election timeout; for a node that is its group's only voter. */
     public void campaignNow() {
         if (role() == Role.FOLLOWER && context.isVoter()) {
             conclude(election.startPreVote());
@@ -232,7 +231,7 @@
         }
     }
 
-    /** Reports that a disk request, and all before it, is on disk. */
+    /** Reports that a disk request and all earlier ones are complete. */
     public void persisted(long request) {
         durable.persisted(request);
         releaseDurableMessages();
@@ -253,8 +252,9 @@
     }
 
     /**
-     * Proposes an entry; returns its index, or -1 if this node does not lead or transfers its
-     * leadership. It is committed once an entry of this index and the current term comes out.
+     * Proposes an entry and returns its index, or -1 if this node is not the leader or is
+     * transferring its leadership. The entry is committed once the output contains a committed
+     * entry of this index and the current term.
      */
     public long propose(byte[] data) {
         if (!acceptsProposals()) {
@@ -269,28 +269,28 @@
         return election.isLeader() && !transfer.isActive();
     }
 
-    /** Proposes a configuration; returns the entry's index, or -1 and a note with the reason. */
+    /** Proposes a configuration; returns the entry's index, or -1 after logging the reason. */
     public long changeConfiguration(GroupConfiguration proposed) {
         if (!acceptsProposals()) {
-            outbox.note("members not changed: this node does not lead");
+            outbox.note("members not changed: this node does not lead or transfers leadership");
             return -1;
         }
         if (!membership.mayChangeTo(proposed, context.committedInCurrentTerm())) {
             outbox.note(
-                    "members not changed: the last change is not committed, or this one is more"
-                            + " than one voter");
+                    "members not changed: the previous change or an entry of the current term"
+                            + " is not committed yet, or the change affects more than one voter");
             return -1;
         }
         long index = replication.append(new byte[0], proposed);
         membership.reload();
-        // The last entry is sent to a new member, to learn where the logs agree: the next write
-        // may be long in coming.
+        // Sends the last entry to a new member at once, to find the index at which the logs match:
+        // the next write may come much later.
         tracker.reconcile(membership.configuration(), log.lastIndex());
         replication.sendToAll();
         return index;
     }
 
-    /** Transfers leadership; false if this node does not lead or the other does not vote. */
+    /** Transfers leadership; returns false if this node does not lead or the target cannot lead. */
     public boolean transferLeadership(String node) {
         if (!election.isLeader()
                 || node.equals(context.id())
@@ -307,7 +307,7 @@
         return true;
     }
 
-    /** Requests a read: its number comes out with an index, or as failed. */
+    /** Requests a read; its number is output with the index to wait for, or as failed. */
     public void read(long read) {
         if (election.isLeader()) {
             reads.read(read, ticks);
@@ -317,8 +317,8 @@
     }
 
     /**
-     * Has a follower learn that an entry is committed as soon as it has the entry, without waiting
-     * for the next message that would say so. Costs one heartbeat and its answer.
+     * Notifies a follower that an entry is committed as soon as the follower has the entry, without
+     * waiting for the next regular message. Costs one heartbeat and its response.
      */
     public void prioritizeReplication(String node, long index) {
         PeerProgress peer = followerOf(node);
@@ -327,7 +327,7 @@
         }
     }
 
-    /** The snapshot that {@link #compact} would make at an index that was delivered. */
+    /** Returns the snapshot that {@link #compact} would create at a delivered index. */
     public Snapshot snapshotAt(long index, byte[] state) {
         return log.snapshotAt(index, state);
     }
@@ -339,7 +339,7 @@
         }
     }
 
-    /** Processes a message of another member. */
+    /** Processes a message from another member. */
     public void receive(Message message) {
         if (message.term() > term()) {
             if (election.ignores(message, ticks)) {
@@ -356,7 +356,9 @@
         dispatch(message);
     }
 
-    /** A leader or pre-candidate of an earlier term learns the current one by the answer. */
+    /**
+     * Drops a message of an earlier term; answers a leader or pre-candidate with the current term.
+     */
     private void rejectStale(Message message) {
         String id = context.id();
         if (message instanceof Message.LeaderMessage) {
@@ -388,7 +390,7 @@
 
     private void onLeaderMessage(Message.LeaderMessage message) {
         if (election.isLeader()) {
-            return; // a term has one leader: this cannot be
+            return; // cannot happen: a term has only one leader
         }
         if (role() != Role.FOLLOWER) {
             becomeFollower(term(), message.from());
@@ -436,7 +438,7 @@
     private void onHeartbeatResponse(Message.HeartbeatResponse message, PeerProgress peer) {
         boolean isNewRound = peer.acknowledgedRound(message.round());
         reads.confirm();
-        // Another answer to the same round says nothing of the time that passed.
+        // A repeated response does not show that time has passed, so it triggers no retransmission.
         if (isNewRound) {
             replication.resume(message.from(), peer);
         }
@@ -460,7 +462,7 @@
         election.becomeLeader();
         heartbeats.resetTimer();
         tracker.reset(membership.configuration(), log.lastIndex() + 1);
-        // An entry of its own term: what came before is committed with it (thesis, section 3.6.2).
+        // Committing this entry commits those of earlier terms with it (thesis, section 3.6.2).
         replication.append(new byte[0], null);
         outbox.note(context.id() + " leads, term " + term());
         replication.sendToAll();
@@ -468,7 +470,7 @@
 
     private void becomeFollower(long newTerm, String leader) {
         if (election.isLeader()) {
-            outbox.note(context.id() + " leads no more, term " + term());
+            outbox.note(context.id() + " is no longer the leader, term " + term());
         }
         election.becomeFollower(newTerm, leader);
         replication.forgetLeaderCommitIndex();
@@ -487,9 +489,9 @@
 
     private void advanceCommitIndex() {
         if (replication.advanceCommitIndex() && !context.isVoter() && membership.isCommitted()) {
-            // It led while it was removed; now that this is committed, others take over (thesis,
-            // section 4.2.2).
-            outbox.note(context.id() + " is no voter any more");
+            // This leader was removed from the voters. It steps down now that the change is
+            // committed, and another node takes over (thesis, section 4.2.2).
+            outbox.note(context.id() + " is no longer a voter and steps down");
             heartbeats.sendToAll();
             becomeFollower(term(), null);
         }
--- a/src/main/java/reeldeal/consensus/ReadIndex.java
+++ b/src/main/java/reeldeal/consensus/ReadIndex.java
@@ -6,8 +6,9 @@
 import java.util.TreeMap;
 
 /**
- * Linearizable reads on a leader: each takes the commit index, and is answered once a majority has
- * answered a heartbeat sent after it came, or by the leader's lease (thesis, section 6.4).
+ * Serves linearizable reads on a leader. Each read takes the commit index, and is answered once a
+ * majority has acknowledged a heartbeat sent after the read arrived, or at once while the leader
+ * holds a lease (thesis, section 6.4).
  */
 final class ReadIndex {
     private record PendingRead(long id, long round, long index) {}
@@ -31,7 +32,10 @@
         this.transfer = transfer;
     }
 
-    /** Accepts a read on a leader at a tick. */
+    /**
+     * Accepts a read that arrived at a tick; fails it if no entry of the current term is committed
+     * yet.
+     */
     void read(long id, long tick) {
         long commitIndex = context.log().commitIndex();
         if (!context.rules().mayRead(context.committedInCurrentTerm())) {
@@ -45,13 +49,19 @@
         }
     }
 
-    /** Sends a round of heartbeats at a tick; a lease runs from then once it is confirmed. */
+    /**
+     * Sends a round of heartbeats at a tick. If a majority acknowledges the round, the lease runs
+     * from that tick.
+     */
     void startRound(long tick) {
         heartbeats.startRound();
         roundStartTicks.put(heartbeats.round(), tick);
     }
 
-    /** Answers the reads of the rounds that a majority has acknowledged, and extends the lease. */
+    /**
+     * Answers the reads that wait for a round that a majority has acknowledged, and extends the
+     * lease.
+     */
     void confirm() {
         GroupConfiguration configuration = context.configuration();
         long confirmed =
@@ -77,12 +87,12 @@
         return context.settings().leaseTicks() > 0;
     }
 
-    /** Ends the lease, before another node may be elected. */
+    /** Ends the lease early, because another node may be elected before it expires. */
     void revokeLease() {
         leaseUntilTick = 0;
     }
 
-    /** Fails all pending reads: this node no longer leads. */
+    /** Fails all pending reads, because this node is no longer the leader. */
     void abort() {
         pending.forEach(read -> context.outbox().readFailed(read.id()));
         pending.clear();
--- a/src/main/java/reeldeal/consensus/Snapshot.java
+++ b/src/main/java/reeldeal/consensus/Snapshot.java
@@ -1,9 +1,9 @@
 package reeldeal.consensus;
 
 /**
- * The state after all entries up to an index, in place of them.
+ * The state after all entries up to an index; it replaces these entries.
  *
- * @param index the last entry that the state includes; 0 for none
+ * @param index the index of the last entry that the state includes; 0 for none
  * @param term the term of that entry
  * @param configuration the group's configuration at that entry
  * @param data the state, in a form that consensus does not interpret
--- a/src/main/java/reeldeal/consensus/SnapshotTransfer.java
+++ b/src/main/java/reeldeal/consensus/SnapshotTransfer.java
@@ -2,7 +2,10 @@
 
 import java.util.Arrays;
 
-/** Sends a snapshot in chunks to a follower whose next entry is compacted, and receives one. */
+/**
+ * Sends a snapshot in chunks to a follower whose next entry is already compacted and, on a
+ * follower, assembles the chunks and installs the snapshot.
+ */
 final class SnapshotTransfer {
     private static final byte[] EMPTY = new byte[0];
 
@@ -15,14 +18,16 @@
         this.context = context;
     }
 
-    /** Begins to send the log's snapshot. */
+    /** Starts to send the log's latest snapshot to a follower. */
     void start(String node, PeerProgress peer) {
         peer.snapshot = context.log().snapshot();
         peer.snapshotOffset = 0;
         sendChunk(node, peer);
     }
 
-    /** Sends the next chunk, again if it was sent before. */
+    /**
+     * Sends the chunk at the offset that the follower has confirmed, even if it was sent before.
+     */
     void sendChunk(String node, PeerProgress peer) {
         Snapshot snapshot = peer.snapshot;
         byte[] data = snapshot.data();
@@ -42,7 +47,7 @@
                                 Arrays.copyOfRange(data, peer.snapshotOffset, end)));
     }
 
-    /** The follower has received so much: sends what follows. */
+    /** Handles a follower's report of the bytes received: sends the next chunk. */
     void onChunkResponse(Message.SnapshotChunkResponse message, PeerProgress peer) {
         if (peer.snapshot != null
                 && peer.snapshot.index() == message.index()
@@ -52,7 +57,7 @@
         }
     }
 
-    /** Takes a chunk on a follower, and installs the snapshot with the last one. */
+    /** Handles a chunk on a follower, and installs the snapshot once the last chunk has arrived. */
     void onChunk(Message.SnapshotChunk message) {
         Message.SnapshotHeader header = message.header();
         long commitIndex = context.log().commitIndex();
--- a/src/main/java/reeldeal/consensus/package-info.java
+++ b/src/main/java/reeldeal/consensus/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Consensus on a log among a group of nodes: Raft as published by Ongaro and Ousterhout (In Search
- * of an Understandable Consensus Algorithm, 2014) and in Ongaro's thesis (2014), cited as "thesis"
- * by section. docs/design/store.md says where this implementation differs and why.
+ * A replicated log for a group of nodes, by the Raft consensus algorithm as published by Ongaro and
+ * Ousterhout (In Search of an Understandable Consensus Algorithm, 2014) and in Ongaro's thesis
+ * (2014), cited as "thesis" by section. docs/design/store.md describes where this implementation
+ * differs and why.
  *
  * <p>{@link reeldeal.consensus.RaftNode} is a deterministic state machine: messages, ticks and disk
  * completions are its inputs; a {@link reeldeal.consensus.Ready} with messages, disk requests and
@@ -10,6 +11,6 @@
  * each of which owns its state. {@code RaftRules} holds the safety rules as pure predicates.
  *
  * <p>The package imports no other package of this program, and uses no sockets, files, threads or
- * clocks. It has no locks: one thread, that of the {@code StoreNode}, makes all calls.
+ * clocks. It has no locks: the thread of the {@code StoreNode} makes all calls.
  */
 package reeldeal.consensus;
--- a/src/main/java/reeldeal/storage/ChecksummedRecords.java
+++ b/src/main/java/reeldeal/storage/ChecksummedRecords.java
@@ -4,30 +4,32 @@
 import java.util.zip.CRC32C;
 
 /**
- * Records of a file: {@code length, header checksum, checksum, bytes}, each checksum a CRC32C.
- * Reading tells three ends apart. A record that extends past the file's end, or of which the part
- * in some sector is zero, was being written when the power failed: a torn tail. One that is
- * complete and yet wrong was changed after it was written: damage, since a sector is written as a
- * unit. So that zeros mean "never written", the bytes are scrambled.
+ * Encodes and decodes the records of a file: {@code length, header checksum, checksum, bytes},
+ * where each checksum is a CRC32C. A read that finds no valid record distinguishes three cases: the
+ * end of the file, a torn tail and damage. A record that extends past the end of the file, or whose
+ * part within some sector is all zeros, was being written when the power failed: a torn tail. A
+ * record that is complete but has a wrong checksum was changed after it was written: damage,
+ * because a sector is written as a unit. The bytes are scrambled so that a run of zeros means
+ * "never written".
  *
- * <p>Pure functions on bytes.
+ * <p>Pure functions of byte arrays.
  */
 final class ChecksummedRecords {
-    /** Size of the three numbers before a record's bytes. */
+    /** The size of the three numbers before a record's bytes. */
     static final int HEADER_BYTES = 12;
 
-    /** The largest record. */
+    /** The maximum size of a record's content. */
     static final int MAX_BYTES = 64 << 20;
 
     private static final int SECTOR_BYTES = 512;
 
-    /** Fewer zeros than this in a sector may be part of what was written. */
+    /** A shorter run of zeros in a sector may be part of the written data. */
     private static final int MIN_ZERO_BYTES = 4;
 
     private static final int LENGTH_MASK = 0x5a5a5a5a;
     private static final int SCRAMBLE_FACTOR = 0x9e3779b1;
 
-    /** What is at an offset. */
+    /** The kinds of content that a read can find at an offset. */
     enum Kind {
         RECORD,
         END,
@@ -35,7 +37,10 @@
         DAMAGED
     }
 
-    /** The result of a read: a record's bytes, or a description of the damage; else null. */
+    /**
+     * The result of a read. {@code bytes} is null unless it found a record, {@code damage} unless
+     * it found damage.
+     */
     record Found(Kind kind, byte[] bytes, String damage) {
         private static final Found END = new Found(Kind.END, null, null);
         private static final Found TORN = new Found(Kind.TORN, null, null);
@@ -57,7 +62,7 @@
                     && headerChecksum == checksumOfHeader(length, checksum);
         }
 
-        /** Where the record ends, if it begins at an offset. */
+        /** Returns the offset at which the record ends if its header is at {@code offset}. */
         long end(int offset) {
             return offset + HEADER_BYTES + (long) length;
         }
@@ -75,7 +80,7 @@
         return checksum(ByteBuffer.allocate(8).putInt(length).putInt(checksum).array(), 0, 8);
     }
 
-    /** Its own inverse. */
+    /** Scrambles bytes; applied twice, it returns the original bytes. */
     private static byte[] scramble(byte[] bytes, int offset, int length) {
         byte[] scrambled = new byte[length];
         for (int i = 0; i < length; i++) {
@@ -84,7 +89,7 @@
         return scrambled;
     }
 
-    /** A record's bytes on disk. */
+    /** Returns a record with these bytes, in the form that is written to disk. */
     static byte[] encode(byte[] bytes) {
         byte[] scrambled = scramble(bytes, 0, bytes.length);
         int checksum = checksum(scrambled, 0, scrambled.length);
@@ -96,7 +101,7 @@
                 .array();
     }
 
-    /** Whether a valid header is at an offset, of a record that ends within the file. */
+    /** Whether there is a valid header at an offset, whose record ends within the file. */
     static boolean beginsAt(byte[] file, int offset) {
         if (file.length - offset < HEADER_BYTES) {
             return false;
@@ -105,7 +110,7 @@
         return header.isValid() && header.end(offset) <= file.length;
     }
 
-    /** Reads what is at an offset of a file's bytes. */
+    /** Reads the record at an offset of a file's bytes, or determines why there is none. */
     static Found read(byte[] file, int offset) {
         if (offset == file.length) {
             return Found.END;
@@ -118,7 +123,7 @@
         if (!header.isValid()) {
             return hasUnwrittenSector(file, offset, start)
                     ? Found.TORN
-                    : Found.damaged("a record's head is not as it was written");
+                    : Found.damaged("a record's header does not match its checksum");
         }
         if (header.end(offset) > file.length) {
             return Found.TORN;
@@ -126,12 +131,12 @@
         if (checksum(file, start, header.length()) != header.checksum()) {
             return hasUnwrittenSector(file, offset, start + header.length())
                     ? Found.TORN
-                    : Found.damaged("a record's bytes are not as they were written");
+                    : Found.damaged("a record's bytes do not match their checksum");
         }
         return new Found(Kind.RECORD, scramble(file, start, header.length()), null);
     }
 
-    /** Whether all that lies within these bounds of some sector is zero. */
+    /** Whether the part of some sector that lies between these offsets is all zeros. */
     private static boolean hasUnwrittenSector(byte[] file, int from, int to) {
         int start = from;
         while (start < to) {
--- a/src/main/java/reeldeal/storage/CorruptDataException.java
+++ b/src/main/java/reeldeal/storage/CorruptDataException.java
@@ -4,8 +4,8 @@
 import java.nio.file.Path;
 
 /**
- * Bytes that no crash leaves: the data directory cannot be used. The message names the file and the
- * offset, and what to do.
+ * Thrown for data that a crash cannot have left behind; the data directory cannot be used. The
+ * message names the file and the offset, and tells the operator what to do.
  */
 public final class CorruptDataException extends IOException {
     private static final long serialVersionUID = 1L;
@@ -17,7 +17,9 @@
                         + offset
                         + ": "
                         + damage
-                        + ". This is no torn write: the node must not go on from it."
-                        + " Take it out of the group and add it again under a new name with an empty folder");
+                        + ". A crash does not cause this, so the node must not start"
+                        + " from this directory."
+                        + " Remove it from the group and add it again"
+                        + " under a new name with an empty directory");
     }
 }
--- a/src/main/java/reeldeal/storage/DataDirectory.java
+++ b/src/main/java/reeldeal/storage/DataDirectory.java
@@ -17,25 +17,26 @@
 import reeldeal.consensus.Snapshot;
 
 /**
- * One node's data directory. {@code FORMAT} names the format and the node; {@code LOCK} is held
- * while it is open; {@link VoteFile}, {@link SnapshotFiles}, {@link SegmentedLog} and {@link
- * MarkFile} own the other files. Nothing is removed before what replaces it is on disk, so that a
- * power failure at any moment leaves a state that was truly written.
+ * One node's data directory. The file {@code FORMAT} contains the format version and the node's
+ * name, and {@code LOCK} is locked while the directory is open. {@link VoteFile}, {@link
+ * SnapshotFiles}, {@link SegmentedLog} and {@link MarkFile} own the other files. Data is removed
+ * only after its replacement is on disk, so that a power failure at any moment leaves a state that
+ * was written.
  *
- * <p>Not thread-safe, but for {@link #prepare}; the calls block on the disk.
+ * <p>Not thread-safe, except for {@link #prepare}. The calls block on the disk.
  */
 public final class DataDirectory implements AutoCloseable {
     private static final String LOCK_FILE = "LOCK";
 
     /**
-     * What a directory held when it was opened.
+     * The content of a directory when it was opened.
      *
      * @param state the term, vote, snapshot and log
-     * @param cutBytes how many bytes of a torn tail were removed from the log
+     * @param cutBytes how many bytes of a torn tail were truncated from the log
      */
     public record OpenResult(RaftNode.PersistentState state, long cutBytes) {}
 
-    /** The size of the log on disk. */
+    /** The size of the log's files and their number. */
     public record LogSize(long bytes, int files) {}
 
     private final DurableFiles files;
@@ -59,12 +60,13 @@
     }
 
     /**
-     * Opens a node's directory, or creates it.
+     * Opens a node's directory, and creates it if it does not exist.
      *
-     * @param firstConfiguration the group's configuration if the directory is new
-     * @param segmentBytes the size from which on a new file of the log is begun
-     * @throws CorruptDataException if it holds what no crash leaves
-     * @throws IOException if it is in use, or belongs to another node or version of the program
+     * @param firstConfiguration the group's initial configuration, used if there is no snapshot
+     * @param segmentBytes the size of a log file at which the next file is started
+     * @throws CorruptDataException if it contains data that a crash cannot have left behind
+     * @throws IOException if it is in use, or belongs to another node or another version of the
+     *     program
      */
     public static DataDirectory open(
             Path path, String node, GroupConfiguration firstConfiguration, int segmentBytes)
@@ -78,7 +80,7 @@
         FileLock lock = tryLock(lockFile);
         if (lock == null) {
             lockFile.close();
-            throw new IOException("another process holds " + path);
+            throw new IOException("already in use by this or another process: " + path);
         }
         DataDirectory directory = new DataDirectory(path, segmentBytes, lockFile, lock);
         try {
@@ -95,11 +97,11 @@
         try {
             return lockFile.tryLock();
         } catch (OverlappingFileLockException e) {
-            return null; // held by this process
+            return null; // locked by this process
         }
     }
 
-    /** What the directory held when it was opened. */
+    /** Returns what the directory contained when it was opened. */
     public OpenResult opened() {
         return opened;
     }
@@ -125,7 +127,7 @@
                         cutBytes);
     }
 
-    /** Lists the snapshots and the log, and deletes files that were not renamed before a crash. */
+    /** Collects the snapshot files and log files, and deletes temporary files left by a crash. */
     private void listFiles(List<Path> snapshotFiles, List<Path> logFiles) throws IOException {
         try (Stream<Path> all = Files.list(files.directory())) {
             for (Path file : all.toList()) {
@@ -142,13 +144,16 @@
     }
 
     /**
-     * Carries out disk requests in order, with one flush of the log for all of them. Once this has
-     * thrown, what is on disk is not known, and every later call throws: a full disk ends writing,
-     * not reading.
+     * Carries out disk requests in order, with one flush of the log for all of them. After an
+     * exception the state on disk is unknown, so every later call throws: a full disk stops writes,
+     * but not reads.
      */
     public void write(List<Ready.Persist> requests) throws IOException {
         if (failed) {
-            throw new IOException("an earlier write to " + files.directory() + " failed");
+            throw new IOException(
+                    "an earlier write to "
+                            + files.directory()
+                            + " failed, so no more writes are accepted");
         }
         failed = true;
         for (Ready.Persist request : requests) {
@@ -168,12 +173,13 @@
         failed = false;
     }
 
-    /** The snapshot first, then the files of the log that it replaces. */
+    /** Writes the snapshot first, and then deletes the log files that it replaces. */
     private void writeSnapshot(Snapshot snapshot, boolean discardsLog) throws IOException {
         log.flush();
         snapshots.write(snapshot, discardsLog);
         if (discardsLog) {
-            // The snapshot names the next epoch: the log's files no longer count.
+            // The snapshot file contains the next epoch, so the existing log files are no longer
+            // valid.
             log.truncateFrom(1);
             snapshots.beginEpoch();
         }
@@ -184,7 +190,8 @@
     private void writeEntries(long firstIndex, List<Entry> entries) throws IOException {
         if (firstIndex < log.nextIndex()) {
             log.flush();
-            // The mark first: after a crash in between, the truncated log would look like a loss.
+            // Moves the mark back first: otherwise, after a crash between the two writes, the
+            // truncated log would look like lost data.
             mark.write(snapshots.epoch(), firstIndex - 1);
             mark.flush();
             log.truncateFrom(firstIndex);
@@ -193,20 +200,20 @@
     }
 
     /**
-     * Writes a snapshot's file ahead of the request for it, so that this, which takes as long as
-     * the state is large, delays no other write. May run on another thread than {@link #write}; the
-     * file is used if the request is for the same snapshot.
+     * Writes a snapshot's file before the request for it, so that this write, whose duration grows
+     * with the size of the state, does not delay other writes. May run on another thread than
+     * {@link #write}. The file is used only if the request is for the same snapshot.
      */
     public void prepare(Snapshot snapshot) throws IOException {
         snapshots.prepare(snapshot);
     }
 
-    /** The size of the log's files. */
+    /** Returns the size of the log's files and their number. */
     public LogSize logSize() {
         return log.size();
     }
 
-    /** For tests: the disk is full after so many more bytes. */
+    /** Simulates, for tests, a disk that is full after this many more bytes. */
     void limitWritableBytes(long bytes) {
         files.limitWritableBytes(bytes);
     }
--- a/src/main/java/reeldeal/storage/DurableFiles.java
+++ b/src/main/java/reeldeal/storage/DurableFiles.java
@@ -9,11 +9,15 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Writes the files of one directory. A file that is replaced is written under a temporary name,
- * flushed, and then renamed: after a crash it is the old one or the new one.
+ * Writes the files of one directory. A file is replaced by writing the new content under a
+ * temporary name, flushing it and renaming it, so that after a crash the file has either the old or
+ * the new content.
  */
 final class DurableFiles {
-    /** Ends the names of files that were not renamed yet; deleted when a directory is opened. */
+    /**
+     * The suffix of files that are not renamed yet; such files are deleted when a directory is
+     * opened.
+     */
     static final String TEMPORARY = ".new";
 
     private final Path directory;
@@ -31,19 +35,19 @@
         return directory;
     }
 
-    /** For tests: the disk is full after so many more bytes. */
+    /** Simulates, for tests, a disk that is full after this many more bytes. */
     void limitWritableBytes(long bytes) {
         writableBytes = bytes;
     }
 
-    /** Replaces a file, on disk once this returns. */
+    /** Replaces a file durably: the new content is on disk once this returns. */
     void replace(Path file, byte[] bytes) throws IOException {
         Path temporary = file.resolveSibling(file.getFileName() + TEMPORARY);
         writeNew(temporary, bytes);
         rename(temporary, file);
     }
 
-    /** Writes and flushes a file. */
+    /** Writes and flushes a file, but not its directory entry. */
     void writeNew(Path file, byte[] bytes) throws IOException {
         try (FileChannel channel =
                 FileChannel.open(
@@ -56,13 +60,13 @@
         }
     }
 
-    /** Renames a flushed file, on disk once this returns. */
+    /** Renames a flushed file durably: the new name is on disk once this returns. */
     void rename(Path from, Path to) throws IOException {
         Files.move(from, to, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         flushDirectory();
     }
 
-    /** Flushes the names of the files: a new name is on disk once its directory is. */
+    /** Flushes the directory; a new or changed file name is on disk only after that. */
     void flushDirectory() throws IOException {
         try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
@@ -74,7 +78,8 @@
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         writableBytes -= buffer.remaining();
         if (writableBytes < 0) {
-            buffer.limit((int) Math.max(0, buffer.limit() + writableBytes)); // what still fits
+            // Writes the bytes that still fit.
+            buffer.limit((int) Math.max(0, buffer.limit() + writableBytes));
         }
         long position = offset;
         while (buffer.hasRemaining()) {
--- a/src/main/java/reeldeal/storage/EntryCodec.java
+++ b/src/main/java/reeldeal/storage/EntryCodec.java
@@ -9,7 +9,10 @@
 import reeldeal.consensus.Entry;
 import reeldeal.consensus.GroupConfiguration;
 
-/** An entry as the bytes of a record, after how much of its file was flushed before it. */
+/**
+ * Encodes a log entry as the bytes of a record. The entry is preceded by the number of bytes of its
+ * file that were flushed before it was written.
+ */
 final class EntryCodec {
     private static final int TYPICAL_OVERHEAD_BYTES = 48;
 
@@ -32,7 +35,7 @@
 
     static Entry decode(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
-        in.readLong(); // see flushedBytes
+        in.readLong(); // the flushed bytes, which flushedBytes reads
         long index = in.readLong();
         long term = in.readLong();
         GroupConfiguration configuration =
@@ -40,7 +43,10 @@
         return new Entry(index, term, in.readAllBytes(), configuration);
     }
 
-    /** How much of its file was flushed before an entry was written; 0 if that is not in it. */
+    /**
+     * Returns how many bytes of the file were flushed before an entry was written, or 0 if the
+     * record is too short to contain the number.
+     */
     static long flushedBytes(byte[] bytes) {
         return bytes.length < Long.BYTES ? 0 : ByteBuffer.wrap(bytes).getLong();
     }
--- a/src/main/java/reeldeal/storage/FormatFile.java
+++ b/src/main/java/reeldeal/storage/FormatFile.java
@@ -6,14 +6,17 @@
 import java.nio.file.Path;
 import java.util.stream.Stream;
 
-/** The file {@code FORMAT}: the version of the directory's format, and the node it belongs to. */
+/**
+ * The file {@code FORMAT}, which contains the version of the directory's format and the name of its
+ * node.
+ */
 final class FormatFile {
     private static final String FILE = "FORMAT";
     private static final String VERSION = "reeldeal-store 2";
 
     private FormatFile() {}
 
-    /** Checks the version and the node, or writes both into a new directory. */
+    /** Checks the version and the node's name, or writes both if the directory is new. */
     static void checkOrCreate(DurableFiles files, String node) throws IOException {
         Path file = files.resolve(FILE);
         if (Files.exists(file)) {
@@ -25,7 +28,7 @@
                 throw new CorruptDataException(
                         file,
                         0,
-                        "the file that names the format is missing, though there is a log");
+                        "the format file is missing, but the directory contains log files");
             }
         }
         files.replace(file, (VERSION + "\n" + node + "\n").getBytes(StandardCharsets.UTF_8));
@@ -40,13 +43,13 @@
                             + VERSION
                             + "\", found \""
                             + lines[0]
-                            + "\": this folder belongs to another version of the program");
+                            + "\": this directory belongs to another version of the program");
         }
         boolean named = lines.length > 1 && !lines[1].isEmpty();
         if (!named || !lines[1].equals(node)) {
             throw new IOException(
                     file
-                            + ": this folder belongs to node "
+                            + ": this directory belongs to node "
                             + (named ? lines[1] : "?")
                             + ", not "
                             + node);
--- a/src/main/java/reeldeal/storage/LogSegment.java
+++ b/src/main/java/reeldeal/storage/LogSegment.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import reeldeal.consensus.Entry;
 
-/** One file of the log: its first index, and where each of its entries ends. */
+/** One file of the log, with its first index and the offset at which each of its entries ends. */
 final class LogSegment implements AutoCloseable {
     private final long firstIndex;
     private final Path path;
@@ -25,7 +25,7 @@
         this.channel = FileChannel.open(path, options);
     }
 
-    /** Creates an empty file; its name is not flushed yet. */
+    /** Creates an empty file. The caller must flush the directory for its name to be durable. */
     static LogSegment create(long firstIndex, Path path) throws IOException {
         LogSegment segment =
                 new LogSegment(
@@ -39,7 +39,7 @@
         return segment;
     }
 
-    /** Opens a file to be recovered. */
+    /** Opens an existing file; {@link #recover} must be called before other methods. */
     static LogSegment open(long firstIndex, Path path) throws IOException {
         return new LogSegment(firstIndex, path, StandardOpenOption.READ, StandardOpenOption.WRITE);
     }
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Reads the file and adds its entries after the snapshot to {@code entries}; returns how many
-     * bytes of a torn tail were cut.
+     * Reads the file, truncates a torn tail, and adds the entries after the snapshot to {@code
+     * entries}. Returns how many bytes were truncated.
      *
-     * @param nextFirstIndex where the next file begins, or null
+     * @param nextFirstIndex the first index of the next file, or null for the last file
      */
     long recover(Long nextFirstIndex, long snapshotIndex, List<Entry> entries) throws IOException {
         byte[] file = Files.readAllBytes(path);
@@ -72,7 +72,11 @@
             if (entry.index() != nextIndex()) {
                 throw corrupt(
                         offset,
-                        "entry " + entry.index() + " stands where " + nextIndex() + " belongs");
+                        "found entry "
+                                + entry.index()
+                                + " where entry "
+                                + nextIndex()
+                                + " was expected");
             }
             offset += ChecksummedRecords.HEADER_BYTES + found.bytes().length;
             entryEnds.add((long) offset);
@@ -107,18 +111,20 @@
 
     private void cutTornTail(byte[] file, int offset, Long nextFirstIndex) throws IOException {
         if (nextFirstIndex != null) {
-            throw corrupt(offset, "a record ends early, though another file follows");
+            throw corrupt(offset, "a record is incomplete, but this is not the last log file");
         }
         if (wasFlushed(file, offset)) {
             throw corrupt(
                     offset,
-                    "a record ends early, though it was on disk before others were written");
+                    "a record is incomplete, but it was flushed before later records were written");
         }
         channel.truncate(offset);
         channel.force(true);
     }
 
-    /** Whether a later record says that this offset was flushed before that record was written. */
+    /**
+     * Whether a later record in the file states that data beyond this offset was flushed before it.
+     */
     private static boolean wasFlushed(byte[] file, int offset) {
         int lastStart = file.length - ChecksummedRecords.HEADER_BYTES - Long.BYTES;
         for (int at = offset + 1; at <= lastStart; at++) {
@@ -137,7 +143,10 @@
         return new CorruptDataException(path, offset, damage);
     }
 
-    /** Appends entries, without a flush, until the file has {@code maxBytes}; returns how many. */
+    /**
+     * Appends entries, without a flush, until the file has at least {@code maxBytes}. Returns how
+     * many were appended.
+     */
     int append(DurableFiles files, List<Entry> entries, int maxBytes) throws IOException {
         ByteArrayOutputStream batch = new ByteArrayOutputStream();
         long start = bytes();
@@ -157,7 +166,7 @@
         flushedBytes = bytes();
     }
 
-    /** Removes the entries from an index on, on disk once this returns. */
+    /** Removes the entries from an index on; durable once this returns. */
     void truncateFrom(long index) throws IOException {
         int kept = (int) Math.max(0, Math.min(entryEnds.size(), index - firstIndex));
         entryEnds.subList(kept, entryEnds.size()).clear();
--- a/src/main/java/reeldeal/storage/MarkFile.java
+++ b/src/main/java/reeldeal/storage/MarkFile.java
@@ -8,9 +8,10 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The file {@code mark}: up to which entry the log was flushed. It is mostly written without a
- * flush of its own, so it may be late, never early; a log that ends before the mark has lost what
- * was acknowledged. Two slots are written in turn, so that one is always complete.
+ * The file {@code mark}, which records the last entry up to which the log was flushed. It is
+ * written after the log's flush and mostly without a flush of its own, so it may be behind the log
+ * but never ahead of it. A log that ends before the mark has therefore lost acknowledged entries.
+ * Two slots are written in turn, so that one of them is always complete.
  */
 final class MarkFile implements AutoCloseable {
     private static final String FILE = "mark";
@@ -40,7 +41,10 @@
         this.files = files;
     }
 
-    /** Opens the file and checks that a log of an epoch that ends at an index has lost nothing. */
+    /**
+     * Opens the file and checks that the log, which is of {@code epoch} and ends at {@code
+     * lastIndex}, has not lost flushed entries.
+     */
     void recover(long epoch, long lastIndex) throws IOException {
         Path file = files.resolve(FILE);
         channel =
@@ -60,7 +64,7 @@
                     0,
                     "entries up to "
                             + latest.index()
-                            + " were on disk, and the log ends at "
+                            + " were flushed to disk, but the log ends at "
                             + lastIndex);
         }
     }
@@ -77,7 +81,7 @@
         return latest;
     }
 
-    /** Notes that a log of an epoch is on disk up to an index. */
+    /** Records, without a flush, that the log of an epoch is on disk up to an index. */
     void write(long epoch, long index) throws IOException {
         sequence++;
         byte[] record = ChecksummedRecords.encode(new Mark(sequence, epoch, index).encode());
--- a/src/main/java/reeldeal/storage/SegmentedLog.java
+++ b/src/main/java/reeldeal/storage/SegmentedLog.java
@@ -11,8 +11,8 @@
 import reeldeal.consensus.Entry;
 
 /**
- * The log in files {@code log-EPOCH-INDEX}, each with entries from that index on. Files of an epoch
- * before the snapshot's are not part of it.
+ * The log, stored in files {@code log-EPOCH-INDEX} that each contain the entries from that index
+ * on. Files of an earlier epoch than the snapshot's are not part of the log.
  */
 final class SegmentedLog implements AutoCloseable {
     static final String PREFIX = "log-";
@@ -29,7 +29,7 @@
     private final TreeMap<Long, LogSegment> segments = new TreeMap<>();
     private final Set<LogSegment> unflushed = new LinkedHashSet<>();
 
-    /** A log that begins a new file once one has {@code segmentBytes}. */
+    /** Creates a log that starts a new file once the last one has {@code segmentBytes}. */
     SegmentedLog(DurableFiles files, int segmentBytes) {
         this.files = files;
         this.segmentBytes = segmentBytes;
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Reads the files of the current epoch and deletes those of earlier ones. Adds the entries
-     * after the snapshot to {@code entries}; returns how many bytes of a torn tail were cut.
+     * Reads the files of the current epoch and deletes those of earlier epochs. Adds the entries
+     * after the snapshot to {@code entries}. Returns how many bytes of a torn tail were truncated.
      */
     long recover(List<Path> logFiles, long epoch, long snapshotIndex, List<Entry> entries)
             throws IOException {
@@ -64,7 +64,7 @@
         return cutBytes;
     }
 
-    /** The index after the last entry; Long.MAX_VALUE if there is no file. */
+    /** Returns the index after the last entry, or Long.MAX_VALUE if there is no file. */
     long nextIndex() {
         return segments.isEmpty() ? Long.MAX_VALUE : last().nextIndex();
     }
@@ -73,7 +73,7 @@
         return segments.lastEntry().getValue();
     }
 
-    /** Appends entries, on disk after the next flush. */
+    /** Appends entries; they are durable after the next flush. */
     void append(long epoch, List<Entry> entries) throws IOException {
         int written = 0;
         while (written < entries.size()) {
@@ -109,7 +109,10 @@
         unflushed.clear();
     }
 
-    /** Removes the entries from an index on. Later files first: a crash leaves no gap. */
+    /**
+     * Removes the entries from an index on. Deletes later files first, so that a crash leaves no
+     * gap.
+     */
     void truncateFrom(long index) throws IOException {
         while (!segments.isEmpty() && segments.lastKey() >= index) {
             drop(last());
@@ -120,7 +123,7 @@
         }
     }
 
-    /** Deletes the files of which all entries are at or before an index. */
+    /** Deletes the files whose entries all are at or before an index. */
     void dropThrough(long index) throws IOException {
         while (!segments.isEmpty() && segments.firstEntry().getValue().nextIndex() <= index + 1) {
             drop(segments.firstEntry().getValue());
--- a/src/main/java/reeldeal/storage/SnapshotFiles.java
+++ b/src/main/java/reeldeal/storage/SnapshotFiles.java
@@ -14,11 +14,11 @@
 import reeldeal.consensus.Snapshot;
 
 /**
- * The files {@code snapshot-INDEX}, of which the latest counts, and the epoch of the log that it
- * names. An epoch ends when a snapshot replaces the log completely.
+ * The files {@code snapshot-INDEX}, of which only the latest is valid, and the log's epoch, which
+ * the snapshot contains. A new epoch begins when a snapshot replaces the log completely.
  *
- * <p>{@link #prepare} may run on another thread than the other methods; the state that they share
- * is guarded by this object.
+ * <p>{@link #prepare} may run on another thread than the other methods; this object's monitor
+ * guards the state that they share.
  */
 final class SnapshotFiles {
     private static final String PREFIX = "snapshot-";
@@ -37,7 +37,7 @@
         return epoch;
     }
 
-    /** Begins the next epoch, after a snapshot that replaced the log was written. */
+    /** Begins the next epoch, after a snapshot that replaces the log was written. */
     synchronized void beginEpoch() {
         epoch++;
     }
@@ -50,7 +50,7 @@
         return Long.parseLong(fileName.substring(PREFIX.length()));
     }
 
-    /** Reads the latest of these files, and deletes the others; null if there is none. */
+    /** Reads the latest of these files and deletes the others. Returns null if there are none. */
     Snapshot recover(List<Path> snapshotFiles) throws IOException {
         TreeMap<Long, Path> byIndex = new TreeMap<>();
         for (Path file : snapshotFiles) {
@@ -69,7 +69,8 @@
     private synchronized Snapshot read(Path file, long index) throws IOException {
         ChecksummedRecords.Found record = ChecksummedRecords.read(Files.readAllBytes(file), 0);
         if (record.kind() != ChecksummedRecords.Kind.RECORD) {
-            throw new CorruptDataException(file, 0, "the snapshot is not as it was written");
+            throw new CorruptDataException(
+                    file, 0, "the snapshot is incomplete or does not match its checksum");
         }
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(record.bytes()));
         epoch = in.readLong();
@@ -80,7 +81,8 @@
                         GroupConfiguration.readFrom(in),
                         in.readAllBytes());
         if (snapshot.index() != index) {
-            throw new CorruptDataException(file, 0, "the snapshot is of index " + snapshot.index());
+            throw new CorruptDataException(
+                    file, 0, "the file contains the snapshot of index " + snapshot.index());
         }
         return snapshot;
     }
@@ -96,7 +98,7 @@
         return ChecksummedRecords.encode(bytes.toByteArray());
     }
 
-    /** Writes a snapshot's file ahead of the request for it, under a temporary name. */
+    /** Writes a snapshot's file under a temporary name, before the request for it. */
     void prepare(Snapshot snapshot) throws IOException {
         byte[] bytes = encode(snapshot, beginPreparation());
         files.writeNew(files.resolve(PREPARED), bytes);
@@ -111,7 +113,7 @@
         return epoch;
     }
 
-    /** Whether the prepared file is that of a snapshot; it can be used once. */
+    /** Whether the prepared file contains this snapshot. A prepared file can be used only once. */
     private synchronized boolean takePrepared(Snapshot snapshot, boolean discardsLog) {
         boolean matches =
                 !discardsLog
@@ -125,7 +127,10 @@
         return matches;
     }
 
-    /** Writes a snapshot, on disk once this returns; of the next epoch if it discards the log. */
+    /**
+     * Writes a snapshot durably: it is on disk once this returns. It belongs to the next epoch if
+     * it discards the log.
+     */
     void write(Snapshot snapshot, boolean discardsLog) throws IOException {
         Path file = files.resolve(PREFIX + snapshot.index());
         if (takePrepared(snapshot, discardsLog)) {
--- a/src/main/java/reeldeal/storage/StartCounter.java
+++ b/src/main/java/reeldeal/storage/StartCounter.java
@@ -10,9 +10,9 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Counts in a data directory how often its node was started. Other nodes remember the counts: a
- * directory that was emptied, or restored from a copy, counts less than they know, and must not be
- * trusted with a vote.
+ * Counts in a data directory how often its node was started. Other nodes remember the count. If it
+ * is lower than they remember, the directory was emptied or restored from a copy, and its node must
+ * not be trusted with a vote.
  */
 public final class StartCounter {
     private static final String FILE = "starts";
@@ -21,8 +21,9 @@
     private StartCounter() {}
 
     /**
-     * Counts this start and returns the count, from 1 on; it is on disk once this returns. Throws
-     * IOException if the file holds no number or cannot be written.
+     * Increments the count for this start and returns it; the first start is 1. The count is
+     * written and flushed before this returns. Throws IOException if the file does not contain a
+     * number or cannot be written.
      */
     public static long next(Path directory) throws IOException {
         Files.createDirectories(directory);
--- a/src/main/java/reeldeal/storage/VoteFile.java
+++ b/src/main/java/reeldeal/storage/VoteFile.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import java.util.Objects;
 
-/** The file {@code promise}: the current term, and the vote in it. */
+/** The file {@code promise}, which contains the current term and the node's vote in it. */
 final class VoteFile {
     private static final String FILE = "promise";
 
@@ -25,12 +25,12 @@
         return term;
     }
 
-    /** The vote in the current term, or null. */
+    /** Returns the vote in the current term, or null. */
     String vote() {
         return vote;
     }
 
-    /** Reads the file; without one the term is 0. */
+    /** Reads the file. Without a file, the term is 0 and there is no vote. */
     void recover() throws IOException {
         Path file = files.resolve(FILE);
         if (!Files.exists(file)) {
@@ -38,16 +38,16 @@
         }
         ChecksummedRecords.Found found = ChecksummedRecords.read(Files.readAllBytes(file), 0);
         if (found.kind() != ChecksummedRecords.Kind.RECORD) {
-            // The file was renamed when it was complete: a crash does not leave this.
+            // The file was complete before it was renamed, so a crash cannot cause this.
             throw new CorruptDataException(
-                    file, 0, "the term and vote are not as they were written");
+                    file, 0, "the file is incomplete or does not match its checksum");
         }
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(found.bytes()));
         term = in.readLong();
         vote = in.readBoolean() ? in.readUTF() : null;
     }
 
-    /** Writes term and vote if they changed, on disk once this returns. */
+    /** Writes the term and vote if they changed; they are on disk once this returns. */
     void update(long newTerm, String newVote) throws IOException {
         if (newTerm == term && Objects.equals(newVote, vote)) {
             return;
