--- a/src/main/java/reeldeal/consensus/DurableState.java
+++ b/src/main/java/reeldeal/consensus/DurableState.java
@@ -9,21 +9,21 @@
  * messages that must not be sent before such a request completes.
  */
 final class DurableState {
-    private record HeldMessage(long request, Message message) {}
+    private record HeldMessage(long requestNumber, Message message) {}
 
-    private record PendingFlush(long request, long lastIndex, long lastTerm) {}
+    private record PendingFlush(long requestNumber, long lastIndex, long lastTerm) {}
 
     private final RaftLog log;
     private final RaftRules rules;
     private final Outbox outbox;
     private long term;
     private String vote;
-    private boolean unsaved;
-    private long lastRequest;
-    private long lastCompleted;
-    private final List<Message> unassigned = new ArrayList<>();
-    private final ArrayDeque<HeldMessage> held = new ArrayDeque<>();
-    private final ArrayDeque<PendingFlush> flushes = new ArrayDeque<>();
+    private boolean termOrVoteUnsaved;
+    private long lastRequestNumber;
+    private long lastCompletedRequest;
+    private final List<Message> unassignedMessages = new ArrayList<>();
+    private final ArrayDeque<HeldMessage> heldMessages = new ArrayDeque<>();
+    private final ArrayDeque<PendingFlush> pendingFlushes = new ArrayDeque<>();
 
     DurableState(RaftNode.PersistentState disk, RaftLog log, RaftRules rules, Outbox outbox) {
         this.log = log;
@@ -49,18 +49,18 @@
     void beginTerm(long newTerm, String newVote) {
         term = newTerm;
         vote = newVote;
-        unsaved = true;
+        termOrVoteUnsaved = true;
     }
 
     void voteFor(String candidate) {
-        unsaved |= vote == null;
+        termOrVoteUnsaved |= vote == null;
         vote = candidate;
     }
 
     /** Sends a message once all changes made before this call are on disk. */
     void sendWhenDurable(Message message) {
         if (rules.mustWaitForDisk(message)) {
-            unassigned.add(message);
+            unassignedMessages.add(message);
         } else {
             outbox.send(message);
         }
@@ -71,9 +71,9 @@
      * disk.
      */
     boolean hasVoteInFlight() {
-        for (HeldMessage each : held) {
-            if (each.message() instanceof Message.VoteResponse
-                    || each.message() instanceof Message.VoteRequest) {
+        for (HeldMessage heldMessage : heldMessages) {
+            if (heldMessage.message() instanceof Message.VoteResponse
+                    || heldMessage.message() instanceof Message.VoteRequest) {
                 return true;
             }
         }
@@ -85,36 +85,38 @@
      * latest request. Returns false if there were neither changes nor messages.
      */
     boolean requestFlush() {
-        boolean changed = unsaved || log.hasUnsaved();
-        if (!changed && unassigned.isEmpty()) {
+        boolean changed = termOrVoteUnsaved || log.hasUnsaved();
+        if (!changed && unassignedMessages.isEmpty()) {
             return false;
         }
         if (changed) {
-            lastRequest++;
-            outbox.persist(log.takeUnsaved(lastRequest, term, vote));
-            flushes.add(new PendingFlush(lastRequest, log.lastIndex(), log.lastTerm()));
-            unsaved = false;
+            lastRequestNumber++;
+            outbox.persist(log.takeUnsaved(lastRequestNumber, term, vote));
+            pendingFlushes.add(
+                    new PendingFlush(lastRequestNumber, log.lastIndex(), log.lastTerm()));
+            termOrVoteUnsaved = false;
         }
-        for (Message message : unassigned) {
-            held.add(new HeldMessage(lastRequest, message));
+        for (Message message : unassignedMessages) {
+            heldMessages.add(new HeldMessage(lastRequestNumber, message));
         }
-        unassigned.clear();
+        unassignedMessages.clear();
         return true;
     }
 
     /** Records that the disk has completed this request and all earlier ones. */
-    void persisted(long request) {
-        lastCompleted = Math.max(lastCompleted, request);
-        while (!flushes.isEmpty() && flushes.peek().request() <= lastCompleted) {
-            PendingFlush flush = flushes.poll();
+    void onPersisted(long requestNumber) {
+        lastCompletedRequest = Math.max(lastCompletedRequest, requestNumber);
+        while (!pendingFlushes.isEmpty()
+                && pendingFlushes.peek().requestNumber() <= lastCompletedRequest) {
+            PendingFlush flush = pendingFlushes.poll();
             log.markDurable(flush.lastIndex(), flush.lastTerm());
         }
     }
 
     /** Removes and returns the next message whose disk request is complete, or returns null. */
-    Message pollReleased() {
-        return held.isEmpty() || held.peek().request() > lastCompleted
+    Message pollDurableMessage() {
+        return heldMessages.isEmpty() || heldMessages.peek().requestNumber() > lastCompletedRequest
                 ? null
-                : held.poll().message();
+                : heldMessages.poll().message();
     }
 }
--- a/src/main/java/reeldeal/consensus/Election.java
+++ b/src/main/java/reeldeal/consensus/Election.java
@@ -103,7 +103,7 @@
     }
 
     /** Records that a message from the current term's leader was received. */
-    void heardLeader(String node) {
+    void onLeaderMessage(String node) {
         leader = node;
         elapsedTicks = 0;
         ticksSinceLeader = 0;
@@ -118,7 +118,7 @@
         leader = null;
         role = RaftNode.Role.PRE_CANDIDATE;
         requestVotes(context.term() + 1, true, false);
-        return count(context.id(), true);
+        return countVote(context.id(), true);
     }
 
     /**
@@ -167,10 +167,10 @@
     VoteOutcome onVoteResponse(Message.VoteResponse message) {
         RaftNode.Role phase =
                 message.preVote() ? RaftNode.Role.PRE_CANDIDATE : RaftNode.Role.CANDIDATE;
-        return role == phase ? count(message.from(), message.granted()) : VoteOutcome.OPEN;
+        return role == phase ? countVote(message.from(), message.granted()) : VoteOutcome.OPEN;
     }
 
-    private VoteOutcome count(String voter, boolean granted) {
+    private VoteOutcome countVote(String voter, boolean granted) {
         votes.putIfAbsent(voter, granted);
         GroupConfiguration configuration = context.configuration();
         long grants =
@@ -231,7 +231,7 @@
      * Whether a message is a vote request that must be ignored so that it does not disrupt a live
      * leader. Requests for an election that the leader itself asked for are not ignored.
      */
-    boolean ignores(Message message, long ticksSinceStart) {
+    boolean mustIgnore(Message message, long ticksSinceStart) {
         return message instanceof Message.VoteRequest request
                 && !request.leadershipTransfer()
                 && hasLiveLeader(ticksSinceStart);
@@ -246,9 +246,9 @@
      */
     private boolean hasLiveLeader(long ticksSinceStart) {
         int electionTicks = context.settings().electionTicks();
-        boolean mayHavePromised =
+        boolean mayHaveConfirmedLease =
                 context.settings().leaseTicks() > 0 && ticksSinceStart < electionTicks;
         return isLeader()
-                || ((leader != null || mayHavePromised) && ticksSinceLeader < electionTicks);
+                || ((leader != null || mayHaveConfirmedLease) && ticksSinceLeader < electionTicks);
     }
 }
--- a/src/main/java/reeldeal/consensus/GroupConfiguration.java
+++ b/src/main/java/reeldeal/consensus/GroupConfiguration.java
@@ -49,7 +49,7 @@
      * Whether this configuration differs from the other one by at most one voter. Any majority of
      * the one then shares a node with any majority of the other.
      */
-    boolean oneStepFrom(GroupConfiguration other) {
+    boolean differsByAtMostOneVoter(GroupConfiguration other) {
         long added = voters.stream().filter(v -> !other.voters.contains(v)).count();
         long removed = other.voters.stream().filter(v -> !voters.contains(v)).count();
         return added + removed <= 1;
@@ -68,15 +68,15 @@
     public GroupConfiguration withVoter(String node) {
         Set<String> newVoters = new TreeSet<>(voters);
         newVoters.add(node);
-        return new GroupConfiguration(newVoters, minus(learners, node));
+        return new GroupConfiguration(newVoters, withoutNode(learners, node));
     }
 
     /** Returns this configuration without the node. */
     public GroupConfiguration without(String node) {
-        return new GroupConfiguration(minus(voters, node), minus(learners, node));
+        return new GroupConfiguration(withoutNode(voters, node), withoutNode(learners, node));
     }
 
-    private static Set<String> minus(Set<String> nodes, String node) {
+    private static Set<String> withoutNode(Set<String> nodes, String node) {
         Set<String> others = new TreeSet<>(nodes);
         others.remove(node);
         return others;
--- a/src/main/java/reeldeal/consensus/LogReplication.java
+++ b/src/main/java/reeldeal/consensus/LogReplication.java
@@ -52,12 +52,13 @@
         }
         while (peer.maySend(context.settings().window())) {
             long prevLogIndex = peer.nextIndex - 1;
-            long prevLogTerm = log.term(prevLogIndex);
+            long prevLogTerm = log.termAt(prevLogIndex);
             if (prevLogTerm < 0) {
                 snapshots.start(node, peer);
                 return;
             }
-            List<Entry> entries = log.from(peer.nextIndex, context.settings().messageBytes());
+            List<Entry> entries =
+                    log.entriesFrom(peer.nextIndex, context.settings().messageBytes());
             if (entries.isEmpty()) {
                 return;
             }
@@ -71,7 +72,7 @@
                                     prevLogTerm,
                                     entries,
                                     log.commitIndex()));
-            peer.sent(entries.size());
+            peer.onRequestSent(entries.size());
         }
     }
 
@@ -84,13 +85,13 @@
             return;
         }
         reportLostEntries(message, peer);
-        long next = Math.min(message.index(), message.hintIndex() + 1);
+        long nextIndex = Math.min(message.index(), message.hintIndex() + 1);
         // The follower's log may have more entries of an old term than the leader's log. Go back to
         // an entry of the leader whose term is not later than that of the hint.
-        while (next - 1 > peer.matchIndex && log.term(next - 1) > message.hintTerm()) {
-            next--;
+        while (nextIndex - 1 > peer.matchIndex && log.termAt(nextIndex - 1) > message.hintTerm()) {
+            nextIndex--;
         }
-        peer.probeFrom(Math.max(peer.matchIndex + 1, next));
+        peer.probeFrom(Math.max(peer.matchIndex + 1, nextIndex));
         send(message.from(), peer);
     }
 
@@ -102,8 +103,8 @@
     private void reportLostEntries(Message.AppendResponse message, PeerProgress peer) {
         if (message.index() == peer.matchIndex
                 && message.hintIndex() < peer.matchIndex
-                && !peer.lostEntries) {
-            peer.lostEntries = true;
+                && !peer.lostEntriesReported) {
+            peer.lostEntriesReported = true;
             context.outbox()
                     .note(
                             message.from()
@@ -116,7 +117,7 @@
 
     /** Records that a follower has the log up to an index on its disk. */
     void onAcknowledgement(Message.AppendResponse message, PeerProgress peer) {
-        peer.acknowledged(Math.min(message.index(), log.lastIndex()));
+        peer.onAcknowledged(Math.min(message.index(), log.lastIndex()));
     }
 
     /**
@@ -131,7 +132,7 @@
                         configuration.voters(),
                         log.durableIndex());
         if (index <= log.commitIndex()
-                || !context.rules().mayCommit(log.term(index), context.term())) {
+                || !context.rules().mayCommit(log.termAt(index), context.term())) {
             return false;
         }
         log.commitTo(index);
@@ -141,7 +142,7 @@
     /**
      * Notifies a follower of the commit of an entry without waiting for the next regular message.
      */
-    void prioritize(String node, PeerProgress peer, long index) {
+    void prioritizeCommit(String node, PeerProgress peer, long index) {
         peer.urgentCommitIndex = Math.max(peer.urgentCommitIndex, index);
         sendUrgentCommit(node, peer);
     }
@@ -161,7 +162,7 @@
     /**
      * Retransmits, after a follower has answered a new heartbeat round, messages that may be lost.
      */
-    void resume(String node, PeerProgress peer) {
+    void retransmit(String node, PeerProgress peer) {
         if (peer.snapshot != null) {
             snapshots.sendChunk(node, peer);
         } else {
@@ -178,23 +179,23 @@
             context.acknowledge(message.from(), log.commitIndex());
             return;
         }
-        if (!context.rules().matches(log, message.prevLogIndex(), message.prevLogTerm())) {
+        if (!context.rules().logMatches(log, message.prevLogIndex(), message.prevLogTerm())) {
             reject(message);
             return;
         }
-        long last = message.prevLogIndex();
+        long lastIndex = message.prevLogIndex();
         for (Entry entry : message.entries()) {
-            last = entry.index();
+            lastIndex = entry.index();
             store(entry);
         }
-        context.membership().reloadIfMoved();
-        context.acknowledge(message.from(), last);
-        log.commitTo(Math.min(message.leaderCommit(), last));
+        context.membership().reloadIfChanged();
+        context.acknowledge(message.from(), lastIndex);
+        log.commitTo(Math.min(message.leaderCommit(), lastIndex));
     }
 
     private void store(Entry entry) {
         if (entry.index() <= log.lastIndex()) {
-            if (log.term(entry.index()) == entry.term()) {
+            if (log.termAt(entry.index()) == entry.term()) {
                 return;
             }
             if (entry.index() <= log.commitIndex()) {
@@ -218,7 +219,7 @@
      */
     private void reject(Message.AppendRequest message) {
         long hint = Math.min(message.prevLogIndex(), log.lastIndex());
-        while (hint > log.snapshotIndex() && log.term(hint) > message.prevLogTerm()) {
+        while (hint > log.snapshotIndex() && log.termAt(hint) > message.prevLogTerm()) {
             hint--;
         }
         context.outbox()
@@ -230,7 +231,7 @@
                                 false,
                                 message.prevLogIndex(),
                                 hint,
-                                log.term(hint)));
+                                log.termAt(hint)));
     }
 
     void onHeartbeat(Message.Heartbeat message) {
@@ -254,7 +255,7 @@
      * Clears the commit index of the previous leader; this node has not caught up until the next
      * leader sends its own.
      */
-    void forgetLeaderCommitIndex() {
+    void clearLeaderCommitIndex() {
         leaderCommitIndex = Long.MAX_VALUE;
     }
 }
--- a/src/main/java/reeldeal/consensus/MembershipChange.java
+++ b/src/main/java/reeldeal/consensus/MembershipChange.java
@@ -30,7 +30,7 @@
      * Reads the configuration from the log again if the entry that sets it has changed, as after a
      * truncation.
      */
-    void reloadIfMoved() {
+    void reloadIfChanged() {
         if (log.configurationIndex() != configurationIndex) {
             reload();
         }
--- a/src/main/java/reeldeal/consensus/Outbox.java
+++ b/src/main/java/reeldeal/consensus/Outbox.java
@@ -25,12 +25,12 @@
         ready.install = snapshot;
     }
 
-    void readReady(long read, long index) {
-        ready.reads.add(new Ready.ReadReady(read, index));
+    void readReady(long readId, long index) {
+        ready.reads.add(new Ready.ReadReady(readId, index));
     }
 
-    void readFailed(long read) {
-        ready.failedReads.add(read);
+    void readFailed(long readId) {
+        ready.failedReads.add(readId);
     }
 
     void note(String line) {
--- a/src/main/java/reeldeal/consensus/PeerProgress.java
+++ b/src/main/java/reeldeal/consensus/PeerProgress.java
@@ -29,13 +29,13 @@
     int snapshotOffset;
 
     /** Whether it was logged that the follower lost entries that it had acknowledged. */
-    boolean lostEntries;
+    boolean lostEntriesReported;
 
     /** Whether the follower has sent a message since the last quorum check. */
-    boolean heardSinceCheck;
+    boolean activeSinceCheck;
 
     /** The tick at which the follower's last message arrived. */
-    long lastHeardTick = Long.MIN_VALUE / 2;
+    long lastMessageTick = Long.MIN_VALUE / 2;
 
     /** The last heartbeat round that the follower has acknowledged. */
     long acknowledgedRound;
@@ -46,12 +46,12 @@
      */
     long urgentCommitIndex;
 
-    private long matchIndexBefore = -1;
+    private long matchIndexAtLastRound = -1;
     private final ArrayDeque<Long> inFlight = new ArrayDeque<>();
 
-    void heard(long tick) {
-        heardSinceCheck = true;
-        lastHeardTick = tick;
+    void onMessage(long tick) {
+        activeSinceCheck = true;
+        lastMessageTick = tick;
     }
 
     /** Whether another append request may be sent; {@code window} limits the unanswered ones. */
@@ -60,7 +60,7 @@
     }
 
     /** Records that an append request of {@code count} entries was sent. */
-    void sent(int count) {
+    void onRequestSent(int count) {
         if (probing) {
             paused = true;
         } else {
@@ -86,7 +86,7 @@
     }
 
     /** Records that the follower has the log up to an index on its disk. */
-    void acknowledged(long index) {
+    void onAcknowledged(long index) {
         matchIndex = Math.max(matchIndex, index);
         paused = false;
         if (snapshot != null && matchIndex >= snapshot.index()) {
@@ -108,7 +108,7 @@
      * Records the response to a heartbeat; returns false if this round or a later one was
      * acknowledged before.
      */
-    boolean acknowledgedRound(long round) {
+    boolean onHeartbeatAcknowledged(long round) {
         boolean isNew = round > acknowledgedRound;
         acknowledgedRound = Math.max(acknowledgedRound, round);
         paused = false;
@@ -120,11 +120,11 @@
      * call, one heartbeat round ago: the requests may be lost.
      */
     void probeIfStalled() {
-        if (!inFlight.isEmpty() && matchIndex == matchIndexBefore) {
+        if (!inFlight.isEmpty() && matchIndex == matchIndexAtLastRound) {
             probing = true;
             inFlight.clear();
             nextIndex = matchIndex + 1;
         }
-        matchIndexBefore = matchIndex;
+        matchIndexAtLastRound = matchIndex;
     }
 }
--- a/src/main/java/reeldeal/consensus/ProgressTracker.java
+++ b/src/main/java/reeldeal/consensus/ProgressTracker.java
@@ -38,14 +38,14 @@
             if (!node.equals(id) && !peers.containsKey(node)) {
                 PeerProgress peer = new PeerProgress();
                 peer.nextIndex = nextIndex;
-                peer.heardSinceCheck = true; // counts as active until the next quorum check
+                peer.activeSinceCheck = true; // counts as active until the next quorum check
                 peers.put(node, peer);
             }
         }
     }
 
     /** Returns the progress of a member, or null if there is no such other member. */
-    PeerProgress of(String node) {
+    PeerProgress progressOf(String node) {
         return peers.get(node);
     }
 
@@ -55,19 +55,19 @@
 
     /** Returns the highest index that {@code majority} voters have on disk. */
     long matchIndexOf(int majority, Set<String> voters, long ownIndex) {
-        return reachedBy(majority, voters, ownIndex, peer -> peer.matchIndex);
+        return valueReachedBy(majority, voters, ownIndex, peer -> peer.matchIndex);
     }
 
     /** Returns the latest heartbeat round that {@code majority} voters have acknowledged. */
     long roundAcknowledgedBy(int majority, Set<String> voters, long ownRound) {
-        return reachedBy(majority, voters, ownRound, peer -> peer.acknowledgedRound);
+        return valueReachedBy(majority, voters, ownRound, peer -> peer.acknowledgedRound);
     }
 
-    private long reachedBy(
-            int majority, Set<String> voters, long own, ToLongFunction<PeerProgress> value) {
+    private long valueReachedBy(
+            int majority, Set<String> voters, long ownValue, ToLongFunction<PeerProgress> value) {
         long[] values =
                 voters.stream()
-                        .mapToLong(v -> v.equals(id) ? own : value.applyAsLong(peers.get(v)))
+                        .mapToLong(v -> v.equals(id) ? ownValue : value.applyAsLong(peers.get(v)))
                         .sorted()
                         .toArray();
         return values[values.length - majority];
@@ -77,10 +77,10 @@
      * Returns how many voters, including this node, have sent a message since the last call, and
      * starts counting anew.
      */
-    long takeHeard(Set<String> voters) {
-        long heard =
-                voters.stream().filter(v -> v.equals(id) || peers.get(v).heardSinceCheck).count();
-        peers.values().forEach(peer -> peer.heardSinceCheck = false);
-        return heard;
+    long countAndResetActiveVoters(Set<String> voters) {
+        long activeVoters =
+                voters.stream().filter(v -> v.equals(id) || peers.get(v).activeSinceCheck).count();
+        peers.values().forEach(peer -> peer.activeSinceCheck = false);
+        return activeVoters;
     }
 }
--- a/src/main/java/reeldeal/consensus/RaftContext.java
+++ b/src/main/java/reeldeal/consensus/RaftContext.java
@@ -30,7 +30,7 @@
      * every entry committed in earlier terms (thesis, section 6.4).
      */
     boolean committedInCurrentTerm() {
-        return log.term(log.commitIndex()) == durable.term();
+        return log.termAt(log.commitIndex()) == durable.term();
     }
 
     /** Acknowledges the log up to an index to the leader, once it is on disk. */
--- a/src/main/java/reeldeal/consensus/RaftLog.java
+++ b/src/main/java/reeldeal/consensus/RaftLog.java
@@ -47,7 +47,7 @@
     }
 
     long lastTerm() {
-        return term(lastIndex());
+        return termAt(lastIndex());
     }
 
     long commitIndex() {
@@ -60,7 +60,7 @@
     }
 
     /** Returns the term of an entry, or -1 if this log does not have the entry. */
-    long term(long index) {
+    long termAt(long index) {
         if (index == snapshot.index()) {
             return snapshot.term();
         }
@@ -75,14 +75,14 @@
      * Returns entries from an index on, up to about {@code maxBytes}, but at least one entry if the
      * log has it.
      */
-    List<Entry> from(long index, int maxBytes) {
-        List<Entry> found = new ArrayList<>();
+    List<Entry> entriesFrom(long index, int maxBytes) {
+        List<Entry> batch = new ArrayList<>();
         int bytes = 0;
-        for (long i = index; i <= lastIndex() && (found.isEmpty() || bytes < maxBytes); i++) {
-            found.add(entry(i));
+        for (long i = index; i <= lastIndex() && (batch.isEmpty() || bytes < maxBytes); i++) {
+            batch.add(entry(i));
             bytes += ENTRY_OVERHEAD_BYTES + entry(i).data().length;
         }
-        return found;
+        return batch;
     }
 
     void append(Entry entry) {
@@ -119,7 +119,7 @@
             GroupConfiguration changed = entry(i).configuration();
             configuration = changed == null ? configuration : changed;
         }
-        return new Snapshot(index, term(index), configuration, state);
+        return new Snapshot(index, termAt(index), configuration, state);
     }
 
     /**
@@ -139,7 +139,7 @@
      * the snapshot's last entry with the same term.
      */
     void install(Snapshot received) {
-        if (term(received.index()) == received.term()) {
+        if (termAt(received.index()) == received.term()) {
             replacePrefix(received);
         } else {
             entries.clear();
@@ -155,8 +155,8 @@
     }
 
     private void replacePrefix(Snapshot replacement) {
-        int covered = (int) Math.min(entries.size(), replacement.index() - snapshot.index());
-        entries.subList(0, covered).clear();
+        int coveredEntries = (int) Math.min(entries.size(), replacement.index() - snapshot.index());
+        entries.subList(0, coveredEntries).clear();
         snapshot = replacement;
         unsavedSnapshot = replacement;
     }
@@ -196,16 +196,16 @@
     /**
      * Returns a disk request for all changes since the last request, and marks them as requested.
      */
-    Ready.Persist takeUnsaved(long request, long term, String vote) {
-        boolean withEntries = hasUnsavedEntries();
-        long from = withEntries ? Math.max(unsavedFrom, snapshotIndex() + 1) : Long.MAX_VALUE;
+    Ready.Persist takeUnsaved(long requestNumber, long term, String vote) {
+        boolean hasEntries = hasUnsavedEntries();
+        long firstIndex = hasEntries ? Math.max(unsavedFrom, snapshotIndex() + 1) : Long.MAX_VALUE;
         Ready.Persist persist =
                 new Ready.Persist(
-                        request,
+                        requestNumber,
                         term,
                         vote,
-                        from,
-                        withEntries ? from(from, Integer.MAX_VALUE) : List.of(),
+                        firstIndex,
+                        hasEntries ? entriesFrom(firstIndex, Integer.MAX_VALUE) : List.of(),
                         unsavedSnapshot,
                         unsavedReset);
         unsavedFrom = Long.MAX_VALUE;
@@ -219,7 +219,7 @@
      * meantime.
      */
     void markDurable(long index, long term) {
-        if (term(index) == term) {
+        if (termAt(index) == term) {
             durableIndex = Math.max(durableIndex, index);
         }
     }
--- a/src/main/java/reeldeal/consensus/RaftNode.java
+++ b/src/main/java/reeldeal/consensus/RaftNode.java
@@ -152,7 +152,7 @@
 
     /** Returns the term of an entry, or -1 if this node does not have the entry. */
     public long termAt(long index) {
-        return log.term(index);
+        return log.termAt(index);
     }
 
     /** Returns the progress of a member; unless this node leads, every member is unreachable. */
@@ -164,13 +164,13 @@
         return peer == null
                 ? new NodeProgress(false, Long.MAX_VALUE)
                 : new NodeProgress(
-                        ticks - peer.lastHeardTick <= context.settings().electionTicks(),
+                        ticks - peer.lastMessageTick <= context.settings().electionTicks(),
                         log.lastIndex() - peer.matchIndex);
     }
 
     /** Returns a follower's progress, or null if this node does not lead or lacks that follower. */
     private PeerProgress followerOf(String node) {
-        return election.isLeader() ? tracker.of(node) : null;
+        return election.isLeader() ? tracker.progressOf(node) : null;
     }
 
     /** Whether the latest configuration is committed. */
@@ -180,7 +180,7 @@
 
     /** Returns all entries after an index that are in this node's log, committed or not. */
     public List<Entry> entriesAfter(long index) {
-        return log.from(Math.max(index, log.snapshotIndex()) + 1, Integer.MAX_VALUE);
+        return log.entriesFrom(Math.max(index, log.snapshotIndex()) + 1, Integer.MAX_VALUE);
     }
 
     /** Returns the index of the last entry on this node's disk. */
@@ -211,7 +211,7 @@
     /** Starts a pre-vote without an election timeout; for a node that is its group's only voter. */
     public void campaignNow() {
         if (role() == Role.FOLLOWER && context.isVoter()) {
-            conclude(election.startPreVote());
+            onVoteOutcome(election.startPreVote());
         }
     }
 
@@ -220,7 +220,7 @@
         ticks++;
         switch (election.tick()) {
             case ELECTION_TIMEOUT -> {
-                conclude(election.startPreVote());
+                onVoteOutcome(election.startPreVote());
                 return;
             }
             case QUORUM_CHECK -> checkQuorum();
@@ -232,8 +232,8 @@
     }
 
     /** Reports that a disk request and all earlier ones are complete. */
-    public void persisted(long request) {
-        durable.persisted(request);
+    public void persisted(long requestNumber) {
+        durable.onPersisted(requestNumber);
         releaseDurableMessages();
         if (election.isLeader()) {
             advanceCommitIndex();
@@ -242,7 +242,7 @@
 
     private void releaseDurableMessages() {
         Message message;
-        while ((message = durable.pollReleased()) != null) {
+        while ((message = durable.pollDurableMessage()) != null) {
             if (message.to().equals(context.id())) {
                 receive(message);
             } else if (message.term() >= term() || !(message instanceof Message.VoteRequest)) {
@@ -300,7 +300,7 @@
         transfer.start(node);
         election.resetTimer();
         reads.revokeLease();
-        PeerProgress peer = tracker.of(node);
+        PeerProgress peer = tracker.progressOf(node);
         if (!transfer.completeIfCaughtUp(node, peer)) {
             replication.send(node, peer);
         }
@@ -308,11 +308,11 @@
     }
 
     /** Requests a read; its number is output with the index to wait for, or as failed. */
-    public void read(long read) {
+    public void read(long readId) {
         if (election.isLeader()) {
-            reads.read(read, ticks);
+            reads.read(readId, ticks);
         } else {
-            outbox.readFailed(read);
+            outbox.readFailed(readId);
         }
     }
 
@@ -323,7 +323,7 @@
     public void prioritizeReplication(String node, long index) {
         PeerProgress peer = followerOf(node);
         if (peer != null) {
-            replication.prioritize(node, peer, index);
+            replication.prioritizeCommit(node, peer, index);
         }
     }
 
@@ -342,7 +342,7 @@
     /** Processes a message from another member. */
     public void receive(Message message) {
         if (message.term() > term()) {
-            if (election.ignores(message, ticks)) {
+            if (election.mustIgnore(message, ticks)) {
                 return;
             }
             if (!Election.isPreVote(message)) {
@@ -372,7 +372,7 @@
         if (message instanceof Message.VoteRequest request) {
             election.onVoteRequest(request);
         } else if (message instanceof Message.VoteResponse response) {
-            conclude(election.onVoteResponse(response));
+            onVoteOutcome(election.onVoteResponse(response));
         } else if (message instanceof Message.TimeoutNow) {
             onTimeoutNow();
         } else if (message instanceof Message.LeaderMessage fromLeader) {
@@ -395,7 +395,7 @@
         if (role() != Role.FOLLOWER) {
             becomeFollower(term(), message.from());
         }
-        election.heardLeader(message.from());
+        election.onLeaderMessage(message.from());
         if (message instanceof Message.AppendRequest request) {
             replication.onAppendRequest(request);
         } else if (message instanceof Message.Heartbeat heartbeat) {
@@ -410,7 +410,7 @@
         if (peer == null) {
             return;
         }
-        peer.heard(ticks);
+        peer.onMessage(ticks);
         if (message instanceof Message.AppendResponse response) {
             onAppendResponse(response, peer);
         } else if (message instanceof Message.HeartbeatResponse response) {
@@ -436,15 +436,15 @@
     }
 
     private void onHeartbeatResponse(Message.HeartbeatResponse message, PeerProgress peer) {
-        boolean isNewRound = peer.acknowledgedRound(message.round());
-        reads.confirm();
+        boolean isNewRound = peer.onHeartbeatAcknowledged(message.round());
+        reads.confirmReads();
         // A repeated response does not show that time has passed, so it triggers no retransmission.
         if (isNewRound) {
-            replication.resume(message.from(), peer);
+            replication.retransmit(message.from(), peer);
         }
     }
 
-    private void conclude(Election.VoteOutcome outcome) {
+    private void onVoteOutcome(Election.VoteOutcome outcome) {
         switch (outcome) {
             case WON -> {
                 if (role() == Role.PRE_CANDIDATE) {
@@ -473,15 +473,15 @@
             outbox.note(context.id() + " is no longer the leader, term " + term());
         }
         election.becomeFollower(newTerm, leader);
-        replication.forgetLeaderCommitIndex();
+        replication.clearLeaderCommitIndex();
         transfer.cancel();
-        reads.abort();
+        reads.failAll();
     }
 
     private void checkQuorum() {
         transfer.cancel();
         GroupConfiguration configuration = membership.configuration();
-        if (tracker.takeHeard(configuration.voters()) < configuration.majority()) {
+        if (tracker.countAndResetActiveVoters(configuration.voters()) < configuration.majority()) {
             outbox.note(context.id() + " hears no majority");
             becomeFollower(term(), null);
         }
--- a/src/main/java/reeldeal/consensus/RaftRules.java
+++ b/src/main/java/reeldeal/consensus/RaftRules.java
@@ -50,8 +50,8 @@
     }
 
     /** Whether the log has the entry directly before the entries of an append request. */
-    boolean matches(RaftLog log, long prevLogIndex, long prevLogTerm) {
-        return log.term(prevLogIndex) == prevLogTerm;
+    boolean logMatches(RaftLog log, long prevLogIndex, long prevLogTerm) {
+        return log.termAt(prevLogIndex) == prevLogTerm;
     }
 
     /**
@@ -65,7 +65,9 @@
             GroupConfiguration proposed,
             boolean currentIsCommitted,
             boolean committedInCurrentTerm) {
-        return currentIsCommitted && proposed.oneStepFrom(current) && committedInCurrentTerm;
+        return currentIsCommitted
+                && proposed.differsByAtMostOneVoter(current)
+                && committedInCurrentTerm;
     }
 
     /**
--- a/src/main/java/reeldeal/consensus/ReadIndex.java
+++ b/src/main/java/reeldeal/consensus/ReadIndex.java
@@ -45,7 +45,7 @@
         } else {
             startRound(tick);
             pending.add(new PendingRead(id, heartbeats.round(), commitIndex));
-            confirm();
+            confirmReads();
         }
     }
 
@@ -62,25 +62,25 @@
      * Answers the reads that wait for a round that a majority has acknowledged, and extends the
      * lease.
      */
-    void confirm() {
+    void confirmReads() {
         GroupConfiguration configuration = context.configuration();
-        long confirmed =
+        long confirmedRound =
                 tracker.roundAcknowledgedBy(
                         context.rules().readMajority(configuration),
                         configuration.voters(),
                         heartbeats.round());
-        for (Iterator<PendingRead> each = pending.iterator(); each.hasNext(); ) {
-            PendingRead read = each.next();
-            if (read.round() <= confirmed) {
+        for (Iterator<PendingRead> iterator = pending.iterator(); iterator.hasNext(); ) {
+            PendingRead read = iterator.next();
+            if (read.round() <= confirmedRound) {
                 context.outbox().readReady(read.id(), read.index());
-                each.remove();
+                iterator.remove();
             }
         }
-        Long start = roundStartTicks.get(confirmed);
-        if (start != null && leasesEnabled() && !transfer.isActive()) {
-            leaseUntilTick = Math.max(leaseUntilTick, start + context.settings().leaseTicks());
+        Long startTick = roundStartTicks.get(confirmedRound);
+        if (startTick != null && leasesEnabled() && !transfer.isActive()) {
+            leaseUntilTick = Math.max(leaseUntilTick, startTick + context.settings().leaseTicks());
         }
-        roundStartTicks.keySet().removeIf(round -> round < confirmed);
+        roundStartTicks.keySet().removeIf(round -> round < confirmedRound);
     }
 
     private boolean leasesEnabled() {
@@ -93,7 +93,7 @@
     }
 
     /** Fails all pending reads, because this node is no longer the leader. */
-    void abort() {
+    void failAll() {
         pending.forEach(read -> context.outbox().readFailed(read.id()));
         pending.clear();
         roundStartTicks.clear();
--- a/src/main/java/reeldeal/consensus/SnapshotTransfer.java
+++ b/src/main/java/reeldeal/consensus/SnapshotTransfer.java
@@ -65,7 +65,7 @@
             context.acknowledge(message.from(), commitIndex);
             return;
         }
-        collect(message);
+        appendChunk(message);
         if (received.length < header.totalBytes()) {
             context.outbox()
                     .send(
@@ -88,7 +88,7 @@
         context.acknowledge(message.from(), header.index());
     }
 
-    private void collect(Message.SnapshotChunk message) {
+    private void appendChunk(Message.SnapshotChunk message) {
         long index = message.header().index();
         if (receivedIndex != index || receivedTerm != message.term() || message.offset() == 0) {
             received = EMPTY;
@@ -96,9 +96,9 @@
             receivedTerm = message.term();
         }
         if (message.offset() == received.length) {
-            int before = received.length;
-            received = Arrays.copyOf(received, before + message.data().length);
-            System.arraycopy(message.data(), 0, received, before, message.data().length);
+            int oldLength = received.length;
+            received = Arrays.copyOf(received, oldLength + message.data().length);
+            System.arraycopy(message.data(), 0, received, oldLength, message.data().length);
         }
     }
 }
--- a/src/main/java/reeldeal/storage/ChecksummedRecords.java
+++ b/src/main/java/reeldeal/storage/ChecksummedRecords.java
@@ -41,25 +41,25 @@
      * The result of a read. {@code bytes} is null unless it found a record, {@code damage} unless
      * it found damage.
      */
-    record Found(Kind kind, byte[] bytes, String damage) {
-        private static final Found END = new Found(Kind.END, null, null);
-        private static final Found TORN = new Found(Kind.TORN, null, null);
+    record ReadResult(Kind kind, byte[] bytes, String damage) {
+        private static final ReadResult END = new ReadResult(Kind.END, null, null);
+        private static final ReadResult TORN = new ReadResult(Kind.TORN, null, null);
 
-        private static Found damaged(String damage) {
-            return new Found(Kind.DAMAGED, null, damage);
+        private static ReadResult damaged(String damage) {
+            return new ReadResult(Kind.DAMAGED, null, damage);
         }
     }
 
     private record Header(int length, int headerChecksum, int checksum) {
-        static Header read(byte[] file, int offset) {
-            ByteBuffer in = ByteBuffer.wrap(file, offset, HEADER_BYTES);
+        static Header read(byte[] fileBytes, int offset) {
+            ByteBuffer in = ByteBuffer.wrap(fileBytes, offset, HEADER_BYTES);
             return new Header(in.getInt() ^ LENGTH_MASK, in.getInt(), in.getInt());
         }
 
         boolean isValid() {
             return length >= 0
                     && length <= MAX_BYTES
-                    && headerChecksum == checksumOfHeader(length, checksum);
+                    && headerChecksum == headerChecksumOf(length, checksum);
         }
 
         /** Returns the offset at which the record ends if its header is at {@code offset}. */
@@ -76,7 +76,7 @@
         return (int) crc.getValue();
     }
 
-    private static int checksumOfHeader(int length, int checksum) {
+    private static int headerChecksumOf(int length, int checksum) {
         return checksum(ByteBuffer.allocate(8).putInt(length).putInt(checksum).array(), 0, 8);
     }
 
@@ -95,53 +95,53 @@
         int checksum = checksum(scrambled, 0, scrambled.length);
         return ByteBuffer.allocate(HEADER_BYTES + bytes.length)
                 .putInt(bytes.length ^ LENGTH_MASK)
-                .putInt(checksumOfHeader(bytes.length, checksum))
+                .putInt(headerChecksumOf(bytes.length, checksum))
                 .putInt(checksum)
                 .put(scrambled)
                 .array();
     }
 
     /** Whether there is a valid header at an offset, whose record ends within the file. */
-    static boolean beginsAt(byte[] file, int offset) {
-        if (file.length - offset < HEADER_BYTES) {
+    static boolean beginsAt(byte[] fileBytes, int offset) {
+        if (fileBytes.length - offset < HEADER_BYTES) {
             return false;
         }
-        Header header = Header.read(file, offset);
-        return header.isValid() && header.end(offset) <= file.length;
+        Header header = Header.read(fileBytes, offset);
+        return header.isValid() && header.end(offset) <= fileBytes.length;
     }
 
     /** Reads the record at an offset of a file's bytes, or determines why there is none. */
-    static Found read(byte[] file, int offset) {
-        if (offset == file.length) {
-            return Found.END;
+    static ReadResult read(byte[] fileBytes, int offset) {
+        if (offset == fileBytes.length) {
+            return ReadResult.END;
         }
-        if (file.length - offset < HEADER_BYTES) {
-            return Found.TORN;
+        if (fileBytes.length - offset < HEADER_BYTES) {
+            return ReadResult.TORN;
         }
-        Header header = Header.read(file, offset);
+        Header header = Header.read(fileBytes, offset);
         int start = offset + HEADER_BYTES;
         if (!header.isValid()) {
-            return hasUnwrittenSector(file, offset, start)
-                    ? Found.TORN
-                    : Found.damaged("a record's header does not match its checksum");
+            return hasUnwrittenSector(fileBytes, offset, start)
+                    ? ReadResult.TORN
+                    : ReadResult.damaged("a record's header does not match its checksum");
         }
-        if (header.end(offset) > file.length) {
-            return Found.TORN;
+        if (header.end(offset) > fileBytes.length) {
+            return ReadResult.TORN;
         }
-        if (checksum(file, start, header.length()) != header.checksum()) {
-            return hasUnwrittenSector(file, offset, start + header.length())
-                    ? Found.TORN
-                    : Found.damaged("a record's bytes do not match their checksum");
+        if (checksum(fileBytes, start, header.length()) != header.checksum()) {
+            return hasUnwrittenSector(fileBytes, offset, start + header.length())
+                    ? ReadResult.TORN
+                    : ReadResult.damaged("a record's bytes do not match their checksum");
         }
-        return new Found(Kind.RECORD, scramble(file, start, header.length()), null);
+        return new ReadResult(Kind.RECORD, scramble(fileBytes, start, header.length()), null);
     }
 
     /** Whether the part of some sector that lies between these offsets is all zeros. */
-    private static boolean hasUnwrittenSector(byte[] file, int from, int to) {
+    private static boolean hasUnwrittenSector(byte[] fileBytes, int from, int to) {
         int start = from;
         while (start < to) {
             int end = Math.min(to, (start / SECTOR_BYTES + 1) * SECTOR_BYTES);
-            if (end - start >= MIN_ZERO_BYTES && isZero(file, start, end)) {
+            if (end - start >= MIN_ZERO_BYTES && isZero(fileBytes, start, end)) {
                 return true;
             }
             start = end;
--- a/src/main/java/reeldeal/storage/DataDirectory.java
+++ b/src/main/java/reeldeal/storage/DataDirectory.java
@@ -116,7 +116,7 @@
             snapshot = new Snapshot(0, 0, firstConfiguration, new byte[0]);
         }
         List<Entry> entries = new ArrayList<>();
-        long cutBytes = log.recover(logFiles, snapshots.epoch(), snapshot.index(), entries);
+        long truncatedBytes = log.recover(logFiles, snapshots.epoch(), snapshot.index(), entries);
         long lastIndex =
                 entries.isEmpty() ? snapshot.index() : entries.get(entries.size() - 1).index();
         mark.recover(snapshots.epoch(), lastIndex);
@@ -124,15 +124,15 @@
                 new OpenResult(
                         new RaftNode.PersistentState(
                                 voteFile.term(), voteFile.vote(), snapshot, List.copyOf(entries)),
-                        cutBytes);
+                        truncatedBytes);
     }
 
     /** Collects the snapshot files and log files, and deletes temporary files left by a crash. */
     private void listFiles(List<Path> snapshotFiles, List<Path> logFiles) throws IOException {
-        try (Stream<Path> all = Files.list(files.directory())) {
-            for (Path file : all.toList()) {
+        try (Stream<Path> allFiles = Files.list(files.directory())) {
+            for (Path file : allFiles.toList()) {
                 String name = file.getFileName().toString();
-                if (name.endsWith(DurableFiles.TEMPORARY)) {
+                if (name.endsWith(DurableFiles.TEMPORARY_SUFFIX)) {
                     Files.delete(file);
                 } else if (SnapshotFiles.isSnapshot(name)) {
                     snapshotFiles.add(file);
@@ -165,9 +165,9 @@
                 writeEntries(request.firstIndex(), request.entries());
             }
         }
-        boolean grew = log.hasUnflushed();
+        boolean hasNewEntries = log.hasUnflushed();
         log.flush();
-        if (grew) {
+        if (hasNewEntries) {
             mark.write(snapshots.epoch(), log.nextIndex() - 1);
         }
         failed = false;
@@ -184,7 +184,7 @@
             snapshots.beginEpoch();
         }
         snapshots.deleteBefore(snapshot.index());
-        log.dropThrough(snapshot.index());
+        log.deleteThrough(snapshot.index());
     }
 
     private void writeEntries(long firstIndex, List<Entry> entries) throws IOException {
--- a/src/main/java/reeldeal/storage/DurableFiles.java
+++ b/src/main/java/reeldeal/storage/DurableFiles.java
@@ -18,7 +18,7 @@
      * The suffix of files that are not renamed yet; such files are deleted when a directory is
      * opened.
      */
-    static final String TEMPORARY = ".new";
+    static final String TEMPORARY_SUFFIX = ".new";
 
     private final Path directory;
     private long writableBytes = Long.MAX_VALUE;
@@ -42,7 +42,7 @@
 
     /** Replaces a file durably: the new content is on disk once this returns. */
     void replace(Path file, byte[] bytes) throws IOException {
-        Path temporary = file.resolveSibling(file.getFileName() + TEMPORARY);
+        Path temporary = file.resolveSibling(file.getFileName() + TEMPORARY_SUFFIX);
         writeNew(temporary, bytes);
         rename(temporary, file);
     }
--- a/src/main/java/reeldeal/storage/FormatFile.java
+++ b/src/main/java/reeldeal/storage/FormatFile.java
@@ -23,8 +23,9 @@
             check(file, node);
             return;
         }
-        try (Stream<Path> all = Files.list(files.directory())) {
-            if (all.anyMatch(f -> f.getFileName().toString().startsWith(SegmentedLog.PREFIX))) {
+        try (Stream<Path> allFiles = Files.list(files.directory())) {
+            if (allFiles.anyMatch(
+                    f -> f.getFileName().toString().startsWith(SegmentedLog.PREFIX))) {
                 throw new CorruptDataException(
                         file,
                         0,
@@ -45,12 +46,12 @@
                             + lines[0]
                             + "\": this directory belongs to another version of the program");
         }
-        boolean named = lines.length > 1 && !lines[1].isEmpty();
-        if (!named || !lines[1].equals(node)) {
+        boolean hasNodeName = lines.length > 1 && !lines[1].isEmpty();
+        if (!hasNodeName || !lines[1].equals(node)) {
             throw new IOException(
                     file
                             + ": this directory belongs to node "
-                            + (named ? lines[1] : "?")
+                            + (hasNodeName ? lines[1] : "?")
                             + ", not "
                             + node);
         }
--- a/src/main/java/reeldeal/storage/LogSegment.java
+++ b/src/main/java/reeldeal/storage/LogSegment.java
@@ -63,12 +63,12 @@
      * @param nextFirstIndex the first index of the next file, or null for the last file
      */
     long recover(Long nextFirstIndex, long snapshotIndex, List<Entry> entries) throws IOException {
-        byte[] file = Files.readAllBytes(path);
-        checkContinues(snapshotIndex, entries);
+        byte[] fileBytes = Files.readAllBytes(path);
+        checkContiguous(snapshotIndex, entries);
         int offset = 0;
-        ChecksummedRecords.Found found = ChecksummedRecords.read(file, offset);
-        while (found.kind() == ChecksummedRecords.Kind.RECORD) {
-            Entry entry = EntryCodec.decode(found.bytes());
+        ChecksummedRecords.ReadResult result = ChecksummedRecords.read(fileBytes, offset);
+        while (result.kind() == ChecksummedRecords.Kind.RECORD) {
+            Entry entry = EntryCodec.decode(result.bytes());
             if (entry.index() != nextIndex()) {
                 throw corrupt(
                         offset,
@@ -78,42 +78,43 @@
                                 + nextIndex()
                                 + " was expected");
             }
-            offset += ChecksummedRecords.HEADER_BYTES + found.bytes().length;
+            offset += ChecksummedRecords.HEADER_BYTES + result.bytes().length;
             entryEnds.add((long) offset);
             if (entry.index() > snapshotIndex) {
                 entries.add(entry);
             }
-            found = ChecksummedRecords.read(file, offset);
+            result = ChecksummedRecords.read(fileBytes, offset);
         }
-        if (found.kind() == ChecksummedRecords.Kind.DAMAGED) {
-            throw corrupt(offset, found.damage());
+        if (result.kind() == ChecksummedRecords.Kind.DAMAGED) {
+            throw corrupt(offset, result.damage());
         }
-        if (found.kind() == ChecksummedRecords.Kind.TORN) {
-            cutTornTail(file, offset, nextFirstIndex);
+        if (result.kind() == ChecksummedRecords.Kind.TORN) {
+            truncateTornTail(fileBytes, offset, nextFirstIndex);
         } else if (nextFirstIndex != null && nextFirstIndex != nextIndex()) {
             throw corrupt(
                     offset,
                     "entries from " + nextIndex() + " to " + (nextFirstIndex - 1) + " are missing");
         }
         flushedBytes = offset;
-        return (long) file.length - offset;
+        return (long) fileBytes.length - offset;
     }
 
-    private void checkContinues(long snapshotIndex, List<Entry> entries) throws IOException {
-        boolean continues =
+    private void checkContiguous(long snapshotIndex, List<Entry> entries) throws IOException {
+        boolean isContiguous =
                 entries.isEmpty()
                         ? firstIndex <= snapshotIndex + 1
                         : firstIndex == entries.get(entries.size() - 1).index() + 1;
-        if (!continues) {
+        if (!isContiguous) {
             throw corrupt(0, "entries up to " + (firstIndex - 1) + " are missing");
         }
     }
 
-    private void cutTornTail(byte[] file, int offset, Long nextFirstIndex) throws IOException {
+    private void truncateTornTail(byte[] fileBytes, int offset, Long nextFirstIndex)
+            throws IOException {
         if (nextFirstIndex != null) {
             throw corrupt(offset, "a record is incomplete, but this is not the last log file");
         }
-        if (wasFlushed(file, offset)) {
+        if (wasFlushed(fileBytes, offset)) {
             throw corrupt(
                     offset,
                     "a record is incomplete, but it was flushed before later records were written");
@@ -125,13 +126,14 @@
     /**
      * Whether a later record in the file states that data beyond this offset was flushed before it.
      */
-    private static boolean wasFlushed(byte[] file, int offset) {
-        int lastStart = file.length - ChecksummedRecords.HEADER_BYTES - Long.BYTES;
-        for (int at = offset + 1; at <= lastStart; at++) {
-            if (ChecksummedRecords.beginsAt(file, at)) {
-                ChecksummedRecords.Found found = ChecksummedRecords.read(file, at);
-                if (found.kind() == ChecksummedRecords.Kind.RECORD
-                        && EntryCodec.flushedBytes(found.bytes()) > offset) {
+    private static boolean wasFlushed(byte[] fileBytes, int offset) {
+        int lastStart = fileBytes.length - ChecksummedRecords.HEADER_BYTES - Long.BYTES;
+        for (int candidateOffset = offset + 1; candidateOffset <= lastStart; candidateOffset++) {
+            if (ChecksummedRecords.beginsAt(fileBytes, candidateOffset)) {
+                ChecksummedRecords.ReadResult result =
+                        ChecksummedRecords.read(fileBytes, candidateOffset);
+                if (result.kind() == ChecksummedRecords.Kind.RECORD
+                        && EntryCodec.flushedBytes(result.bytes()) > offset) {
                     return true;
                 }
             }
@@ -168,8 +170,8 @@
 
     /** Removes the entries from an index on; durable once this returns. */
     void truncateFrom(long index) throws IOException {
-        int kept = (int) Math.max(0, Math.min(entryEnds.size(), index - firstIndex));
-        entryEnds.subList(kept, entryEnds.size()).clear();
+        int keptEntries = (int) Math.max(0, Math.min(entryEnds.size(), index - firstIndex));
+        entryEnds.subList(keptEntries, entryEnds.size()).clear();
         channel.truncate(bytes());
         channel.force(true);
         flushedBytes = bytes();
--- a/src/main/java/reeldeal/storage/MarkFile.java
+++ b/src/main/java/reeldeal/storage/MarkFile.java
@@ -72,9 +72,10 @@
     private static Mark latest(byte[] bytes) {
         Mark latest = null;
         for (int slot = 0; slot < SLOTS && slot * SLOT_BYTES <= bytes.length; slot++) {
-            ChecksummedRecords.Found found = ChecksummedRecords.read(bytes, slot * SLOT_BYTES);
-            if (found.kind() == ChecksummedRecords.Kind.RECORD) {
-                Mark mark = Mark.decode(found.bytes());
+            ChecksummedRecords.ReadResult result =
+                    ChecksummedRecords.read(bytes, slot * SLOT_BYTES);
+            if (result.kind() == ChecksummedRecords.Kind.RECORD) {
+                Mark mark = Mark.decode(result.bytes());
                 latest = latest == null || mark.sequence() > latest.sequence() ? mark : latest;
             }
         }
--- a/src/main/java/reeldeal/storage/SegmentedLog.java
+++ b/src/main/java/reeldeal/storage/SegmentedLog.java
@@ -17,10 +17,10 @@
 final class SegmentedLog implements AutoCloseable {
     static final String PREFIX = "log-";
 
-    private record FoundFile(long epoch, long firstIndex, Path path) {
-        static FoundFile of(Path path) {
+    private record SegmentFile(long epoch, long firstIndex, Path path) {
+        static SegmentFile of(Path path) {
             String[] parts = path.getFileName().toString().split("-", -1);
-            return new FoundFile(Long.parseLong(parts[1]), Long.parseLong(parts[2]), path);
+            return new SegmentFile(Long.parseLong(parts[1]), Long.parseLong(parts[2]), path);
         }
     }
 
@@ -47,21 +47,21 @@
             throws IOException {
         TreeMap<Long, Path> current = new TreeMap<>();
         for (Path path : logFiles) {
-            FoundFile file = FoundFile.of(path);
+            SegmentFile file = SegmentFile.of(path);
             if (file.epoch() < epoch) {
                 Files.delete(file.path());
             } else {
                 current.put(file.firstIndex(), file.path());
             }
         }
-        long cutBytes = 0;
+        long truncatedBytes = 0;
         for (Map.Entry<Long, Path> file : current.entrySet()) {
             LogSegment segment = LogSegment.open(file.getKey(), file.getValue());
             segments.put(file.getKey(), segment);
             Long nextFirstIndex = current.higherKey(file.getKey());
-            cutBytes += segment.recover(nextFirstIndex, snapshotIndex, entries);
+            truncatedBytes += segment.recover(nextFirstIndex, snapshotIndex, entries);
         }
-        return cutBytes;
+        return truncatedBytes;
     }
 
     /** Returns the index after the last entry, or Long.MAX_VALUE if there is no file. */
@@ -75,9 +75,9 @@
 
     /** Appends entries; they are durable after the next flush. */
     void append(long epoch, List<Entry> entries) throws IOException {
-        int written = 0;
-        while (written < entries.size()) {
-            long index = entries.get(written).index();
+        int appended = 0;
+        while (appended < entries.size()) {
+            long index = entries.get(appended).index();
             if (segments.isEmpty()
                     || last().bytes() >= segmentBytes
                     || last().nextIndex() != index) {
@@ -85,8 +85,8 @@
                 beginSegment(epoch, index);
             }
             LogSegment segment = last();
-            written +=
-                    segment.append(files, entries.subList(written, entries.size()), segmentBytes);
+            appended +=
+                    segment.append(files, entries.subList(appended, entries.size()), segmentBytes);
             unflushed.add(segment);
         }
     }
@@ -115,7 +115,7 @@
      */
     void truncateFrom(long index) throws IOException {
         while (!segments.isEmpty() && segments.lastKey() >= index) {
-            drop(last());
+            deleteSegment(last());
             files.flushDirectory();
         }
         if (!segments.isEmpty()) {
@@ -124,13 +124,13 @@
     }
 
     /** Deletes the files whose entries all are at or before an index. */
-    void dropThrough(long index) throws IOException {
+    void deleteThrough(long index) throws IOException {
         while (!segments.isEmpty() && segments.firstEntry().getValue().nextIndex() <= index + 1) {
-            drop(segments.firstEntry().getValue());
+            deleteSegment(segments.firstEntry().getValue());
         }
     }
 
-    private void drop(LogSegment segment) throws IOException {
+    private void deleteSegment(LogSegment segment) throws IOException {
         segment.delete();
         segments.remove(segment.firstIndex());
     }
--- a/src/main/java/reeldeal/storage/SnapshotFiles.java
+++ b/src/main/java/reeldeal/storage/SnapshotFiles.java
@@ -22,7 +22,7 @@
  */
 final class SnapshotFiles {
     private static final String PREFIX = "snapshot-";
-    private static final String PREPARED = "prepared" + DurableFiles.TEMPORARY;
+    private static final String PREPARED = "prepared" + DurableFiles.TEMPORARY_SUFFIX;
 
     private final DurableFiles files;
     private long epoch;
@@ -67,12 +67,12 @@
     }
 
     private synchronized Snapshot read(Path file, long index) throws IOException {
-        ChecksummedRecords.Found record = ChecksummedRecords.read(Files.readAllBytes(file), 0);
-        if (record.kind() != ChecksummedRecords.Kind.RECORD) {
+        ChecksummedRecords.ReadResult result = ChecksummedRecords.read(Files.readAllBytes(file), 0);
+        if (result.kind() != ChecksummedRecords.Kind.RECORD) {
             throw new CorruptDataException(
                     file, 0, "the snapshot is incomplete or does not match its checksum");
         }
-        DataInputStream in = new DataInputStream(new ByteArrayInputStream(record.bytes()));
+        DataInputStream in = new DataInputStream(new ByteArrayInputStream(result.bytes()));
         epoch = in.readLong();
         Snapshot snapshot =
                 new Snapshot(
@@ -87,10 +87,10 @@
         return snapshot;
     }
 
-    private static byte[] encode(Snapshot snapshot, long ofEpoch) throws IOException {
+    private static byte[] encode(Snapshot snapshot, long snapshotEpoch) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64 + snapshot.data().length);
         DataOutputStream out = new DataOutputStream(bytes);
-        out.writeLong(ofEpoch);
+        out.writeLong(snapshotEpoch);
         out.writeLong(snapshot.index());
         out.writeLong(snapshot.term());
         snapshot.configuration().writeTo(out);
@@ -141,8 +141,8 @@
     }
 
     void deleteBefore(long index) throws IOException {
-        try (Stream<Path> all = Files.list(files.directory())) {
-            for (Path file : all.toList()) {
+        try (Stream<Path> allFiles = Files.list(files.directory())) {
+            for (Path file : allFiles.toList()) {
                 String name = file.getFileName().toString();
                 if (isSnapshot(name) && indexOf(name) < index) {
                     Files.delete(file);
--- a/src/main/java/reeldeal/storage/VoteFile.java
+++ b/src/main/java/reeldeal/storage/VoteFile.java
@@ -36,13 +36,13 @@
         if (!Files.exists(file)) {
             return;
         }
-        ChecksummedRecords.Found found = ChecksummedRecords.read(Files.readAllBytes(file), 0);
-        if (found.kind() != ChecksummedRecords.Kind.RECORD) {
+        ChecksummedRecords.ReadResult result = ChecksummedRecords.read(Files.readAllBytes(file), 0);
+        if (result.kind() != ChecksummedRecords.Kind.RECORD) {
             // The file was complete before it was renamed, so a crash cannot cause this.
             throw new CorruptDataException(
                     file, 0, "the file is incomplete or does not match its checksum");
         }
-        DataInputStream in = new DataInputStream(new ByteArrayInputStream(found.bytes()));
+        DataInputStream in = new DataInputStream(new ByteArrayInputStream(result.bytes()));
         term = in.readLong();
         vote = in.readBoolean() ? in.readUTF() : null;
     }
--- a/src/test/java/reeldeal/consensus/BrokenRules.java
+++ b/src/test/java/reeldeal/consensus/BrokenRules.java
@@ -78,7 +78,7 @@
 
     private static final class SkipsLogMatch extends RaftRules {
         @Override
-        boolean matches(RaftLog log, long prevLogIndex, long prevLogTerm) {
+        boolean logMatches(RaftLog log, long prevLogIndex, long prevLogTerm) {
             return prevLogIndex <= log.lastIndex();
         }
     }
--- a/src/test/java/reeldeal/consensus/PeerProgressTest.java
+++ b/src/test/java/reeldeal/consensus/PeerProgressTest.java
@@ -20,34 +20,34 @@
 
     @Test
     public void aProbeIsOneRequestAtATime() {
-        peer.sent(3);
+        peer.onRequestSent(3);
         assertFalse(peer.maySend(WINDOW));
         assertEquals(5, peer.nextIndex);
     }
 
     @Test
     public void anAcknowledgementEndsTheProbe() {
-        peer.sent(3);
-        peer.acknowledged(7);
+        peer.onRequestSent(3);
+        peer.onAcknowledged(7);
         assertFalse(peer.probing);
         assertEquals(8, peer.nextIndex);
     }
 
     @Test
     public void theWindowLimitsUnansweredRequests() {
-        peer.acknowledged(4);
-        peer.sent(1);
-        peer.sent(1);
+        peer.onAcknowledged(4);
+        peer.onRequestSent(1);
+        peer.onRequestSent(1);
         assertFalse(peer.maySend(WINDOW));
-        peer.acknowledged(5);
+        peer.onAcknowledged(5);
         assertTrue(peer.maySend(WINDOW));
     }
 
     @Test
     public void aStalledFollowerIsProbedFromItsMatchIndex() {
-        peer.acknowledged(4);
+        peer.onAcknowledged(4);
         peer.probeIfStalled();
-        peer.sent(3);
+        peer.onRequestSent(3);
         peer.probeIfStalled();
         assertTrue(peer.probing);
         assertEquals(5, peer.nextIndex);
@@ -55,15 +55,15 @@
 
     @Test
     public void aRejectionOfAnEarlierProbeIsStale() {
-        peer.sent(1);
+        peer.onRequestSent(1);
         assertTrue(peer.isStaleRejection(3));
         assertFalse(peer.isStaleRejection(4));
     }
 
     @Test
     public void aSecondAnswerToAHeartbeatRoundIsNotNew() {
-        assertTrue(peer.acknowledgedRound(2));
-        assertFalse(peer.acknowledgedRound(2));
-        assertFalse(peer.acknowledgedRound(1));
+        assertTrue(peer.onHeartbeatAcknowledged(2));
+        assertFalse(peer.onHeartbeatAcknowledged(2));
+        assertFalse(peer.onHeartbeatAcknowledged(1));
     }
 }
--- a/src/test/java/reeldeal/consensus/RaftLogTest.java
+++ b/src/test/java/reeldeal/consensus/RaftLogTest.java
@@ -72,8 +72,8 @@
         assertFalse(log.compact(3, NONE));
         assertTrue(log.compact(2, NONE));
         assertEquals(2, log.snapshotIndex());
-        assertEquals(-1, log.term(1));
-        assertEquals(1, log.term(3));
+        assertEquals(-1, log.termAt(1));
+        assertEquals(1, log.termAt(3));
     }
 
     @Test
