--- a/src/test/java/reeldeal/consensus/BrokenRules.java
+++ b/src/test/java/reeldeal/consensus/BrokenRules.java
@@ -2,15 +2,18 @@
 
 import java.util.List;
 
-/** Rules that each violate one rule of Raft on purpose; the simulation must detect each. */
+/**
+ * Rule sets that each violate one rule of Raft on purpose; the simulation must detect each
+ * violation.
+ */
 final class BrokenRules {
 
     /**
-     * One violation.
+     * A rule set with one violation.
      *
-     * @param name what is violated
-     * @param rules the rules of all nodes
-     * @param firstSeed where the search begins, for a violation that few seeds show
+     * @param name a description of the violation
+     * @param rules the rule set that all nodes use
+     * @param firstSeed the first seed to try; later than 1 if only few seeds reveal the violation
      */
     record Violation(String name, RaftRules rules, int firstSeed) {}
 
@@ -18,27 +21,43 @@
 
     static List<Violation> all() {
         return List.of(
-                new Violation("a vote short of a majority elects", new ElectsByMinority(), 1),
                 new Violation(
-                        "an entry commits a node short of a majority", new CommitsByMinority(), 1),
+                        "one vote fewer than a majority wins an election",
+                        new ElectsByMinority(),
+                        1),
+                new Violation(
+                        "an entry is committed by one voter fewer than a majority",
+                        new CommitsByMinority(),
+                        1),
                 new Violation(
-                        "an entry of an earlier term is committed by counting",
+                        "an entry of an earlier term is committed by counting replicas",
                         new CommitsEarlierTerms(),
                         17_000),
-                new Violation("a candidate's log is not compared", new IgnoresCandidateLog(), 1),
+                new Violation(
+                        "a vote is granted without comparing the logs",
+                        new IgnoresCandidateLog(),
+                        1),
                 new Violation("a node votes twice in a term", new VotesTwice(), 1),
-                new Violation("entries are taken after one that differs", new SkipsLogMatch(), 1),
-                new Violation("votes and responses do not wait for the disk", new SendsEarly(), 1),
                 new Violation(
-                        "members change before the last change is committed, and by any number",
+                        "entries are appended after an entry of another term",
+                        new SkipsLogMatch(),
+                        1),
+                new Violation(
+                        "messages to other nodes do not wait for the disk",
+                        new SendsBeforeFlush(),
+                        1),
+                new Violation(
+                        "members change by any number, before the last change is committed",
                         new ChangesMembersFreely(),
                         1),
-                new Violation("a leader reads without a quorum", new ReadsAlone(), 3_000),
                 new Violation(
-                        "a new leader reads before its own entry is committed",
+                        "a leader answers reads without a quorum", new ReadsWithoutQuorum(), 3_000),
+                new Violation(
+                        "a new leader answers reads before an entry of its term is committed",
                         new ReadsBeforeOwnEntry(),
                         1),
-                new Violation("messages of past terms are taken", new TakesStaleTerms(), 1));
+                new Violation(
+                        "messages of earlier terms are accepted", new AcceptsStaleTerms(), 1));
     }
 
     private static final class ElectsByMinority extends RaftRules {
@@ -83,7 +102,7 @@
         }
     }
 
-    private static final class SendsEarly extends RaftRules {
+    private static final class SendsBeforeFlush extends RaftRules {
         @Override
         boolean mustWaitForDisk(Message message) {
             return message.to().equals(message.from());
@@ -101,7 +120,7 @@
         }
     }
 
-    private static final class ReadsAlone extends RaftRules {
+    private static final class ReadsWithoutQuorum extends RaftRules {
         @Override
         int readMajority(GroupConfiguration configuration) {
             return 1;
@@ -115,7 +134,7 @@
         }
     }
 
-    private static final class TakesStaleTerms extends RaftRules {
+    private static final class AcceptsStaleTerms extends RaftRules {
         @Override
         boolean rejectsStaleTerms() {
             return false;
--- a/src/test/java/reeldeal/consensus/ClientCall.java
+++ b/src/test/java/reeldeal/consensus/ClientCall.java
@@ -1,21 +1,25 @@
 package reeldeal.consensus;
 
-/** A client's read or write of one key, as a history for the linearizability check. */
+/**
+ * A client's read or write of one key; the calls form the history for the linearizability check.
+ */
 final class ClientCall {
     final boolean write;
     final String key;
     final long begin;
 
-    /** When the client got the answer; Long.MAX_VALUE if it never learned the result. */
+    /**
+     * The time at which the client got the response; Long.MAX_VALUE if it never learned the result.
+     */
     long end = Long.MAX_VALUE;
 
-    /** The value written, or the one read once the call is answered. */
+    /** The value written or, once a read is answered, the value read. */
     String value;
 
-    /** Whether the call was rejected, and so had no effect. */
+    /** Whether the call was rejected and therefore had no effect. */
     boolean failed;
 
-    /** Whether the client still waits. */
+    /** Whether the client is still waiting for the result. */
     boolean pending = true;
 
     ClientCall(boolean write, String key, String value, long begin) {
--- a/src/test/java/reeldeal/consensus/ConsensusSimulation.java
+++ b/src/test/java/reeldeal/consensus/ConsensusSimulation.java
@@ -19,11 +19,12 @@
 import reeldeal.testing.EventDigest;
 
 /**
- * A group of nodes on a simulated network with simulated disks, all from one seed. Messages are
- * delayed, lost, duplicated and reordered; links are cut in one direction or both; nodes crash and
- * lose what was not flushed; disks are slow; clocks jump; members change; leadership is
- * transferred. {@link SafetyChecks} are made after each step; at the end the clients' history is
- * checked for linearizability. The order of the random draws is part of what a seed means.
+ * Simulates a group of nodes on a network and disks whose behaviour is determined by one seed.
+ * Messages are delayed, lost, duplicated and reordered; links are cut in one or both directions;
+ * nodes crash and lose unflushed data; disks are slow; clocks jump; members change; leadership is
+ * transferred. {@link SafetyChecks} run during every step, and at the end the clients' history is
+ * checked for linearizability. A seed reproduces a run only while the order of the random draws
+ * stays the same.
  */
 final class ConsensusSimulation {
     private static final int MAX_CALLS = 90;
@@ -33,7 +34,7 @@
 
     private record Event(long time, long order, Runnable action) {}
 
-    /** A read that is answered once the entries up to an index are applied. */
+    /** Identifies a read that is answered once the entries up to an index are applied. */
     private record ReadPosition(long index, long read) implements Comparable<ReadPosition> {
         @Override
         public int compareTo(ReadPosition other) {
@@ -86,7 +87,7 @@
             return 9L + random.nextInt(3);
         }
 
-        /** Schedules an action that a crash cancels. */
+        /** Schedules an action that is cancelled if the node crashes before it runs. */
         private void schedule(long delay, Runnable action) {
             long scheduledIn = incarnation;
             after(
@@ -109,7 +110,10 @@
             schedule(pause ? 100 + random.nextInt(300) : tickMs(), this::tick);
         }
 
-        /** Of the disk requests, which are done in order, some have reached the disk. */
+        /**
+         * Stops the node. A random number of the queued disk requests, in order, still reaches the
+         * disk.
+         */
         void crash() {
             int queued = disk.queueLength();
             disk.crash(queued == 0 ? 0 : random.nextInt(queued + 1));
@@ -138,15 +142,15 @@
             step();
         }
 
-        /** Carries out the node's output until there is none. */
+        /** Carries out the node's output until it produces no more. */
         void step() {
-            boolean any = true;
-            while (any) {
+            boolean hadOutput = true;
+            while (hadOutput) {
                 Ready ready = raft.takeReady();
-                any = hasOutput(ready);
+                hadOutput = hasOutput(ready);
                 carryOut(ready);
                 if (isLeader()) {
-                    onLeader();
+                    checkLeader();
                 } else {
                     writes.values().forEach(ClientCall::abandon);
                     writes.clear();
@@ -217,7 +221,7 @@
         private void apply(Entry entry) {
             SafetyChecks.check(
                     entry.index() == applied + 1,
-                    id + " applies " + entry.index() + " after " + applied);
+                    id + " applies entry " + entry.index() + " after " + applied);
             checks.onApply(id, raft, entry);
             applied = entry.index();
             digest.add(now + " " + id + " applies " + entry.index() + " of term " + entry.term());
@@ -247,7 +251,7 @@
             }
         }
 
-        private void onLeader() {
+        private void checkLeader() {
             if (!checks.onLeader(id, raft)) {
                 return;
             }
@@ -280,13 +284,13 @@
     private int nextNode;
     private int nextValue = 1;
 
-    /** Of every delivery, fault and configuration, and of every entry that a node applied. */
+    /** A digest of every delivery, fault, configuration change and applied entry. */
     final EventDigest digest = new EventDigest();
 
-    /** The clients' history. */
+    /** The history of all client calls. */
     final List<ClientCall> calls = new ArrayList<>();
 
-    /** How many terms had a leader. */
+    /** How many terms have had a leader. */
     int leadersSeen;
 
     ConsensusSimulation(long seed, RaftRules rules) {
@@ -310,8 +314,8 @@
         events.add(new Event(now + delay, nextOrder++, action));
     }
 
-    /** Runs for so many simulated ms and checks the history; returns the number of events. */
-    long play(long durationMs) {
+    /** Runs for this many simulated ms and checks the history; returns the number of events. */
+    long run(long durationMs) {
         long steps = 0;
         while (!events.isEmpty() && events.peek().time() <= durationMs) {
             Event event = events.poll();
@@ -332,12 +336,12 @@
         return steps;
     }
 
-    /** The last events, for a failure report. */
+    /** Returns the latest events, for a failure report. */
     List<String> trace() {
         return new ArrayList<>(trace);
     }
 
-    private void note(String event) {
+    private void recordEvent(String event) {
         digest.add(now + " " + event);
         addToTrace(event);
     }
@@ -381,7 +385,7 @@
 
     // ---- clients ----
 
-    private <T> T oneOf(List<T> choices) {
+    private <T> T randomElement(List<T> choices) {
         return choices.get(random.nextInt(choices.size()));
     }
 
@@ -393,7 +397,7 @@
         return running().stream().filter(Node::isLeader).toList();
     }
 
-    /** One client's next call, mostly to a node that leads. */
+    /** Starts the next call of one client, usually to a leader. */
     private void startCall() {
         List<Node> running = running();
         List<Node> leaders = leaders();
@@ -402,7 +406,7 @@
             return;
         }
         boolean anyNode = leaders.isEmpty() || random.nextInt(10) == 0;
-        Node node = oneOf(anyNode ? running : leaders);
+        Node node = randomElement(anyNode ? running : leaders);
         boolean write = random.nextBoolean();
         String key = random.nextBoolean() ? "x" : "y";
         ClientCall call =
@@ -441,19 +445,19 @@
         }
     }
 
-    // ---- faults and operators ----
+    // ---- faults and operator actions ----
 
-    /** A fault, a repair, or a change by the operators. */
+    /** Performs a random fault, repair or operator action, and schedules the next one. */
     private void injectFault() {
         switch (conditions.leaderStorm() ? 14 : random.nextInt(15)) {
-            case 0, 1 -> crashOne();
-            case 2, 3, 4 -> startStopped();
+            case 0, 1 -> crashRandomNode();
+            case 2, 3, 4 -> startStoppedNodes();
             case 5 -> partition();
             case 6, 7 -> healLinks();
             case 8 -> withFirstLeader(this::transferLeadership);
             case 9, 10 -> leaders().forEach(this::changeMembers);
-            case 11 -> withFirstLeader(this::isolate);
-            case 12, 13 -> withFirstLeader(this::restart);
+            case 11 -> withFirstLeader(this::isolateLeader);
+            case 12, 13 -> withFirstLeader(this::restartLeader);
             default -> {}
         }
         after(
@@ -465,31 +469,31 @@
         leaders().stream().findFirst().ifPresent(fault);
     }
 
-    private void crashOne() {
+    private void crashRandomNode() {
         List<Node> running = running();
         if (!running.isEmpty()) {
-            Node node = oneOf(running);
-            note("crash " + node.id);
+            Node node = randomElement(running);
+            recordEvent("crash " + node.id);
             node.crash();
         }
     }
 
-    private void startStopped() {
+    private void startStoppedNodes() {
         List<Node> stopped = nodes.values().stream().filter(n -> !n.isRunning()).toList();
         for (Node node : stopped) {
-            note("start " + node.id);
+            recordEvent("start " + node.id);
             node.start();
         }
     }
 
     private void partition() {
-        Set<String> side = new HashSet<>();
-        nodes.keySet().stream().filter(id -> random.nextBoolean()).forEach(side::add);
+        Set<String> isolatedNodes = new HashSet<>();
+        nodes.keySet().stream().filter(id -> random.nextBoolean()).forEach(isolatedNodes::add);
         boolean oneWay = random.nextInt(3) == 0;
-        note("cut " + side + (oneWay ? " one way" : ""));
+        recordEvent("cut " + isolatedNodes + (oneWay ? " one way" : ""));
         for (String from : nodes.keySet()) {
             for (String to : nodes.keySet()) {
-                if (side.contains(from) && !side.contains(to)) {
+                if (isolatedNodes.contains(from) && !isolatedNodes.contains(to)) {
                     cutLinks.add(from + to);
                     if (!oneWay) {
                         cutLinks.add(to + from);
@@ -500,12 +504,12 @@
     }
 
     private void healLinks() {
-        note("heal");
+        recordEvent("heal");
         cutLinks.clear();
     }
 
-    private void isolate(Node leader) {
-        note("cut off the leader " + leader.id);
+    private void isolateLeader(Node leader) {
+        recordEvent("cut off the leader " + leader.id);
         for (String other : nodes.keySet()) {
             if (!other.equals(leader.id)) {
                 cutLinks.add(leader.id + other);
@@ -514,32 +518,35 @@
         }
     }
 
-    private void restart(Node leader) {
-        note("crash the leader " + leader.id);
+    private void restartLeader(Node leader) {
+        recordEvent("crash the leader " + leader.id);
         leader.crash();
         after(20 + random.nextInt(200), leader::startIfStopped);
     }
 
     private void transferLeadership(Node leader) {
         List<String> voters = new ArrayList<>(leader.raft.configuration().voters());
-        leader.raft.transferLeadership(oneOf(voters));
+        leader.raft.transferLeadership(randomElement(voters));
         leader.step();
     }
 
-    /** Adds, promotes or removes a member; a removed node is added under a new name only. */
+    /**
+     * Adds, promotes or removes a member. A removed node is never added again under the same name.
+     */
     private void changeMembers(Node leader) {
         GroupConfiguration current = leader.raft.configuration();
         GroupConfiguration proposed;
         if (!current.learners().isEmpty() && random.nextBoolean()) {
             proposed = current.withVoter(current.learners().iterator().next());
         } else if (current.voters().size() > 3 && random.nextBoolean()) {
-            proposed = current.without(oneOf(new ArrayList<>(current.voters())));
+            proposed = current.without(randomElement(new ArrayList<>(current.voters())));
         } else if (current.all().size() < MAX_MEMBERS) {
             proposed = withNewNode(current);
         } else {
             return;
         }
-        note("members " + new TreeSet<>(proposed.voters()) + new TreeSet<>(proposed.learners()));
+        recordEvent(
+                "members " + new TreeSet<>(proposed.voters()) + new TreeSet<>(proposed.learners()));
         leader.raft.changeConfiguration(proposed);
         leader.step();
     }
@@ -552,8 +559,8 @@
         GroupConfiguration proposed =
                 random.nextBoolean() ? current.withLearner(id) : current.withVoter(id);
         if (random.nextBoolean() && current.voters().size() > 2) {
-            // A change of two voters, which a correct node rejects.
-            String removed = oneOf(new ArrayList<>(current.voters()));
+            // Proposes a change of two voters, which a correct node rejects.
+            String removed = randomElement(new ArrayList<>(current.voters()));
             return current.withVoter(id).without(removed);
         }
         return proposed;
--- a/src/test/java/reeldeal/consensus/ConsensusSimulationTest.java
+++ b/src/test/java/reeldeal/consensus/ConsensusSimulationTest.java
@@ -11,23 +11,23 @@
 import org.junit.Test;
 import reeldeal.testing.EventDigest;
 
-/** Groups of nodes on the simulator: with Raft's rules over fixed seeds, and with broken rules. */
+/** Runs simulated groups with Raft's rules over fixed seeds, and with broken rules. */
 public class ConsensusSimulationTest {
     private static final long SIMULATED_MS = 6_000;
     private static final int SEEDS = 300;
     private static final int LAST_SEED = 20_000;
     private static final int PARALLEL_SEEDS = 64;
 
-    /** A seed at which the simulation found a violation. */
+    /** A violation that the simulation found, and its seed. */
     private record Finding(int seed, String violation, List<String> trace) {}
 
-    /** The first seed from {@code from} on that shows a violation; null if none up to a last. */
-    private static Finding find(RaftRules rules, int from, int last) {
+    /** Returns the first violation at the seeds from {@code from} to {@code last}, or null. */
+    private static Finding findViolation(RaftRules rules, int from, int last) {
         for (int first = from; first <= last; first += PARALLEL_SEEDS) {
             Finding found =
                     IntStream.range(first, Math.min(first + PARALLEL_SEEDS, last + 1))
                             .parallel()
-                            .mapToObj(seed -> play(rules, seed))
+                            .mapToObj(seed -> simulate(rules, seed))
                             .filter(Objects::nonNull)
                             .findFirst()
                             .orElse(null);
@@ -38,10 +38,10 @@
         return null;
     }
 
-    private static Finding play(RaftRules rules, int seed) {
+    private static Finding simulate(RaftRules rules, int seed) {
         ConsensusSimulation simulation = new ConsensusSimulation(seed, rules);
         try {
-            simulation.play(SIMULATED_MS);
+            simulation.run(SIMULATED_MS);
             return null;
         } catch (SafetyChecks.Violation | IllegalStateException e) {
             return new Finding(seed, e.getMessage(), simulation.trace());
@@ -49,13 +49,13 @@
     }
 
     @Test
-    public void raftsRulesHoldOverAFixedSetOfSeeds() {
+    public void fixedSeedsDoNotViolateRaftsRules() {
         int leaders = 0;
         long answered = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             ConsensusSimulation simulation = new ConsensusSimulation(seed, new RaftRules());
             try {
-                simulation.play(SIMULATED_MS);
+                simulation.run(SIMULATED_MS);
             } catch (RuntimeException e) {
                 throw new AssertionError(
                         "seed " + seed + ": " + e + "\n" + String.join("\n", simulation.trace()),
@@ -64,19 +64,19 @@
             leaders += simulation.leadersSeen;
             answered += simulation.calls.stream().filter(c -> c.end != Long.MAX_VALUE).count();
         }
-        assertTrue("leaders change: " + leaders, leaders > 3 * SEEDS);
-        assertTrue("clients are answered: " + answered, answered > 20 * SEEDS);
+        assertTrue("too few terms with a leader: " + leaders, leaders > 3 * SEEDS);
+        assertTrue("too few calls answered: " + answered, answered > 20 * SEEDS);
     }
 
     @Test
-    public void aFixedSetOfSeedsGivesTheRecordedEvents() {
-        EventDigest all = new EventDigest();
+    public void fixedSeedsReproduceTheRecordedEvents() {
+        EventDigest combinedDigest = new EventDigest();
         for (long seed = 1; seed <= 60; seed++) {
             ConsensusSimulation simulation = new ConsensusSimulation(seed, new RaftRules());
-            simulation.play(SIMULATED_MS);
-            all.add(seed + " " + simulation.digest.hex());
+            simulation.run(SIMULATED_MS);
+            combinedDigest.add(seed + " " + simulation.digest.hex());
         }
-        assertEquals("recorded on 9332643", "492e8818e08c64c090e7c0f3", all.hex());
+        assertEquals("recorded on 9332643", "492e8818e08c64c090e7c0f3", combinedDigest.hex());
     }
 
     @Test
@@ -86,13 +86,13 @@
         for (BrokenRules.Violation violation : violations) {
             assertNotNull(
                     "not detected: " + violation.name(),
-                    find(violation.rules(), violation.firstSeed(), LAST_SEED));
+                    findViolation(violation.rules(), violation.firstSeed(), LAST_SEED));
         }
     }
 
     /**
-     * From the command line: {@code run FROM TO} plays seeds, {@code broken LAST [NAME]} prints at
-     * which seed each broken rule is detected.
+     * Runs from the command line: {@code run FROM TO} simulates a range of seeds, {@code broken
+     * LAST [NAME]} prints the seed at which each broken rule is detected.
      */
     public static void main(String[] args) {
         if (args[0].equals("broken")) {
@@ -100,12 +100,12 @@
                     .filter(violation -> args.length <= 2 || violation.name().contains(args[2]))
                     .forEach(violation -> printFinding(violation, Integer.parseInt(args[1])));
         } else {
-            measure(Long.parseLong(args[1]), Long.parseLong(args[2]));
+            runSeeds(Long.parseLong(args[1]), Long.parseLong(args[2]));
         }
     }
 
     private static void printFinding(BrokenRules.Violation violation, int last) {
-        Finding found = find(violation.rules(), 1, last);
+        Finding found = findViolation(violation.rules(), 1, last);
         String result =
                 found == null
                         ? "not found"
@@ -113,13 +113,13 @@
         System.out.println("| " + violation.name() + " | " + result + " |");
     }
 
-    private static void measure(long firstSeed, long lastSeed) {
+    private static void runSeeds(long firstSeed, long lastSeed) {
         long start = System.nanoTime();
         long steps = 0;
         for (long seed = firstSeed; seed <= lastSeed; seed++) {
             ConsensusSimulation simulation = new ConsensusSimulation(seed, new RaftRules());
             try {
-                steps += simulation.play(SIMULATED_MS);
+                steps += simulation.run(SIMULATED_MS);
             } catch (RuntimeException e) {
                 System.out.println(
                         "seed " + seed + ": " + e + "\n" + String.join("\n", simulation.trace()));
--- a/src/test/java/reeldeal/consensus/ElectionTest.java
+++ b/src/test/java/reeldeal/consensus/ElectionTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** How one node answers vote requests, and when it becomes a candidate. */
+/** Tests how a node answers vote requests and when it becomes a candidate. */
 public class ElectionTest {
     private final RaftNode node =
             new RaftNode(
@@ -15,11 +15,11 @@
                     RaftNode.PersistentState.fresh(ReliableGroup.CONFIGURATION),
                     bound -> 0);
 
-    private static Message vote(String from, long term) {
+    private static Message voteRequest(String from, long term) {
         return new Message.VoteRequest(from, "b", term, 0, 0, false, false);
     }
 
-    private static Message preVote(long term) {
+    private static Message preVoteRequest(long term) {
         return new Message.VoteRequest("a", "b", term, 0, 0, true, false);
     }
 
@@ -35,7 +35,7 @@
 
     @Test
     public void aVoteIsSentOnceItIsOnDisk() {
-        node.receive(vote("a", 1));
+        node.receive(voteRequest("a", 1));
         Ready ready = node.takeReady();
         assertEquals(List.of(), ready.messages);
         assertEquals("a", ready.persists.get(0).vote());
@@ -45,16 +45,16 @@
 
     @Test
     public void aNodeVotesOnceInATerm() {
-        node.receive(vote("a", 1));
-        node.receive(vote("c", 1));
+        node.receive(voteRequest("a", 1));
+        node.receive(voteRequest("c", 1));
         assertEquals(
                 List.of(new Message.VoteResponse("b", "c", 1, false, false)),
                 node.takeReady().messages);
     }
 
     @Test
-    public void aPreVoteBindsNobody() {
-        node.receive(preVote(5));
+    public void aPreVoteChangesNeitherTermNorVote() {
+        node.receive(preVoteRequest(5));
         Ready ready = node.takeReady();
         assertEquals(List.of(granted("a", 5, true)), ready.messages);
         assertEquals(List.of(), ready.persists);
@@ -62,10 +62,10 @@
     }
 
     @Test
-    public void aNodeThatHearsALeaderIgnoresVoteRequests() {
+    public void aNodeWithALiveLeaderIgnoresVoteRequests() {
         node.receive(new Message.Heartbeat("a", "b", 1, 0, 1, 0));
         node.takeReady();
-        node.receive(vote("c", 2));
+        node.receive(voteRequest("c", 2));
         assertEquals(1, node.term());
         assertEquals(List.of(), node.takeReady().messages);
         assertEquals("a", node.leader());
--- a/src/test/java/reeldeal/consensus/LinearizabilityChecker.java
+++ b/src/test/java/reeldeal/consensus/LinearizabilityChecker.java
@@ -7,10 +7,10 @@
 import java.util.Set;
 
 /**
- * Whether a history of one register has an order in which each call takes effect between its begin
- * and its end and each read gives what was written last (Herlihy and Wing 1990; the search is that
- * of Wing and Gong with Lowe's memoization). A write whose end is not known may take effect at any
- * later time, or never.
+ * Checks whether the history of one register is linearizable: whether the calls can be ordered so
+ * that each takes effect between its begin and its end, and each read returns the latest written
+ * value (Herlihy and Wing 1990; the search is that of Wing and Gong with Lowe's memoization). A
+ * write whose end is unknown may take effect at any later time, or never.
  */
 final class LinearizabilityChecker {
     private final List<ClientCall> calls;
@@ -24,11 +24,11 @@
         return new LinearizabilityChecker(calls).search(new BitSet(), null);
     }
 
-    private boolean search(BitSet placed, String value) {
+    private boolean search(BitSet ordered, String value) {
         boolean answeredRemain = false;
         long firstEnd = Long.MAX_VALUE;
         for (int i = 0; i < calls.size(); i++) {
-            if (!placed.get(i)) {
+            if (!ordered.get(i)) {
                 answeredRemain |= calls.get(i).end != Long.MAX_VALUE;
                 firstEnd = Math.min(firstEnd, calls.get(i).end);
             }
@@ -36,20 +36,20 @@
         if (!answeredRemain) {
             return true;
         }
-        if (!visited.add(placed + " " + value)) {
+        if (!visited.add(ordered + " " + value)) {
             return false;
         }
         for (int i = 0; i < calls.size(); i++) {
             ClientCall call = calls.get(i);
-            // The next to take effect began before any that remains has ended.
-            if (!placed.get(i)
+            // The next call to take effect must have begun before any remaining call ended.
+            if (!ordered.get(i)
                     && call.begin <= firstEnd
                     && (call.write || Objects.equals(call.value, value))) {
-                placed.set(i);
-                if (search(placed, call.write ? call.value : value)) {
+                ordered.set(i);
+                if (search(ordered, call.write ? call.value : value)) {
                     return true;
                 }
-                placed.clear(i);
+                ordered.clear(i);
             }
         }
         return false;
--- a/src/test/java/reeldeal/consensus/LinearizabilityCheckerTest.java
+++ b/src/test/java/reeldeal/consensus/LinearizabilityCheckerTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** Which histories of one register are linearizable. */
+/** Tests which histories of one register are accepted as linearizable. */
 public class LinearizabilityCheckerTest {
     private static final ClientCall WRITE_1 = write("1", 0, 10);
     private static final ClientCall WRITE_2 = write("2", 20, 30);
@@ -35,17 +35,17 @@
     }
 
     @Test
-    public void aReadAfterAWriteGivesItsValue() {
+    public void aReadAfterAWriteMayReturnItsValue() {
         assertTrue(check(WRITE_1, WRITE_2, read("2", 31, 40)));
     }
 
     @Test
-    public void aReadAfterAWriteMustNotGiveAnEarlierValue() {
+    public void aReadAfterAWriteMustNotReturnAnEarlierValue() {
         assertFalse(check(WRITE_1, WRITE_2, read("1", 31, 40)));
     }
 
     @Test
-    public void aReadDuringAWriteMayGiveTheEarlierValue() {
+    public void aReadDuringAWriteMayReturnTheEarlierValue() {
         assertTrue(check(WRITE_1, WRITE_2, read("1", 25, 40)));
     }
 
--- a/src/test/java/reeldeal/consensus/LogReplicationTest.java
+++ b/src/test/java/reeldeal/consensus/LogReplicationTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** What a follower makes of append requests, and a leader of their answers. */
+/** Tests how a follower handles append requests and how a leader handles the responses. */
 public class LogReplicationTest {
     private static final byte[] NONE = new byte[0];
 
@@ -72,15 +72,18 @@
         long last = leader.lastIndex();
         leader.receive(new Message.AppendResponse("b", "a", leader.term(), false, last, 0, 0));
         assertEquals("a stale rejection is ignored", List.of(), leader.takeReady().notes);
-        stall(leader);
+        loseRequest(leader);
         leader.receive(new Message.AppendResponse("b", "a", leader.term(), false, last, 0, 0));
         List<String> notes = leader.takeReady().notes;
         assertEquals(1, notes.size());
         assertTrue(notes.get(0), notes.get(0).startsWith("b has lost entries"));
     }
 
-    /** A request is lost, and the leader probes the follower again after the next heartbeats. */
-    private static void stall(RaftNode leader) {
+    /**
+     * Loses an append request, so that the leader probes the follower again after two heartbeat
+     * rounds.
+     */
+    private static void loseRequest(RaftNode leader) {
         leader.propose(NONE);
         leader.takeReady();
         for (long round = 1; round <= 2; round++) {
--- a/src/test/java/reeldeal/consensus/MembershipChangeRulesTest.java
+++ b/src/test/java/reeldeal/consensus/MembershipChangeRulesTest.java
@@ -11,14 +11,14 @@
 import reeldeal.consensus.MembershipChangeRules.Change;
 import reeldeal.consensus.MembershipChangeRules.Decision;
 
-/** Which membership changes a leader allows, by the progress of the members. */
+/** Tests which membership changes are allowed, depending on the members' progress. */
 public class MembershipChangeRulesTest {
     private static final GroupConfiguration CURRENT =
             new GroupConfiguration(Set.of("a", "b", "c"), Set.of("d"));
 
     private final Map<String, RaftNode.NodeProgress> progress = new HashMap<>();
 
-    private Decision judge(Change change, String node) {
+    private Decision evaluate(Change change, String node) {
         return MembershipChangeRules.judge(
                 CURRENT,
                 change,
@@ -26,7 +26,7 @@
                 member -> progress.getOrDefault(member, new RaftNode.NodeProgress(true, 0)));
     }
 
-    private void unreachable(String node) {
+    private void markUnreachable(String node) {
         progress.put(node, new RaftNode.NodeProgress(false, Long.MAX_VALUE));
     }
 
@@ -37,40 +37,40 @@
 
     @Test
     public void aNewNodeBecomesALearner() {
-        assertEquals(Set.of("d", "e"), judge(Change.ADD, "e").configuration().learners());
-        assertRejected(judge(Change.ADD, "a"), "in the group already");
+        assertEquals(Set.of("d", "e"), evaluate(Change.ADD, "e").configuration().learners());
+        assertRejected(evaluate(Change.ADD, "a"), "in the group already");
     }
 
     @Test
     public void aLearnerThatHasCaughtUpBecomesAVoter() {
         progress.put(
                 "d", new RaftNode.NodeProgress(true, MembershipChangeRules.MAX_ENTRIES_BEHIND));
-        assertTrue(judge(Change.PROMOTE, "d").configuration().voters().contains("d"));
+        assertTrue(evaluate(Change.PROMOTE, "d").configuration().voters().contains("d"));
     }
 
     @Test
     public void aLearnerThatIsBehindIsNotPromoted() {
         progress.put(
                 "d", new RaftNode.NodeProgress(true, MembershipChangeRules.MAX_ENTRIES_BEHIND + 1));
-        assertRejected(judge(Change.PROMOTE, "d"), "lacks 1001 entries");
+        assertRejected(evaluate(Change.PROMOTE, "d"), "lacks 1001 entries");
     }
 
     @Test
     public void anUnreachableLearnerIsNotPromoted() {
-        unreachable("d");
-        assertRejected(judge(Change.PROMOTE, "d"), "is not heard");
+        markUnreachable("d");
+        assertRejected(evaluate(Change.PROMOTE, "d"), "is not heard");
     }
 
     @Test
     public void aVoterIsNotRemovedIfTheOthersLackAMajority() {
-        unreachable("b");
-        assertRejected(judge(Change.REMOVE, "a"), "only 1 of the 2 voters");
-        assertEquals(Set.of("a", "c"), judge(Change.REMOVE, "b").configuration().voters());
+        markUnreachable("b");
+        assertRejected(evaluate(Change.REMOVE, "a"), "only 1 of the 2 voters");
+        assertEquals(Set.of("a", "c"), evaluate(Change.REMOVE, "b").configuration().voters());
     }
 
     @Test
     public void aDemotedVoterIsALearner() {
-        assertEquals(Set.of("c", "d"), judge(Change.DEMOTE, "c").configuration().learners());
-        assertRejected(judge(Change.DEMOTE, "d"), "does not vote");
+        assertEquals(Set.of("c", "d"), evaluate(Change.DEMOTE, "c").configuration().learners());
+        assertRejected(evaluate(Change.DEMOTE, "d"), "does not vote");
     }
 }
--- a/src/test/java/reeldeal/consensus/PeerProgressTest.java
+++ b/src/test/java/reeldeal/consensus/PeerProgressTest.java
@@ -7,7 +7,10 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** What a leader may send to a follower, by what that has acknowledged. */
+/**
+ * Tests which entries a leader may send to a follower, depending on the follower's
+ * acknowledgements.
+ */
 public class PeerProgressTest {
     private static final int WINDOW = 2;
 
--- a/src/test/java/reeldeal/consensus/RaftLogTest.java
+++ b/src/test/java/reeldeal/consensus/RaftLogTest.java
@@ -9,13 +9,15 @@
 import java.util.List;
 import org.junit.Test;
 
-/** What a log commits, keeps and gives to the disk. */
+/** Tests which entries a log delivers, keeps and writes to disk. */
 public class RaftLogTest {
     private static final byte[] NONE = new byte[0];
-    private static final GroupConfiguration FIRST = GroupConfiguration.of("a", "b", "c");
+    private static final GroupConfiguration FIRST_CONFIGURATION =
+            GroupConfiguration.of("a", "b", "c");
 
     private final Outbox outbox = new Outbox();
-    private final RaftLog log = new RaftLog(new Snapshot(0, 0, FIRST, NONE), List.of(), outbox);
+    private final RaftLog log =
+            new RaftLog(new Snapshot(0, 0, FIRST_CONFIGURATION, NONE), List.of(), outbox);
 
     private static Entry entry(long index, long term) {
         return new Entry(index, term, NONE, null);
@@ -37,7 +39,7 @@
     }
 
     @Test
-    public void theDiskIsGivenWhatChangedSinceTheLastRequest() {
+    public void aDiskRequestContainsTheChangesSinceTheLastOne() {
         append(1, 1);
         assertEquals(1, log.takeUnsaved(1, 1, null).firstIndex());
         assertFalse(log.hasUnsaved());
@@ -49,7 +51,7 @@
     }
 
     @Test
-    public void aTruncationTakesBackWhatIsDurable() {
+    public void aTruncationLowersTheDurableIndex() {
         append(1, 1, 1);
         log.markDurable(3, 1);
         log.truncateFrom(2);
@@ -57,7 +59,7 @@
     }
 
     @Test
-    public void aFlushOfAReplacedEntryDoesNotCount() {
+    public void aFlushOfAReplacedEntryIsIgnored() {
         append(1, 1);
         log.truncateFrom(2);
         append(2);
@@ -77,9 +79,9 @@
     }
 
     @Test
-    public void aSnapshotThatTheLogContinuesKeepsTheEntriesAfterIt() {
+    public void aSnapshotOfTheSameHistoryKeepsTheEntriesAfterIt() {
         append(1, 1, 1);
-        log.install(new Snapshot(2, 1, FIRST, NONE));
+        log.install(new Snapshot(2, 1, FIRST_CONFIGURATION, NONE));
         assertEquals(3, log.lastIndex());
         assertFalse(log.takeUnsaved(1, 1, null).discardsLog());
     }
@@ -87,7 +89,7 @@
     @Test
     public void aSnapshotOfAnotherHistoryDiscardsTheLog() {
         append(1, 1, 1);
-        Snapshot received = new Snapshot(2, 7, FIRST, NONE);
+        Snapshot received = new Snapshot(2, 7, FIRST_CONFIGURATION, NONE);
         log.install(received);
         assertEquals(2, log.lastIndex());
         assertTrue(log.takeUnsaved(1, 7, null).discardsLog());
@@ -95,13 +97,13 @@
     }
 
     @Test
-    public void theLatestConfigurationInTheLogHolds() {
-        GroupConfiguration changed = FIRST.withLearner("d");
+    public void theLatestConfigurationInTheLogApplies() {
+        GroupConfiguration changed = FIRST_CONFIGURATION.withLearner("d");
         log.append(new Entry(1, 1, NONE, changed));
         append(1);
         assertSame(changed, log.configuration());
         assertEquals(1, log.configurationIndex());
         log.truncateFrom(1);
-        assertSame(FIRST, log.configuration());
+        assertSame(FIRST_CONFIGURATION, log.configuration());
     }
 }
--- a/src/test/java/reeldeal/consensus/RaftNodeTest.java
+++ b/src/test/java/reeldeal/consensus/RaftNodeTest.java
@@ -10,26 +10,29 @@
 import java.util.Random;
 import org.junit.Test;
 
-/** A group of three nodes without a simulator: messages arrive in order and none is lost. */
+/** Tests a group of three nodes whose messages arrive in order and are not lost. */
 public class RaftNodeTest {
     private record DiskWrite(long request, long doneAtTick) {}
 
     private final ReliableGroup group = new ReliableGroup(RaftNode.Settings.DEFAULT);
 
     @Test
-    public void aPrioritizedFollowerLearnsOfACommitWithoutTheNextHeartbeat() {
+    public void aPrioritizedFollowerIsNotifiedOfACommitBeforeTheNextHeartbeat() {
         RaftNode leader = group.electLeader();
         long index = leader.propose("x".getBytes(UTF_8));
         group.deliver();
         assertEquals("committed on the leader", index, leader.commitIndex());
-        assertEquals("others do not know", index - 1, group.node("b").commitIndex());
+        assertEquals(
+                "not known to be committed on a follower",
+                index - 1,
+                group.node("b").commitIndex());
         leader.prioritizeReplication("b", index);
         group.deliver();
         assertEquals(index, group.node("b").commitIndex());
     }
 
     @Test
-    public void aFollowerPrioritizedBeforeTheCommitLearnsOfItOnceItIsCommitted() {
+    public void aFollowerPrioritizedBeforeTheCommitIsNotifiedOnceItIsCommitted() {
         RaftNode leader = group.electLeader();
         long index = leader.propose("x".getBytes(UTF_8));
         group.deliver();
@@ -40,7 +43,10 @@
         leader.propose("y".getBytes(UTF_8));
         group.deliver();
         assertEquals(index + 1, group.node("c").commitIndex());
-        assertEquals("the priority ends with the commit", index, group.node("b").commitIndex());
+        assertEquals(
+                "only the prioritized commit is announced early",
+                index,
+                group.node("b").commitIndex());
     }
 
     @Test
@@ -48,7 +54,7 @@
         for (int seed = 1; seed <= 20; seed++) {
             Random random = new Random(seed);
             assertTrue(
-                    "seed " + seed + ": no leader after 20 s",
+                    "seed " + seed + ": no leader after 400 ticks",
                     electsOnSlowDisks(
                             ReliableGroup.createNodes(RaftNode.Settings.DEFAULT, random::nextInt)));
         }
@@ -65,22 +71,25 @@
                     node.persisted(disk.poll().request());
                 }
             }
-            for (boolean any = true; any; ) {
-                any = false;
+            for (boolean hadMessages = true; hadMessages; ) {
+                hadMessages = false;
                 for (RaftNode node : nodes.values()) {
                     Ready ready = node.takeReady();
                     for (Ready.Persist persist : ready.persists) {
                         write(disks.get(node), persist, tick);
                     }
                     ready.messages.forEach(m -> nodes.get(m.to()).receive(m));
-                    any |= !ready.messages.isEmpty();
+                    hadMessages |= !ready.messages.isEmpty();
                 }
             }
         }
         return hasLeader(nodes);
     }
 
-    /** Writes are done one after another, and each takes as long as an election. */
+    /**
+     * Queues a write; writes complete one after another, and each takes as long as an election
+     * timeout.
+     */
     private static void write(ArrayDeque<DiskWrite> disk, Ready.Persist persist, long tick) {
         long start = disk.isEmpty() ? tick : disk.peekLast().doneAtTick();
         disk.add(
--- a/src/test/java/reeldeal/consensus/ReadIndexTest.java
+++ b/src/test/java/reeldeal/consensus/ReadIndexTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** When a leader answers reads. */
+/** Tests when a leader answers or fails reads. */
 public class ReadIndexTest {
     private static final RaftNode.Settings WITH_LEASE =
             new RaftNode.Settings(10, 2, 4, 256 * 1024, 32);
--- a/src/test/java/reeldeal/consensus/ReliableGroup.java
+++ b/src/test/java/reeldeal/consensus/ReliableGroup.java
@@ -6,14 +6,17 @@
 import java.util.TreeMap;
 import java.util.function.IntUnaryOperator;
 
-/** Three nodes whose messages arrive in order; links to stopped nodes lose all of them. */
+/**
+ * A group of three nodes whose messages arrive in order. Messages from and to stopped nodes are
+ * lost.
+ */
 final class ReliableGroup {
     static final GroupConfiguration CONFIGURATION = GroupConfiguration.of("a", "b", "c");
 
     private final Map<String, RaftNode> nodes;
     private final Set<String> stopped = new HashSet<>();
 
-    /** Node "a" has the shortest election timeout. */
+    /** Creates the group; node "a" has the shortest election timeout. */
     ReliableGroup(RaftNode.Settings settings) {
         nodes = createNodes(settings, bound -> bound / 2);
         nodes.put("a", createNode("a", settings, bound -> 0));
@@ -49,24 +52,24 @@
         return leader;
     }
 
-    /** Carries out all output of the nodes until there is none; returns what came of reads. */
+    /** Carries out the output of all nodes until there is none; returns the results of reads. */
     Ready deliver() {
-        Ready reads = new Ready();
-        boolean any = true;
-        while (any) {
-            any = false;
-            for (Map.Entry<String, RaftNode> each : nodes.entrySet()) {
-                Ready ready = each.getValue().takeReady();
-                ready.persists.forEach(request -> each.getValue().persisted(request.number()));
-                if (!stopped.contains(each.getKey())) {
+        Ready readResults = new Ready();
+        boolean hadOutput = true;
+        while (hadOutput) {
+            hadOutput = false;
+            for (Map.Entry<String, RaftNode> entry : nodes.entrySet()) {
+                Ready ready = entry.getValue().takeReady();
+                ready.persists.forEach(request -> entry.getValue().persisted(request.number()));
+                if (!stopped.contains(entry.getKey())) {
                     ready.messages.forEach(this::deliver);
                 }
-                reads.reads.addAll(ready.reads);
-                reads.failedReads.addAll(ready.failedReads);
-                any |= !ready.persists.isEmpty() || !ready.messages.isEmpty();
+                readResults.reads.addAll(ready.reads);
+                readResults.failedReads.addAll(ready.failedReads);
+                hadOutput |= !ready.persists.isEmpty() || !ready.messages.isEmpty();
             }
         }
-        return reads;
+        return readResults;
     }
 
     private void deliver(Message message) {
--- a/src/test/java/reeldeal/consensus/SafetyChecks.java
+++ b/src/test/java/reeldeal/consensus/SafetyChecks.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Raft's safety properties (thesis, figure 3.2) over all nodes and all time of a simulation. */
+/** Checks Raft's safety properties (thesis, figure 3.2) for all nodes throughout a simulation. */
 final class SafetyChecks {
 
-    /** A property that did not hold. */
+    /** Thrown if a safety property does not hold. */
     static final class Violation extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -21,7 +21,7 @@
 
     private final Map<Long, String> leaderByTerm = new TreeMap<>();
     private final Map<Long, CommittedEntry> committed = new TreeMap<>();
-    private final Map<Long, Long> termOfCommit = new HashMap<>();
+    private final Map<Long, Long> commitTermByIndex = new HashMap<>();
     private final Map<Long, Map<String, String>> stateByIndex = new HashMap<>();
     private final Map<String, String> entriesByIndexAndTerm = new HashMap<>();
 
@@ -35,32 +35,41 @@
         return new String(entry.data(), StandardCharsets.UTF_8) + " " + entry.configuration();
     }
 
-    /** Log matching: entries of one index and term are the same, and follow the same entry. */
+    /**
+     * Checks log matching: entries of the same index and term are equal and follow the same entry.
+     */
     void onEntry(String node, RaftNode raft, Entry entry) {
-        String name = entry.index() + "/" + entry.term();
+        String entryId = entry.index() + "/" + entry.term();
         long prevTerm = raft.termAt(entry.index() - 1);
         String text = prevTerm + " " + textOf(entry);
-        String other = entriesByIndexAndTerm.putIfAbsent(name, text);
-        // The term of a compacted entry is -1, and cannot be compared.
+        String other = entriesByIndexAndTerm.putIfAbsent(entryId, text);
+        // The term of a compacted entry is -1 and cannot be compared.
         check(
                 other == null || other.equals(text) || prevTerm < 0 || other.startsWith("-1 "),
-                "log matching: " + node + " has " + name + " as " + text + ", another as " + other);
+                "log matching: "
+                        + node
+                        + " has entry "
+                        + entryId
+                        + " as "
+                        + text
+                        + ", another node as "
+                        + other);
     }
 
-    /** State machine safety: all nodes apply the same entry at an index. */
+    /** Checks state machine safety: all nodes apply the same entry at an index. */
     void onApply(String node, RaftNode raft, Entry entry) {
         CommittedEntry applied = new CommittedEntry(entry.term(), textOf(entry));
         CommittedEntry other = committed.putIfAbsent(entry.index(), applied);
-        termOfCommit.putIfAbsent(entry.index(), raft.term());
+        commitTermByIndex.putIfAbsent(entry.index(), raft.term());
         check(
                 other == null || applied.equals(other),
                 "state machine safety: "
                         + node
-                        + " applies "
+                        + " applies entry "
                         + entry.index()
                         + " as "
                         + applied
-                        + ", another as "
+                        + ", another node as "
                         + other);
     }
 
@@ -68,14 +77,14 @@
         stateByIndex.putIfAbsent(index, state);
     }
 
-    /** A snapshot has the state that others had at its index. */
+    /** Checks that an installed snapshot equals the state that other nodes had at its index. */
     void onInstall(String node, long index, Map<String, String> state) {
         check(
                 state.equals(stateByIndex.getOrDefault(index, state)),
-                node + " installs another state at " + index);
+                node + " installs a snapshot with a different state at index " + index);
     }
 
-    /** Election safety and leader completeness; true if the leader's term is new. */
+    /** Checks election safety and leader completeness; returns true if the leader's term is new. */
     boolean onLeader(String node, RaftNode raft) {
         String other = leaderByTerm.putIfAbsent(raft.term(), node);
         check(
@@ -88,17 +97,20 @@
         return true;
     }
 
-    /** A leader has what was committed in an earlier term, whatever the term of the entry. */
+    /**
+     * Checks that a new leader has an entry if it was committed in an earlier term, whatever the
+     * entry's own term.
+     */
     private void checkCompleteness(String node, RaftNode raft, long index, CommittedEntry entry) {
         check(
                 index <= raft.snapshotIndex()
-                        || termOfCommit.get(index) >= raft.term()
+                        || commitTermByIndex.get(index) >= raft.term()
                         || entry.entryTerm() == raft.termAt(index),
                 "leader completeness: "
                         + node
                         + " leads term "
                         + raft.term()
-                        + " without "
+                        + " without committed entry "
                         + index);
     }
 }
--- a/src/test/java/reeldeal/consensus/SimulatedDisk.java
+++ b/src/test/java/reeldeal/consensus/SimulatedDisk.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.TreeMap;
 
-/** What a simulated node has on disk, and the disk requests that are not done yet. */
+/** The disk of a simulated node: its content, and the queue of pending disk requests. */
 final class SimulatedDisk {
     private long term;
     private String vote;
@@ -25,7 +25,7 @@
                 term, vote, snapshot, new ArrayList<>(entries.values()));
     }
 
-    /** Adds a request; true if the disk was idle. */
+    /** Queues a request; returns true if the disk was idle. */
     boolean enqueue(Ready.Persist request) {
         queue.add(request);
         return queue.size() == 1;
@@ -35,14 +35,17 @@
         return queue.size();
     }
 
-    /** Does the next request and returns its number. */
+    /** Carries out the next request and returns its number. */
     long writeNext() {
         Ready.Persist request = queue.poll();
         write(request);
         return request.number();
     }
 
-    /** A crash: the first requests reached the disk, the others are lost. */
+    /**
+     * Simulates a crash: the first {@code written} requests still reach the disk, the others are
+     * lost.
+     */
     void crash(int written) {
         for (int i = 0; i < written; i++) {
             writeNext();
--- a/src/test/java/reeldeal/consensus/SnapshotTransferTest.java
+++ b/src/test/java/reeldeal/consensus/SnapshotTransferTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** A follower that receives a snapshot in chunks. */
+/** Tests how a follower receives a snapshot in chunks. */
 public class SnapshotTransferTest {
     private static final GroupConfiguration GROUP = GroupConfiguration.of("a", "b");
     private static final Message.SnapshotHeader HEADER = new Message.SnapshotHeader(9, 2, GROUP, 4);
--- a/src/test/java/reeldeal/storage/ChecksummedRecordsTest.java
+++ b/src/test/java/reeldeal/storage/ChecksummedRecordsTest.java
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 import org.junit.Test;
 
-/** Which bytes are a record, a torn tail or damage. */
+/** Tests which bytes are read as a record, a torn tail or damage. */
 public class ChecksummedRecordsTest {
     private static final byte[] BYTES = "some bytes".getBytes(StandardCharsets.UTF_8);
     private static final byte[] FILE = ChecksummedRecords.encode(BYTES);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    public void aRecordThatTheFileCutsOffIsTorn() {
+    public void aTruncatedRecordIsTorn() {
         for (int length = 1; length < FILE.length; length++) {
             byte[] cut = Arrays.copyOf(FILE, length);
             assertEquals("" + length, ChecksummedRecords.Kind.TORN, kindOf(cut));
--- a/src/test/java/reeldeal/storage/DataDirectoryTest.java
+++ b/src/test/java/reeldeal/storage/DataDirectoryTest.java
@@ -24,7 +24,9 @@
 import reeldeal.consensus.Ready.Persist;
 import reeldeal.consensus.Snapshot;
 
-/** What a power cut, a cut file and a changed bit may do to a folder. */
+/**
+ * Tests how a data directory survives power failures, truncated files, changed bits and full disks.
+ */
 public class DataDirectoryTest {
     private static final GroupConfiguration FIRST = GroupConfiguration.of("a", "b", "c");
     private static final long ANY_INDEX = Long.MAX_VALUE;
@@ -88,7 +90,7 @@
         return new Persist(0, term, vote, ANY_INDEX, List.of(), snapshot, false);
     }
 
-    /** A snapshot that replaces the log completely. */
+    /** Returns a request for a snapshot that replaces the log completely. */
     private static Persist replacement(long term, String vote, Snapshot snapshot) {
         return new Persist(0, term, vote, ANY_INDEX, List.of(), snapshot, true);
     }
@@ -109,7 +111,7 @@
         }
     }
 
-    /** All that a directory holds, as text. */
+    /** Returns the whole content of a directory as text. */
     private static String describe(Path path, int segmentBytes) throws IOException {
         RaftNode.PersistentState state = read(path, segmentBytes);
         Snapshot snapshot = state.snapshot();
@@ -134,7 +136,7 @@
         RaftNode.PersistentState state = read(base, 300);
         assertEquals(23, state.entries().size());
         assertEquals(1, state.entries().get(13).term());
-        assertEquals("replaced from here on", 2, state.entries().get(14).term());
+        assertEquals("replaced from index 15 on", 2, state.entries().get(14).term());
         assertEquals(3, state.term());
     }
 
@@ -159,7 +161,7 @@
     }
 
     @Test
-    public void aDirectoryIsOpenOnce() throws IOException {
+    public void aDirectoryCannotBeOpenedTwice() throws IOException {
         try (DataDirectory directory = open(base, 300)) {
             directory.write(List.of(append(1, 1, 1)));
             assertThrows(IOException.class, () -> open(base, 300));
@@ -183,9 +185,12 @@
         assertTrue(message, message.contains("another version"));
     }
 
-    /** Each cut of the log's last file, before and after the cut bytes were acknowledged. */
+    /**
+     * Truncates the log's only file at every offset, with a mark before and after the last entries
+     * were flushed.
+     */
     @Test
-    public void aFileCutAtAnyByteLosesNothingThatWasAcknowledged() throws IOException {
+    public void aTruncationThatLosesAcknowledgedEntriesIsDetected() throws IOException {
         int segmentBytes = 1 << 20;
         Path before = base.resolve("before");
         write(before, segmentBytes, append(1, 1, 6));
@@ -201,9 +206,9 @@
             String message = "cut at " + cut;
             Path copy = copy(before, base.resolve("cut" + cut));
             Files.write(copy.resolve("log-0-1"), Arrays.copyOf(bytes, cut));
-            // All ten were acknowledged: the cut is a loss.
+            // The mark covers all ten entries, so the truncated log has lost some.
             assertThrows(message, CorruptDataException.class, () -> open(copy, segmentBytes));
-            // The last four were not acknowledged: the log may end anywhere after the first six.
+            // The mark covers only the first six entries: the log may end anywhere after them.
             Files.copy(mark, copy.resolve("mark"), StandardCopyOption.REPLACE_EXISTING);
             if (cut < acknowledgedBytes) {
                 rejected++;
@@ -218,10 +223,10 @@
     }
 
     @Test
-    public void aChangedBitAnywhereIsFoundAndNamed() throws IOException {
+    public void aChangedBitIsDetectedAndItsFileIsNamed() throws IOException {
         write(base, 400, append(1, 1, 6));
         write(base, 400, append(1, 7, 12));
-        String good = describe(base, 400);
+        String original = describe(base, 400);
         List<Path> files = new ArrayList<>(logFiles(base));
         files.add(base.resolve("promise"));
         int rejected = 0;
@@ -234,7 +239,7 @@
                 Files.write(file, changed);
                 changes++;
                 try {
-                    assertEquals(file + " " + i, good, describe(base, 400));
+                    assertEquals(file + " " + i, original, describe(base, 400));
                 } catch (CorruptDataException e) {
                     rejected++;
                     assertTrue(
@@ -246,12 +251,15 @@
             Files.write(file, bytes);
         }
         assertTrue(changes + " changes", changes > 700);
-        assertEquals("none is read as something else", changes, rejected);
+        assertEquals("every changed bit must be detected", changes, rejected);
     }
 
-    /** Power fails at a random moment: any sectors of what was not flushed may be on disk. */
+    /**
+     * Simulates a power failure at a random moment: any subset of the unflushed sectors may be on
+     * disk.
+     */
     @Test
-    public void aPowerFailureLeavesAStateThatWasTrulyWritten() throws IOException {
+    public void aPowerFailureLeavesAStateThatWasWritten() throws IOException {
         for (long seed = 0; seed < 120; seed++) {
             Random random = new Random(seed);
             Path directory = base.resolve("p" + seed);
@@ -276,21 +284,24 @@
                     "seed " + seed,
                     (after.startsWith(found) && found.length() >= first.length())
                             || found.equals(after));
-            assertEquals("and it stays so", found, describe(directory, 600));
+            assertEquals("opened a second time", found, describe(directory, 600));
         }
     }
 
-    /** The last file has any of the sectors that it grew by; the mark was not flushed. */
+    /**
+     * Keeps a random subset of the sectors that the last file grew by, and the old mark, which was
+     * not flushed.
+     */
     private static void loseUnflushedSectors(Path before, Path directory, Random random)
             throws IOException {
         for (Path file : logFiles(directory)) {
-            Path old = before.resolve(file.getFileName());
-            byte[] now = Files.readAllBytes(file);
-            byte[] then = Files.exists(old) ? Files.readAllBytes(old) : new byte[0];
+            Path oldFile = before.resolve(file.getFileName());
+            byte[] newBytes = Files.readAllBytes(file);
+            byte[] oldBytes = Files.exists(oldFile) ? Files.readAllBytes(oldFile) : new byte[0];
             boolean isLast =
                     !Files.exists(directory.resolve("log-0-" + nextFirstIndex(directory, file)));
-            if (isLast && now.length > then.length) {
-                Files.write(file, mixSectors(then, now, random));
+            if (isLast && newBytes.length > oldBytes.length) {
+                Files.write(file, mixSectors(oldBytes, newBytes, random));
             }
         }
         Files.copy(
@@ -299,13 +310,13 @@
                 StandardCopyOption.REPLACE_EXISTING);
     }
 
-    private static byte[] mixSectors(byte[] then, byte[] now, Random random) {
-        int grownTo = then.length + random.nextInt(now.length - then.length + 1);
-        byte[] mixed = Arrays.copyOf(then, grownTo);
-        for (int sector = then.length / 512; sector * 512 < mixed.length; sector++) {
+    private static byte[] mixSectors(byte[] oldBytes, byte[] newBytes, Random random) {
+        int grownTo = oldBytes.length + random.nextInt(newBytes.length - oldBytes.length + 1);
+        byte[] mixed = Arrays.copyOf(oldBytes, grownTo);
+        for (int sector = oldBytes.length / 512; sector * 512 < mixed.length; sector++) {
             if (random.nextBoolean()) {
                 int from = sector * 512;
-                System.arraycopy(now, from, mixed, from, Math.min(512, mixed.length - from));
+                System.arraycopy(newBytes, from, mixed, from, Math.min(512, mixed.length - from));
             }
         }
         return mixed;
@@ -327,10 +338,10 @@
     public void aCrashWhileTheLogIsReplacedLeavesNoOldEntryAfterTheSnapshot() throws IOException {
         Path directory = base.resolve("f");
         write(directory, 300, append(1, 1, 20));
-        Path old = copy(directory, base.resolve("old"));
+        Path oldDirectory = copy(directory, base.resolve("old"));
         write(directory, 300, replacement(2, "b", new Snapshot(10, 2, FIRST, new byte[5])));
-        // The snapshot has its name, the old files are not deleted yet.
-        for (Path file : logFiles(old)) {
+        // The snapshot is renamed, but the old log files are not deleted yet.
+        for (Path file : logFiles(oldDirectory)) {
             Files.copy(file, directory.resolve(file.getFileName()));
         }
         RaftNode.PersistentState state = read(directory, 300);
@@ -338,24 +349,27 @@
         assertEquals(List.of(), state.entries());
     }
 
-    /** The disk is full after any number of bytes: what was acknowledged is there, in order. */
+    /**
+     * Fills the disk after each number of bytes: all acknowledged entries must still be there, in
+     * order.
+     */
     @Test
-    public void aFullDiskAtEveryWriteEndsWritingAndLosesNothing() throws IOException {
-        int complete = 0;
-        for (int free = 0; free < 2_600; free += 13) {
-            Path directory = base.resolve("full" + free);
-            Acknowledged acknowledged = writeUntilFull(directory, free);
+    public void aFullDiskStopsWritesAndLosesNothing() throws IOException {
+        int completeRuns = 0;
+        for (int freeBytes = 0; freeBytes < 2_600; freeBytes += 13) {
+            Path directory = base.resolve("full" + freeBytes);
+            Acknowledged acknowledged = writeUntilFull(directory, freeBytes);
             RaftNode.PersistentState state = read(directory, 500);
             long last = state.snapshot().index() + state.entries().size();
             assertTrue(
-                    "free " + free + ": " + last + " of " + acknowledged,
+                    "free " + freeBytes + ": " + last + " of " + acknowledged,
                     last >= acknowledged.lastIndex());
             assertTrue(state.snapshot().index() >= acknowledged.snapshotIndex());
-            complete += acknowledged.snapshotIndex() > 0 ? 1 : 0;
+            completeRuns += acknowledged.snapshotIndex() > 0 ? 1 : 0;
             write(directory, 500, append(2, last + 1, last + 2));
             assertTrue(describe(directory, 500).startsWith("2 a"));
         }
-        assertTrue("with enough space all is written: " + complete, complete > 5);
+        assertTrue("too few runs with enough space: " + completeRuns, completeRuns > 5);
     }
 
     private record Acknowledged(long lastIndex, long snapshotIndex) {}
@@ -365,7 +379,7 @@
         long snapshotIndex = 0;
         try (DataDirectory directory = open(path, 500)) {
             directory.limitWritableBytes(freeBytes);
-            IOException full = null;
+            IOException failure = null;
             try {
                 for (int i = 0; i < 8; i++) {
                     directory.write(List.of(append(1, 3 * i + 1, 3 * i + 3)));
@@ -375,12 +389,12 @@
                         List.of(snapshot(1, "a", new Snapshot(12, 1, FIRST, new byte[400]))));
                 snapshotIndex = 12;
             } catch (IOException e) {
-                full = e;
+                failure = e;
             }
-            if (full != null) {
-                assertTrue(full.getMessage(), full.getMessage().contains("no space left"));
+            if (failure != null) {
+                assertTrue(failure.getMessage(), failure.getMessage().contains("no space left"));
                 assertThrows(
-                        "no more",
+                        "write after a failed write",
                         IOException.class,
                         () -> directory.write(List.of(append(1, 1, 1))));
             }
--- a/src/test/java/reeldeal/storage/MarkFileTest.java
+++ b/src/test/java/reeldeal/storage/MarkFileTest.java
@@ -11,7 +11,7 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** Which logs are shorter than the mark allows. */
+/** Tests which logs are rejected because they end before the mark. */
 public class MarkFileTest {
     @Rule public final TemporaryFolder directory = new TemporaryFolder();
 
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void theMarkOfAnEarlierEpochDoesNotCount() throws IOException {
+    public void theMarkOfAnEarlierEpochIsIgnored() throws IOException {
         recover(1, 3);
         assertThrows(CorruptDataException.class, () -> recover(0, 3));
     }
@@ -53,7 +53,7 @@
     @Test
     public void aTornSlotLeavesTheEarlierMark() throws IOException {
         byte[] bytes = Files.readAllBytes(path.resolve("mark"));
-        bytes[20] ^= 1; // the second mark is in the first slot
+        bytes[20] ^= 1; // the second mark was written to the first slot
         Files.write(path.resolve("mark"), bytes);
         recover(0, 5);
         assertThrows(CorruptDataException.class, () -> recover(0, 4));
--- a/src/test/java/reeldeal/storage/VoteFileTest.java
+++ b/src/test/java/reeldeal/storage/VoteFileTest.java
@@ -13,18 +13,18 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** Term and vote across restarts. */
+/** Tests that the term and vote survive restarts. */
 public class VoteFileTest {
     @Rule public final TemporaryFolder directory = new TemporaryFolder();
 
     private Path path;
 
     @Before
-    public void findPath() {
+    public void setPath() {
         path = directory.getRoot().toPath();
     }
 
-    private VoteFile recovered() throws IOException {
+    private VoteFile recover() throws IOException {
         VoteFile file = new VoteFile(new DurableFiles(path));
         file.recover();
         return file;
@@ -32,30 +32,30 @@
 
     @Test
     public void aNewDirectoryHasNoVote() throws IOException {
-        assertEquals(0, recovered().term());
-        assertNull(recovered().vote());
+        assertEquals(0, recover().term());
+        assertNull(recover().vote());
     }
 
     @Test
     public void theVoteIsReadAgain() throws IOException {
-        recovered().update(7, "b");
-        assertEquals(7, recovered().term());
-        assertEquals("b", recovered().vote());
+        recover().update(7, "b");
+        assertEquals(7, recover().term());
+        assertEquals("b", recover().vote());
     }
 
     @Test
     public void aTermWithoutVoteIsReadAgain() throws IOException {
-        recovered().update(7, "b");
-        recovered().update(8, null);
-        assertEquals(8, recovered().term());
-        assertNull(recovered().vote());
+        recover().update(7, "b");
+        recover().update(8, null);
+        assertEquals(8, recover().term());
+        assertNull(recover().vote());
     }
 
     @Test
-    public void aCutFileIsCorrupt() throws IOException {
-        recovered().update(7, "b");
+    public void aTruncatedFileIsCorrupt() throws IOException {
+        recover().update(7, "b");
         byte[] bytes = Files.readAllBytes(path.resolve("promise"));
         Files.write(path.resolve("promise"), Arrays.copyOf(bytes, bytes.length - 1));
-        assertThrows(CorruptDataException.class, this::recovered);
+        assertThrows(CorruptDataException.class, this::recover);
     }
 }
