--- a/src/main/java/reeldeal/consensus/LogReplication.java
+++ b/src/main/java/reeldeal/consensus/LogReplication.java
@@ -106,7 +106,7 @@
                 && !peer.lostEntriesReported) {
             peer.lostEntriesReported = true;
             context.outbox()
-                    .note(
+                    .logLine(
                             message.from()
                                     + " has lost entries that it had acknowledged, up to index "
                                     + peer.matchIndex
@@ -186,14 +186,14 @@
         long lastIndex = message.prevLogIndex();
         for (Entry entry : message.entries()) {
             lastIndex = entry.index();
-            store(entry);
+            storeEntry(entry);
         }
         context.membership().reloadIfChanged();
         context.acknowledge(message.from(), lastIndex);
         log.commitTo(Math.min(message.leaderCommit(), lastIndex));
     }
 
-    private void store(Entry entry) {
+    private void storeEntry(Entry entry) {
         if (entry.index() <= log.lastIndex()) {
             if (log.termAt(entry.index()) == entry.term()) {
                 return;
--- a/src/main/java/reeldeal/consensus/Outbox.java
+++ b/src/main/java/reeldeal/consensus/Outbox.java
@@ -12,7 +12,7 @@
         ready.persists.add(request);
     }
 
-    void commit(Entry entry) {
+    void deliver(Entry entry) {
         ready.committed.add(entry);
     }
 
@@ -33,7 +33,7 @@
         ready.failedReads.add(readId);
     }
 
-    void note(String line) {
+    void logLine(String line) {
         ready.notes.add(line);
     }
 
--- a/src/main/java/reeldeal/consensus/RaftLog.java
+++ b/src/main/java/reeldeal/consensus/RaftLog.java
@@ -105,7 +105,7 @@
         commitIndex = Math.max(commitIndex, index);
         while (deliveredIndex < commitIndex) {
             deliveredIndex++;
-            outbox.commit(entry(deliveredIndex));
+            outbox.deliver(entry(deliveredIndex));
         }
     }
 
--- a/src/main/java/reeldeal/consensus/RaftNode.java
+++ b/src/main/java/reeldeal/consensus/RaftNode.java
@@ -272,11 +272,11 @@
     /** Proposes a configuration; returns the entry's index, or -1 after logging the reason. */
     public long changeConfiguration(GroupConfiguration proposed) {
         if (!acceptsProposals()) {
-            outbox.note("members not changed: this node does not lead or transfers leadership");
+            outbox.logLine("members not changed: this node does not lead or transfers leadership");
             return -1;
         }
         if (!membership.mayChangeTo(proposed, context.committedInCurrentTerm())) {
-            outbox.note(
+            outbox.logLine(
                     "members not changed: the previous change or an entry of the current term"
                             + " is not committed yet, or the change affects more than one voter");
             return -1;
@@ -464,13 +464,13 @@
         tracker.reset(membership.configuration(), log.lastIndex() + 1);
         // Committing this entry commits those of earlier terms with it (thesis, section 3.6.2).
         replication.append(new byte[0], null);
-        outbox.note(context.id() + " leads, term " + term());
+        outbox.logLine(context.id() + " leads, term " + term());
         replication.sendToAll();
     }
 
     private void becomeFollower(long newTerm, String leader) {
         if (election.isLeader()) {
-            outbox.note(context.id() + " is no longer the leader, term " + term());
+            outbox.logLine(context.id() + " is no longer the leader, term " + term());
         }
         election.becomeFollower(newTerm, leader);
         replication.clearLeaderCommitIndex();
@@ -482,7 +482,7 @@
         transfer.cancel();
         GroupConfiguration configuration = membership.configuration();
         if (tracker.countAndResetActiveVoters(configuration.voters()) < configuration.majority()) {
-            outbox.note(context.id() + " hears no majority");
+            outbox.logLine(context.id() + " hears no majority");
             becomeFollower(term(), null);
         }
     }
@@ -491,7 +491,7 @@
         if (replication.advanceCommitIndex() && !context.isVoter() && membership.isCommitted()) {
             // This leader was removed from the voters. It steps down now that the change is
             // committed, and another node takes over (thesis, section 4.2.2).
-            outbox.note(context.id() + " is no longer a voter and steps down");
+            outbox.logLine(context.id() + " is no longer a voter and steps down");
             heartbeats.sendToAll();
             becomeFollower(term(), null);
         }
--- a/src/main/java/reeldeal/consensus/SnapshotTransfer.java
+++ b/src/main/java/reeldeal/consensus/SnapshotTransfer.java
@@ -10,7 +10,7 @@
     private static final byte[] EMPTY = new byte[0];
 
     private final RaftContext context;
-    private byte[] received = EMPTY;
+    private byte[] receivedData = EMPTY;
     private long receivedIndex = -1;
     private long receivedTerm;
 
@@ -66,7 +66,7 @@
             return;
         }
         appendChunk(message);
-        if (received.length < header.totalBytes()) {
+        if (receivedData.length < header.totalBytes()) {
             context.outbox()
                     .send(
                             new Message.SnapshotChunkResponse(
@@ -74,11 +74,11 @@
                                     message.from(),
                                     context.term(),
                                     header.index(),
-                                    received.length));
+                                    receivedData.length));
             return;
         }
-        byte[] state = received;
-        received = EMPTY;
+        byte[] state = receivedData;
+        receivedData = EMPTY;
         receivedIndex = -1;
         context.log()
                 .install(
@@ -91,14 +91,14 @@
     private void appendChunk(Message.SnapshotChunk message) {
         long index = message.header().index();
         if (receivedIndex != index || receivedTerm != message.term() || message.offset() == 0) {
-            received = EMPTY;
+            receivedData = EMPTY;
             receivedIndex = index;
             receivedTerm = message.term();
         }
-        if (message.offset() == received.length) {
-            int oldLength = received.length;
-            received = Arrays.copyOf(received, oldLength + message.data().length);
-            System.arraycopy(message.data(), 0, received, oldLength, message.data().length);
+        if (message.offset() == receivedData.length) {
+            int oldLength = receivedData.length;
+            receivedData = Arrays.copyOf(receivedData, oldLength + message.data().length);
+            System.arraycopy(message.data(), 0, receivedData, oldLength, message.data().length);
         }
     }
 }
--- a/src/main/java/reeldeal/storage/DataDirectory.java
+++ b/src/main/java/reeldeal/storage/DataDirectory.java
@@ -45,9 +45,9 @@
     private final VoteFile voteFile;
     private final SnapshotFiles snapshots;
     private final SegmentedLog log;
-    private final MarkFile mark;
-    private OpenResult opened;
-    private boolean failed;
+    private final MarkFile markFile;
+    private OpenResult openResult;
+    private boolean writeFailed;
 
     private DataDirectory(Path path, int segmentBytes, FileChannel lockFile, FileLock lock) {
         this.files = new DurableFiles(path);
@@ -56,7 +56,7 @@
         this.voteFile = new VoteFile(files);
         this.snapshots = new SnapshotFiles(files);
         this.log = new SegmentedLog(files, segmentBytes);
-        this.mark = new MarkFile(files);
+        this.markFile = new MarkFile(files);
     }
 
     /**
@@ -103,7 +103,7 @@
 
     /** Returns what the directory contained when it was opened. */
     public OpenResult opened() {
-        return opened;
+        return openResult;
     }
 
     private void recover(GroupConfiguration firstConfiguration) throws IOException {
@@ -119,8 +119,8 @@
         long truncatedBytes = log.recover(logFiles, snapshots.epoch(), snapshot.index(), entries);
         long lastIndex =
                 entries.isEmpty() ? snapshot.index() : entries.get(entries.size() - 1).index();
-        mark.recover(snapshots.epoch(), lastIndex);
-        opened =
+        markFile.recover(snapshots.epoch(), lastIndex);
+        openResult =
                 new OpenResult(
                         new RaftNode.PersistentState(
                                 voteFile.term(), voteFile.vote(), snapshot, List.copyOf(entries)),
@@ -149,13 +149,14 @@
      * but not reads.
      */
     public void write(List<Ready.Persist> requests) throws IOException {
-        if (failed) {
+        if (writeFailed) {
             throw new IOException(
                     "an earlier write to "
                             + files.directory()
                             + " failed, so no more writes are accepted");
         }
-        failed = true;
+        // Stays set if a write below throws.
+        writeFailed = true;
         for (Ready.Persist request : requests) {
             voteFile.update(request.term(), request.vote());
             if (request.snapshot() != null) {
@@ -168,9 +169,9 @@
         boolean hasNewEntries = log.hasUnflushed();
         log.flush();
         if (hasNewEntries) {
-            mark.write(snapshots.epoch(), log.nextIndex() - 1);
+            markFile.write(snapshots.epoch(), log.nextIndex() - 1);
         }
-        failed = false;
+        writeFailed = false;
     }
 
     /** Writes the snapshot first, and then deletes the log files that it replaces. */
@@ -192,8 +193,8 @@
             log.flush();
             // Moves the mark back first: otherwise, after a crash between the two writes, the
             // truncated log would look like lost data.
-            mark.write(snapshots.epoch(), firstIndex - 1);
-            mark.flush();
+            markFile.write(snapshots.epoch(), firstIndex - 1);
+            markFile.flush();
             log.truncateFrom(firstIndex);
         }
         log.append(snapshots.epoch(), entries);
@@ -221,7 +222,7 @@
     @Override
     public void close() throws IOException {
         log.close();
-        mark.close();
+        markFile.close();
         lock.release();
         lockFile.close();
     }
--- a/src/main/java/reeldeal/storage/LogSegment.java
+++ b/src/main/java/reeldeal/storage/LogSegment.java
@@ -70,7 +70,7 @@
         while (result.kind() == ChecksummedRecords.Kind.RECORD) {
             Entry entry = EntryCodec.decode(result.bytes());
             if (entry.index() != nextIndex()) {
-                throw corrupt(
+                throw corruptData(
                         offset,
                         "found entry "
                                 + entry.index()
@@ -86,12 +86,12 @@
             result = ChecksummedRecords.read(fileBytes, offset);
         }
         if (result.kind() == ChecksummedRecords.Kind.DAMAGED) {
-            throw corrupt(offset, result.damage());
+            throw corruptData(offset, result.damage());
         }
         if (result.kind() == ChecksummedRecords.Kind.TORN) {
             truncateTornTail(fileBytes, offset, nextFirstIndex);
         } else if (nextFirstIndex != null && nextFirstIndex != nextIndex()) {
-            throw corrupt(
+            throw corruptData(
                     offset,
                     "entries from " + nextIndex() + " to " + (nextFirstIndex - 1) + " are missing");
         }
@@ -105,17 +105,17 @@
                         ? firstIndex <= snapshotIndex + 1
                         : firstIndex == entries.get(entries.size() - 1).index() + 1;
         if (!isContiguous) {
-            throw corrupt(0, "entries up to " + (firstIndex - 1) + " are missing");
+            throw corruptData(0, "entries up to " + (firstIndex - 1) + " are missing");
         }
     }
 
     private void truncateTornTail(byte[] fileBytes, int offset, Long nextFirstIndex)
             throws IOException {
         if (nextFirstIndex != null) {
-            throw corrupt(offset, "a record is incomplete, but this is not the last log file");
+            throw corruptData(offset, "a record is incomplete, but this is not the last log file");
         }
         if (wasFlushed(fileBytes, offset)) {
-            throw corrupt(
+            throw corruptData(
                     offset,
                     "a record is incomplete, but it was flushed before later records were written");
         }
@@ -141,7 +141,7 @@
         return false;
     }
 
-    private CorruptDataException corrupt(long offset, String damage) {
+    private CorruptDataException corruptData(long offset, String damage) {
         return new CorruptDataException(path, offset, damage);
     }
 
--- a/src/main/java/reeldeal/storage/SegmentedLog.java
+++ b/src/main/java/reeldeal/storage/SegmentedLog.java
@@ -45,20 +45,20 @@
      */
     long recover(List<Path> logFiles, long epoch, long snapshotIndex, List<Entry> entries)
             throws IOException {
-        TreeMap<Long, Path> current = new TreeMap<>();
+        TreeMap<Long, Path> currentFiles = new TreeMap<>();
         for (Path path : logFiles) {
             SegmentFile file = SegmentFile.of(path);
             if (file.epoch() < epoch) {
                 Files.delete(file.path());
             } else {
-                current.put(file.firstIndex(), file.path());
+                currentFiles.put(file.firstIndex(), file.path());
             }
         }
         long truncatedBytes = 0;
-        for (Map.Entry<Long, Path> file : current.entrySet()) {
+        for (Map.Entry<Long, Path> file : currentFiles.entrySet()) {
             LogSegment segment = LogSegment.open(file.getKey(), file.getValue());
             segments.put(file.getKey(), segment);
-            Long nextFirstIndex = current.higherKey(file.getKey());
+            Long nextFirstIndex = currentFiles.higherKey(file.getKey());
             truncatedBytes += segment.recover(nextFirstIndex, snapshotIndex, entries);
         }
         return truncatedBytes;
@@ -66,10 +66,10 @@
 
     /** Returns the index after the last entry, or Long.MAX_VALUE if there is no file. */
     long nextIndex() {
-        return segments.isEmpty() ? Long.MAX_VALUE : last().nextIndex();
+        return segments.isEmpty() ? Long.MAX_VALUE : lastSegment().nextIndex();
     }
 
-    private LogSegment last() {
+    private LogSegment lastSegment() {
         return segments.lastEntry().getValue();
     }
 
@@ -79,12 +79,12 @@
         while (appended < entries.size()) {
             long index = entries.get(appended).index();
             if (segments.isEmpty()
-                    || last().bytes() >= segmentBytes
-                    || last().nextIndex() != index) {
+                    || lastSegment().bytes() >= segmentBytes
+                    || lastSegment().nextIndex() != index) {
                 flush(); // only the last file may have a torn tail
                 beginSegment(epoch, index);
             }
-            LogSegment segment = last();
+            LogSegment segment = lastSegment();
             appended +=
                     segment.append(files, entries.subList(appended, entries.size()), segmentBytes);
             unflushed.add(segment);
@@ -115,11 +115,11 @@
      */
     void truncateFrom(long index) throws IOException {
         while (!segments.isEmpty() && segments.lastKey() >= index) {
-            deleteSegment(last());
+            deleteSegment(lastSegment());
             files.flushDirectory();
         }
         if (!segments.isEmpty()) {
-            last().truncateFrom(index);
+            lastSegment().truncateFrom(index);
         }
     }
 
--- a/src/test/java/reeldeal/consensus/ConsensusSimulation.java
+++ b/src/test/java/reeldeal/consensus/ConsensusSimulation.java
@@ -169,7 +169,7 @@
 
         private void carryOut(Ready ready) {
             for (Ready.Persist request : ready.persists) {
-                request.entries().forEach(entry -> checks.onEntry(id, raft, entry));
+                request.entries().forEach(entry -> safetyChecks.onEntry(id, raft, entry));
                 if (disk.enqueue(request)) {
                     flush();
                 }
@@ -178,7 +178,7 @@
             if (ready.install() != null) {
                 state = decode(ready.install().data());
                 applied = ready.install().index();
-                checks.onInstall(id, applied, state);
+                safetyChecks.onInstall(id, applied, state);
             }
             ready.committed.forEach(this::apply);
             for (Ready.ReadReady read : ready.reads) {
@@ -222,7 +222,7 @@
             SafetyChecks.check(
                     entry.index() == applied + 1,
                     id + " applies entry " + entry.index() + " after " + applied);
-            checks.onApply(id, raft, entry);
+            safetyChecks.onApply(id, raft, entry);
             applied = entry.index();
             digest.add(now + " " + id + " applies " + entry.index() + " of term " + entry.term());
             String text = new String(entry.data(), StandardCharsets.UTF_8);
@@ -231,9 +231,9 @@
                 state = new TreeMap<>(state);
                 state.put(keyAndValue[0], keyAndValue[1]);
             }
-            checks.onState(applied, state);
+            safetyChecks.onState(applied, state);
             answerWrite(entry, text);
-            if (applied - disk.snapshot().index() > conditions.network().compactEvery()) {
+            if (applied - disk.snapshot().index() > conditions.rates().compactEvery()) {
                 raft.compact(applied, encode(state));
             }
         }
@@ -252,7 +252,7 @@
         }
 
         private void checkLeader() {
-            if (!checks.onLeader(id, raft)) {
+            if (!safetyChecks.onLeader(id, raft)) {
                 return;
             }
             leadersSeen++;
@@ -276,7 +276,7 @@
                     Comparator.comparingLong(Event::time).thenComparingLong(Event::order));
     private final Map<String, Node> nodes = new TreeMap<>();
     private final Set<String> cutLinks = new HashSet<>();
-    private final SafetyChecks checks = new SafetyChecks();
+    private final SafetyChecks safetyChecks = new SafetyChecks();
     private final ArrayDeque<String> trace = new ArrayDeque<>();
     private long now;
     private long nextOrder;
@@ -357,7 +357,7 @@
 
     private void send(Message message) {
         if (cutLinks.contains(message.from() + message.to())
-                || random.nextInt(100) < conditions.network().lossPercent()) {
+                || random.nextInt(100) < conditions.rates().lossPercent()) {
             return;
         }
         int copies = random.nextInt(50) == 0 ? 2 : 1;
--- a/src/test/java/reeldeal/consensus/LogReplicationTest.java
+++ b/src/test/java/reeldeal/consensus/LogReplicationTest.java
@@ -9,7 +9,7 @@
 
 /** Tests how a follower handles append requests and how a leader handles the responses. */
 public class LogReplicationTest {
-    private static final byte[] NONE = new byte[0];
+    private static final byte[] NO_DATA = new byte[0];
 
     private final RaftNode follower =
             new RaftNode(
@@ -19,7 +19,7 @@
                     bound -> 0);
 
     private static Entry entry(long index, long term) {
-        return new Entry(index, term, NONE, null);
+        return new Entry(index, term, NO_DATA, null);
     }
 
     private Ready append(long term, long prevIndex, long prevTerm, long commit, Entry... entries) {
@@ -67,7 +67,7 @@
     public void aFollowerThatLostAcknowledgedEntriesIsReported() {
         ReliableGroup group = new ReliableGroup(RaftNode.Settings.DEFAULT);
         RaftNode leader = group.electLeader();
-        leader.propose(NONE);
+        leader.propose(NO_DATA);
         group.deliver();
         long last = leader.lastIndex();
         leader.receive(new Message.AppendResponse("b", "a", leader.term(), false, last, 0, 0));
@@ -84,7 +84,7 @@
      * rounds.
      */
     private static void loseRequest(RaftNode leader) {
-        leader.propose(NONE);
+        leader.propose(NO_DATA);
         leader.takeReady();
         for (long round = 1; round <= 2; round++) {
             leader.tick();
--- a/src/test/java/reeldeal/consensus/RaftLogTest.java
+++ b/src/test/java/reeldeal/consensus/RaftLogTest.java
@@ -11,16 +11,16 @@
 
 /** Tests which entries a log delivers, keeps and writes to disk. */
 public class RaftLogTest {
-    private static final byte[] NONE = new byte[0];
+    private static final byte[] NO_DATA = new byte[0];
     private static final GroupConfiguration FIRST_CONFIGURATION =
             GroupConfiguration.of("a", "b", "c");
 
     private final Outbox outbox = new Outbox();
     private final RaftLog log =
-            new RaftLog(new Snapshot(0, 0, FIRST_CONFIGURATION, NONE), List.of(), outbox);
+            new RaftLog(new Snapshot(0, 0, FIRST_CONFIGURATION, NO_DATA), List.of(), outbox);
 
     private static Entry entry(long index, long term) {
-        return new Entry(index, term, NONE, null);
+        return new Entry(index, term, NO_DATA, null);
     }
 
     private void append(long... terms) {
@@ -71,8 +71,8 @@
     public void onlyDeliveredEntriesAreCompacted() {
         append(1, 1, 1);
         log.commitTo(2);
-        assertFalse(log.compact(3, NONE));
-        assertTrue(log.compact(2, NONE));
+        assertFalse(log.compact(3, NO_DATA));
+        assertTrue(log.compact(2, NO_DATA));
         assertEquals(2, log.snapshotIndex());
         assertEquals(-1, log.termAt(1));
         assertEquals(1, log.termAt(3));
@@ -81,7 +81,7 @@
     @Test
     public void aSnapshotOfTheSameHistoryKeepsTheEntriesAfterIt() {
         append(1, 1, 1);
-        log.install(new Snapshot(2, 1, FIRST_CONFIGURATION, NONE));
+        log.install(new Snapshot(2, 1, FIRST_CONFIGURATION, NO_DATA));
         assertEquals(3, log.lastIndex());
         assertFalse(log.takeUnsaved(1, 1, null).discardsLog());
     }
@@ -89,7 +89,7 @@
     @Test
     public void aSnapshotOfAnotherHistoryDiscardsTheLog() {
         append(1, 1, 1);
-        Snapshot received = new Snapshot(2, 7, FIRST_CONFIGURATION, NONE);
+        Snapshot received = new Snapshot(2, 7, FIRST_CONFIGURATION, NO_DATA);
         log.install(received);
         assertEquals(2, log.lastIndex());
         assertTrue(log.takeUnsaved(1, 7, null).discardsLog());
@@ -99,7 +99,7 @@
     @Test
     public void theLatestConfigurationInTheLogApplies() {
         GroupConfiguration changed = FIRST_CONFIGURATION.withLearner("d");
-        log.append(new Entry(1, 1, NONE, changed));
+        log.append(new Entry(1, 1, NO_DATA, changed));
         append(1);
         assertSame(changed, log.configuration());
         assertEquals(1, log.configurationIndex());
--- a/src/test/java/reeldeal/consensus/SimulatedConditions.java
+++ b/src/test/java/reeldeal/consensus/SimulatedConditions.java
@@ -13,7 +13,7 @@
  *     rely on accurate clocks
  * @param slowDisks whether some disk requests are slow
  * @param longDelays whether some messages are delayed for long
- * @param network how many messages are lost and how often nodes compact their logs
+ * @param rates how many messages are lost and how often nodes compact their logs
  */
 record SimulatedConditions(
         boolean leaderStorm,
@@ -22,7 +22,7 @@
         boolean clockJumps,
         boolean slowDisks,
         boolean longDelays,
-        Rates network) {
+        Rates rates) {
 
     /**
      * The percentage of lost messages, and the number of entries after which a node compacts its
--- a/src/test/java/reeldeal/storage/DataDirectoryTest.java
+++ b/src/test/java/reeldeal/storage/DataDirectoryTest.java
@@ -28,19 +28,20 @@
  * Tests how a data directory survives power failures, truncated files, changed bits and full disks.
  */
 public class DataDirectoryTest {
-    private static final GroupConfiguration FIRST = GroupConfiguration.of("a", "b", "c");
+    private static final GroupConfiguration FIRST_CONFIGURATION =
+            GroupConfiguration.of("a", "b", "c");
     private static final long ANY_INDEX = Long.MAX_VALUE;
 
-    private Path base;
+    private Path baseDirectory;
 
     @Before
     public void createDirectory() throws IOException {
-        base = Files.createTempDirectory("folder");
+        baseDirectory = Files.createTempDirectory("folder");
     }
 
     @After
     public void deleteDirectory() throws IOException {
-        delete(base);
+        delete(baseDirectory);
     }
 
     private static void delete(Path path) throws IOException {
@@ -75,7 +76,7 @@
                 term,
                 ("value " + index + " of " + term + "x".repeat((int) (index * 7 % 40)))
                         .getBytes(StandardCharsets.UTF_8),
-                index % 5 == 0 ? FIRST.withLearner("d" + index) : null);
+                index % 5 == 0 ? FIRST_CONFIGURATION.withLearner("d" + index) : null);
     }
 
     private static Persist append(long term, long from, long to) {
@@ -96,7 +97,7 @@
     }
 
     private static DataDirectory open(Path path, int segmentBytes) throws IOException {
-        return DataDirectory.open(path, "a", FIRST, segmentBytes);
+        return DataDirectory.open(path, "a", FIRST_CONFIGURATION, segmentBytes);
     }
 
     private static RaftNode.PersistentState read(Path path, int segmentBytes) throws IOException {
@@ -128,12 +129,12 @@
 
     @Test
     public void writtenEntriesAreReadAgain() throws IOException {
-        try (DataDirectory directory = open(base, 300)) {
+        try (DataDirectory directory = open(baseDirectory, 300)) {
             directory.write(List.of(append(1, 1, 20)));
             directory.write(List.of(append(2, 15, 22), append(3, 23, 23)));
             assertTrue("several files", directory.logSize().files() > 4);
         }
-        RaftNode.PersistentState state = read(base, 300);
+        RaftNode.PersistentState state = read(baseDirectory, 300);
         assertEquals(23, state.entries().size());
         assertEquals(1, state.entries().get(13).term());
         assertEquals("replaced from index 15 on", 2, state.entries().get(14).term());
@@ -142,46 +143,54 @@
 
     @Test
     public void aSnapshotReplacesTheEntriesUpToItsIndex() throws IOException {
-        write(base, 300, append(1, 1, 20), append(2, 15, 23));
-        write(base, 300, snapshot(3, null, new Snapshot(20, 2, FIRST, new byte[] {1, 2})));
-        assertEquals(20, read(base, 300).snapshot().index());
-        assertEquals(3, read(base, 300).entries().size());
+        write(baseDirectory, 300, append(1, 1, 20), append(2, 15, 23));
+        write(
+                baseDirectory,
+                300,
+                snapshot(3, null, new Snapshot(20, 2, FIRST_CONFIGURATION, new byte[] {1, 2})));
+        assertEquals(20, read(baseDirectory, 300).snapshot().index());
+        assertEquals(3, read(baseDirectory, 300).entries().size());
     }
 
     @Test
     public void aReplacedLogContinuesAfterTheSnapshot() throws IOException {
-        write(base, 300, append(1, 1, 23));
+        write(baseDirectory, 300, append(1, 1, 23));
         write(
-                base,
+                baseDirectory,
                 300,
-                replacement(4, null, new Snapshot(50, 4, FIRST, new byte[3])),
+                replacement(4, null, new Snapshot(50, 4, FIRST_CONFIGURATION, new byte[3])),
                 append(4, 51, 52));
-        assertTrue(describe(base, 300).startsWith("4 a 50"));
-        assertTrue(describe(base, 300).contains("\n51 4"));
+        assertTrue(describe(baseDirectory, 300).startsWith("4 a 50"));
+        assertTrue(describe(baseDirectory, 300).contains("\n51 4"));
     }
 
     @Test
     public void aDirectoryCannotBeOpenedTwice() throws IOException {
-        try (DataDirectory directory = open(base, 300)) {
+        try (DataDirectory directory = open(baseDirectory, 300)) {
             directory.write(List.of(append(1, 1, 1)));
-            assertThrows(IOException.class, () -> open(base, 300));
+            assertThrows(IOException.class, () -> open(baseDirectory, 300));
         }
     }
 
     @Test
     public void anotherNodesDirectoryIsRejected() throws IOException {
-        write(base, 300, append(1, 1, 1));
+        write(baseDirectory, 300, append(1, 1, 1));
         String message =
-                assertThrows(IOException.class, () -> DataDirectory.open(base, "b", FIRST, 300))
+                assertThrows(
+                                IOException.class,
+                                () ->
+                                        DataDirectory.open(
+                                                baseDirectory, "b", FIRST_CONFIGURATION, 300))
                         .getMessage();
         assertTrue(message, message.contains("belongs to node a, not b"));
     }
 
     @Test
     public void anotherVersionsDirectoryIsRejected() throws IOException {
-        write(base, 300, append(1, 1, 1));
-        Files.writeString(base.resolve("FORMAT"), "reeldeal-store 9\na\n");
-        String message = assertThrows(IOException.class, () -> open(base, 300)).getMessage();
+        write(baseDirectory, 300, append(1, 1, 1));
+        Files.writeString(baseDirectory.resolve("FORMAT"), "reeldeal-store 9\na\n");
+        String message =
+                assertThrows(IOException.class, () -> open(baseDirectory, 300)).getMessage();
         assertTrue(message, message.contains("another version"));
     }
 
@@ -192,19 +201,19 @@
     @Test
     public void aTruncationThatLosesAcknowledgedEntriesIsDetected() throws IOException {
         int segmentBytes = 1 << 20;
-        Path before = base.resolve("before");
+        Path before = baseDirectory.resolve("before");
         write(before, segmentBytes, append(1, 1, 6));
         String acknowledged = describe(before, segmentBytes);
         Path log = before.resolve("log-0-1");
         long acknowledgedBytes = Files.size(log);
-        Path mark = Files.copy(before.resolve("mark"), base.resolve("mark"));
+        Path mark = Files.copy(before.resolve("mark"), baseDirectory.resolve("mark"));
         write(before, segmentBytes, append(1, 7, 10));
         String complete = describe(before, segmentBytes);
         byte[] bytes = Files.readAllBytes(log);
         int rejected = 0;
         for (int cut = 0; cut < bytes.length; cut++) {
             String message = "cut at " + cut;
-            Path copy = copy(before, base.resolve("cut" + cut));
+            Path copy = copy(before, baseDirectory.resolve("cut" + cut));
             Files.write(copy.resolve("log-0-1"), Arrays.copyOf(bytes, cut));
             // The mark covers all ten entries, so the truncated log has lost some.
             assertThrows(message, CorruptDataException.class, () -> open(copy, segmentBytes));
@@ -224,11 +233,11 @@
 
     @Test
     public void aChangedBitIsDetectedAndItsFileIsNamed() throws IOException {
-        write(base, 400, append(1, 1, 6));
-        write(base, 400, append(1, 7, 12));
-        String original = describe(base, 400);
-        List<Path> files = new ArrayList<>(logFiles(base));
-        files.add(base.resolve("promise"));
+        write(baseDirectory, 400, append(1, 1, 6));
+        write(baseDirectory, 400, append(1, 7, 12));
+        String original = describe(baseDirectory, 400);
+        List<Path> files = new ArrayList<>(logFiles(baseDirectory));
+        files.add(baseDirectory.resolve("promise"));
         int rejected = 0;
         int changes = 0;
         for (Path file : files) {
@@ -239,7 +248,7 @@
                 Files.write(file, changed);
                 changes++;
                 try {
-                    assertEquals(file + " " + i, original, describe(base, 400));
+                    assertEquals(file + " " + i, original, describe(baseDirectory, 400));
                 } catch (CorruptDataException e) {
                     rejected++;
                     assertTrue(
@@ -262,13 +271,13 @@
     public void aPowerFailureLeavesAStateThatWasWritten() throws IOException {
         for (long seed = 0; seed < 120; seed++) {
             Random random = new Random(seed);
-            Path directory = base.resolve("p" + seed);
+            Path directory = baseDirectory.resolve("p" + seed);
             long last = 1L + random.nextInt(12);
             write(directory, 600, append(1, 1, last));
             String first = describe(directory, 600);
-            Path before = copy(directory, base.resolve("b" + seed));
+            Path before = copy(directory, baseDirectory.resolve("b" + seed));
             if (random.nextInt(3) == 0) {
-                Snapshot snapshot = new Snapshot(last, 1, FIRST, new byte[900]);
+                Snapshot snapshot = new Snapshot(last, 1, FIRST_CONFIGURATION, new byte[900]);
                 boolean replaces = random.nextBoolean();
                 write(
                         directory,
@@ -336,10 +345,13 @@
 
     @Test
     public void aCrashWhileTheLogIsReplacedLeavesNoOldEntryAfterTheSnapshot() throws IOException {
-        Path directory = base.resolve("f");
+        Path directory = baseDirectory.resolve("f");
         write(directory, 300, append(1, 1, 20));
-        Path oldDirectory = copy(directory, base.resolve("old"));
-        write(directory, 300, replacement(2, "b", new Snapshot(10, 2, FIRST, new byte[5])));
+        Path oldDirectory = copy(directory, baseDirectory.resolve("old"));
+        write(
+                directory,
+                300,
+                replacement(2, "b", new Snapshot(10, 2, FIRST_CONFIGURATION, new byte[5])));
         // The snapshot is renamed, but the old log files are not deleted yet.
         for (Path file : logFiles(oldDirectory)) {
             Files.copy(file, directory.resolve(file.getFileName()));
@@ -357,7 +369,7 @@
     public void aFullDiskStopsWritesAndLosesNothing() throws IOException {
         int completeRuns = 0;
         for (int freeBytes = 0; freeBytes < 2_600; freeBytes += 13) {
-            Path directory = base.resolve("full" + freeBytes);
+            Path directory = baseDirectory.resolve("full" + freeBytes);
             Acknowledged acknowledged = writeUntilFull(directory, freeBytes);
             RaftNode.PersistentState state = read(directory, 500);
             long last = state.snapshot().index() + state.entries().size();
@@ -386,7 +398,11 @@
                     lastIndex = 3L * i + 3;
                 }
                 directory.write(
-                        List.of(snapshot(1, "a", new Snapshot(12, 1, FIRST, new byte[400]))));
+                        List.of(
+                                snapshot(
+                                        1,
+                                        "a",
+                                        new Snapshot(12, 1, FIRST_CONFIGURATION, new byte[400]))));
                 snapshotIndex = 12;
             } catch (IOException e) {
                 failure = e;
@@ -404,15 +420,20 @@
 
     @Test
     public void aPreparedSnapshotIsUsedOnlyForItsOwnRequest() throws IOException {
-        Snapshot prepared = new Snapshot(6, 1, FIRST, new byte[100]);
-        try (DataDirectory directory = open(base, 300)) {
+        Snapshot prepared = new Snapshot(6, 1, FIRST_CONFIGURATION, new byte[100]);
+        try (DataDirectory directory = open(baseDirectory, 300)) {
             directory.write(List.of(append(1, 1, 10)));
             directory.prepare(prepared);
             directory.write(List.of(snapshot(1, "a", prepared)));
-            directory.prepare(new Snapshot(8, 1, FIRST, new byte[100]));
-            directory.write(List.of(snapshot(1, "a", new Snapshot(9, 1, FIRST, new byte[50]))));
+            directory.prepare(new Snapshot(8, 1, FIRST_CONFIGURATION, new byte[100]));
+            directory.write(
+                    List.of(
+                            snapshot(
+                                    1,
+                                    "a",
+                                    new Snapshot(9, 1, FIRST_CONFIGURATION, new byte[50]))));
         }
-        RaftNode.PersistentState state = read(base, 300);
+        RaftNode.PersistentState state = read(baseDirectory, 300);
         assertEquals(9, state.snapshot().index());
         assertEquals(50, state.snapshot().data().length);
         assertEquals(1, state.entries().size());
