--- a/src/main/java/reeldeal/consensus/RaftNode.java
+++ b/src/main/java/reeldeal/consensus/RaftNode.java
@@ -188,7 +188,7 @@
         return log.durableIndex();
     }
 
-    /** Whether this node leads and its commit index covers all entries of earlier terms. */
+    /** Whether this node leads and has committed all entries committed in earlier terms. */
     public boolean hasQuorumLease() {
         return election.isLeader() && context.committedInCurrentTerm();
     }
