--- a/src/main/java/reeldeal/consensus/LogReplication.java
+++ b/src/main/java/reeldeal/consensus/LogReplication.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** Replicates a leader's log to its followers, and takes a leader's entries on a follower. */
+/**
+ * Replicates a leader's log to its followers and, on a follower, stores the entries that a leader
+ * sends.
+ */
 final class LogReplication {
     private final RaftContext context;
     private final RaftLog log;
@@ -25,7 +28,10 @@
 
     // ---- leader ----
 
-    /** Appends an entry of the current term; {@code configuration} is null if it changes none. */
+    /**
+     * Appends an entry of the current term and returns its index. {@code configuration} is null if
+     * the entry does not change the group.
+     */
     long append(byte[] data, GroupConfiguration configuration) {
         Entry entry = new Entry(log.lastIndex() + 1, context.term(), data, configuration);
         log.append(entry);
@@ -36,19 +42,23 @@
         tracker.forEach(this::send);
     }
 
-    /** Sends a follower what it lacks, as far as its window allows. */
+    /**
+     * Sends a follower the entries that it lacks, as far as its window of unanswered requests
+     * allows. Starts a snapshot transfer if the next entry is already compacted.
+     */
     void send(String node, PeerProgress peer) {
         if (peer.snapshot != null) {
             return;
         }
         while (peer.maySend(context.settings().window())) {
             long prevLogIndex = peer.nextIndex - 1;
-            long prevLogTerm = log.term(prevLogIndex);
+            long prevLogTerm = log.termAt(prevLogIndex);
             if (prevLogTerm < 0) {
                 snapshots.start(node, peer);
                 return;
             }
-            List<Entry> entries = log.from(peer.nextIndex, context.settings().messageBytes());
+            List<Entry> entries =
+                    log.entriesFrom(peer.nextIndex, context.settings().messageBytes());
             if (entries.isEmpty()) {
                 return;
             }
@@ -62,50 +72,58 @@
                                     prevLogTerm,
                                     entries,
                                     log.commitIndex()));
-            peer.sent(entries.size());
+            peer.onRequestSent(entries.size());
         }
     }
 
-    /** A follower rejected entries: goes back to where the logs may agree. */
+    /**
+     * Handles a rejected append request: goes back to an index at which the two logs may match, and
+     * sends from there.
+     */
     void onRejection(Message.AppendResponse message, PeerProgress peer) {
         if (peer.isStaleRejection(message.index())) {
             return;
         }
         reportLostEntries(message, peer);
-        long next = Math.min(message.index(), message.hintIndex() + 1);
-        // The follower's log may hold more of an old term than this one: go back to where this one
-        // has no later term.
-        while (next - 1 > peer.matchIndex && log.term(next - 1) > message.hintTerm()) {
-            next--;
+        long nextIndex = Math.min(message.index(), message.hintIndex() + 1);
+        // The follower's log may have more entries of an old term than the leader's log. Go back to
+        // an entry of the leader whose term is not later than that of the hint.
+        while (nextIndex - 1 > peer.matchIndex && log.termAt(nextIndex - 1) > message.hintTerm()) {
+            nextIndex--;
         }
-        peer.probeFrom(Math.max(peer.matchIndex + 1, next));
+        peer.probeFrom(Math.max(peer.matchIndex + 1, nextIndex));
         send(message.from(), peer);
     }
 
     /**
-     * A follower that lacks what it has acknowledged has a disk that lied or a folder that was put
-     * back. It must not be helped to vote again as if nothing had happened.
+     * Logs once that a follower lacks entries that it has acknowledged: its disk did not keep
+     * flushed data, or its data directory was restored from an old copy. Such a node must not go on
+     * voting as if nothing had happened.
      */
     private void reportLostEntries(Message.AppendResponse message, PeerProgress peer) {
         if (message.index() == peer.matchIndex
                 && message.hintIndex() < peer.matchIndex
-                && !peer.lostEntries) {
-            peer.lostEntries = true;
+                && !peer.lostEntriesReported) {
+            peer.lostEntriesReported = true;
             context.outbox()
-                    .note(
+                    .logLine(
                             message.from()
-                                    + " has lost entries that it had acknowledged, up to "
+                                    + " has lost entries that it had acknowledged, up to index "
                                     + peer.matchIndex
-                                    + "; take it out of the group and add it under a new name");
+                                    + "; remove it from the group and add it again"
+                                    + " under a new name");
         }
     }
 
-    /** A follower has the log up to an index on its disk. */
+    /** Records that a follower has the log up to an index on its disk. */
     void onAcknowledgement(Message.AppendResponse message, PeerProgress peer) {
-        peer.acknowledged(Math.min(message.index(), log.lastIndex()));
+        peer.onAcknowledged(Math.min(message.index(), log.lastIndex()));
     }
 
-    /** Commits what a majority has on disk (thesis, section 3.6); false if that is no more. */
+    /**
+     * Commits the entries that a majority has on disk (thesis, section 3.6). Returns false if the
+     * commit index did not advance.
+     */
     boolean advanceCommitIndex() {
         GroupConfiguration configuration = context.configuration();
         long index =
@@ -114,20 +132,25 @@
                         configuration.voters(),
                         log.durableIndex());
         if (index <= log.commitIndex()
-                || !context.rules().mayCommit(log.term(index), context.term())) {
+                || !context.rules().mayCommit(log.termAt(index), context.term())) {
             return false;
         }
         log.commitTo(index);
         return true;
     }
 
-    /** Has a follower learn of the commit of an entry without waiting for the next message. */
-    void prioritize(String node, PeerProgress peer, long index) {
+    /**
+     * Notifies a follower of the commit of an entry without waiting for the next regular message.
+     */
+    void prioritizeCommit(String node, PeerProgress peer, long index) {
         peer.urgentCommitIndex = Math.max(peer.urgentCommitIndex, index);
         sendUrgentCommit(node, peer);
     }
 
-    /** Sends a heartbeat if the follower has the committed entry that it waits for. */
+    /**
+     * Sends a heartbeat with the commit index if the entry that the follower waits for is committed
+     * and in its log.
+     */
     void sendUrgentCommit(String node, PeerProgress peer) {
         if (peer.urgentCommitIndex > 0
                 && peer.urgentCommitIndex <= Math.min(log.commitIndex(), peer.matchIndex)) {
@@ -136,8 +159,10 @@
         }
     }
 
-    /** After an answered heartbeat round: sends again what may be lost. */
-    void resume(String node, PeerProgress peer) {
+    /**
+     * Retransmits, after a follower has answered a new heartbeat round, messages that may be lost.
+     */
+    void retransmit(String node, PeerProgress peer) {
         if (peer.snapshot != null) {
             snapshots.sendChunk(node, peer);
         } else {
@@ -148,29 +173,29 @@
 
     // ---- follower ----
 
-    /** Takes entries that follow one which this log has, and rejects others. */
+    /** Stores entries that directly follow an entry of this log, and rejects others. */
     void onAppendRequest(Message.AppendRequest message) {
         if (message.prevLogIndex() < log.commitIndex()) {
             context.acknowledge(message.from(), log.commitIndex());
             return;
         }
-        if (!context.rules().matches(log, message.prevLogIndex(), message.prevLogTerm())) {
+        if (!context.rules().logMatches(log, message.prevLogIndex(), message.prevLogTerm())) {
             reject(message);
             return;
         }
-        long last = message.prevLogIndex();
+        long lastIndex = message.prevLogIndex();
         for (Entry entry : message.entries()) {
-            last = entry.index();
-            store(entry);
+            lastIndex = entry.index();
+            storeEntry(entry);
         }
-        context.membership().reloadIfMoved();
-        context.acknowledge(message.from(), last);
-        log.commitTo(Math.min(message.leaderCommit(), last));
+        context.membership().reloadIfChanged();
+        context.acknowledge(message.from(), lastIndex);
+        log.commitTo(Math.min(message.leaderCommit(), lastIndex));
     }
 
-    private void store(Entry entry) {
+    private void storeEntry(Entry entry) {
         if (entry.index() <= log.lastIndex()) {
-            if (log.term(entry.index()) == entry.term()) {
+            if (log.termAt(entry.index()) == entry.term()) {
                 return;
             }
             if (entry.index() <= log.commitIndex()) {
@@ -178,7 +203,7 @@
                         context.id()
                                 + ": entry "
                                 + entry.index()
-                                + " is committed and would change");
+                                + " is committed, but the leader sent a different one");
             }
             log.truncateFrom(entry.index());
         }
@@ -188,10 +213,13 @@
         }
     }
 
-    /** Hints where the logs may agree: at or before this, in no later term (section 3.5). */
+    /**
+     * Rejects an append request with a hint: the last index at which the logs may match, whose term
+     * is not later than that of the leader's previous entry (thesis, section 3.5).
+     */
     private void reject(Message.AppendRequest message) {
         long hint = Math.min(message.prevLogIndex(), log.lastIndex());
-        while (hint > log.snapshotIndex() && log.term(hint) > message.prevLogTerm()) {
+        while (hint > log.snapshotIndex() && log.termAt(hint) > message.prevLogTerm()) {
             hint--;
         }
         context.outbox()
@@ -203,7 +231,7 @@
                                 false,
                                 message.prevLogIndex(),
                                 hint,
-                                log.term(hint)));
+                                log.termAt(hint)));
     }
 
     void onHeartbeat(Message.Heartbeat message) {
@@ -215,13 +243,19 @@
                                 context.id(), message.from(), context.term(), message.round()));
     }
 
-    /** Whether this log has all that was committed at the leader's last heartbeat. */
+    /**
+     * Whether this node has committed every entry that was committed at the leader's last
+     * heartbeat.
+     */
     boolean hasCaughtUp() {
         return log.commitIndex() >= leaderCommitIndex;
     }
 
-    /** Forgets the last leader's commit index, until the next one sends its own. */
-    void forgetLeaderCommitIndex() {
+    /**
+     * Clears the commit index of the previous leader; this node has not caught up until the next
+     * leader sends its own.
+     */
+    void clearLeaderCommitIndex() {
         leaderCommitIndex = Long.MAX_VALUE;
     }
 }
--- a/src/main/java/reeldeal/consensus/Outbox.java
+++ b/src/main/java/reeldeal/consensus/Outbox.java
@@ -12,29 +12,32 @@
         ready.persists.add(request);
     }
 
-    void commit(Entry entry) {
+    void deliver(Entry entry) {
         ready.committed.add(entry);
     }
 
-    /** Has a snapshot replace the state, and with it the entries not yet taken. */
+    /**
+     * Outputs a snapshot that replaces the state, and drops committed entries not yet taken, which
+     * it includes.
+     */
     void install(Snapshot snapshot) {
         ready.committed.clear();
         ready.install = snapshot;
     }
 
-    void readReady(long read, long index) {
-        ready.reads.add(new Ready.ReadReady(read, index));
+    void readReady(long readId, long index) {
+        ready.reads.add(new Ready.ReadReady(readId, index));
     }
 
-    void readFailed(long read) {
-        ready.failedReads.add(read);
+    void readFailed(long readId) {
+        ready.failedReads.add(readId);
     }
 
-    void note(String line) {
+    void logLine(String line) {
         ready.notes.add(line);
     }
 
-    /** The output since the last call. */
+    /** Returns the output collected since the last call. */
     Ready take() {
         Ready taken = ready;
         ready = new Ready();
--- a/src/main/java/reeldeal/consensus/ProgressTracker.java
+++ b/src/main/java/reeldeal/consensus/ProgressTracker.java
@@ -6,7 +6,10 @@
 import java.util.function.BiConsumer;
 import java.util.function.ToLongFunction;
 
-/** The progress of all other members, as their leader knows it. Of no meaning on a follower. */
+/**
+ * Records the progress of all other members on the leader. On a follower the content is
+ * meaningless.
+ */
 final class ProgressTracker {
     private final String id;
     private final Map<String, PeerProgress> peers = new TreeMap<>();
@@ -15,13 +18,19 @@
         this.id = id;
     }
 
-    /** Begins a term of leadership: nothing is known, all is sent from {@code nextIndex} on. */
+    /**
+     * Discards all progress at the start of a leader's term; every member is sent entries from
+     * {@code nextIndex} on.
+     */
     void reset(GroupConfiguration configuration, long nextIndex) {
         peers.clear();
         reconcile(configuration, nextIndex);
     }
 
-    /** Adds members that are new, to be sent entries from {@code nextIndex} on; drops removed. */
+    /**
+     * Adds new members, which are sent entries from {@code nextIndex} on, and drops removed
+     * members.
+     */
     void reconcile(GroupConfiguration configuration, long nextIndex) {
         Set<String> members = configuration.all();
         peers.keySet().retainAll(members);
@@ -29,14 +38,14 @@
             if (!node.equals(id) && !peers.containsKey(node)) {
                 PeerProgress peer = new PeerProgress();
                 peer.nextIndex = nextIndex;
-                peer.heardSinceCheck = true; // it has until the next quorum check
+                peer.activeSinceCheck = true; // counts as active until the next quorum check
                 peers.put(node, peer);
             }
         }
     }
 
-    /** The progress of a member, or null. */
-    PeerProgress of(String node) {
+    /** Returns the progress of a member, or null if there is no such other member. */
+    PeerProgress progressOf(String node) {
         return peers.get(node);
     }
 
@@ -44,31 +53,34 @@
         peers.forEach(action);
     }
 
-    /** The highest index that {@code majority} voters have on disk. */
+    /** Returns the highest index that {@code majority} voters have on disk. */
     long matchIndexOf(int majority, Set<String> voters, long ownIndex) {
-        return reachedBy(majority, voters, ownIndex, peer -> peer.matchIndex);
+        return valueReachedBy(majority, voters, ownIndex, peer -> peer.matchIndex);
     }
 
-    /** The latest heartbeat round that {@code majority} voters have answered. */
+    /** Returns the latest heartbeat round that {@code majority} voters have acknowledged. */
     long roundAcknowledgedBy(int majority, Set<String> voters, long ownRound) {
-        return reachedBy(majority, voters, ownRound, peer -> peer.acknowledgedRound);
+        return valueReachedBy(majority, voters, ownRound, peer -> peer.acknowledgedRound);
     }
 
-    private long reachedBy(
-            int majority, Set<String> voters, long own, ToLongFunction<PeerProgress> value) {
+    private long valueReachedBy(
+            int majority, Set<String> voters, long ownValue, ToLongFunction<PeerProgress> value) {
         long[] values =
                 voters.stream()
-                        .mapToLong(v -> v.equals(id) ? own : value.applyAsLong(peers.get(v)))
+                        .mapToLong(v -> v.equals(id) ? ownValue : value.applyAsLong(peers.get(v)))
                         .sorted()
                         .toArray();
         return values[values.length - majority];
     }
 
-    /** How many voters, this node included, were heard since the last call. */
-    long takeHeard(Set<String> voters) {
-        long heard =
-                voters.stream().filter(v -> v.equals(id) || peers.get(v).heardSinceCheck).count();
-        peers.values().forEach(peer -> peer.heardSinceCheck = false);
-        return heard;
+    /**
+     * Returns how many voters, including this node, have sent a message since the last call, and
+     * starts counting anew.
+     */
+    long countAndResetActiveVoters(Set<String> voters) {
+        long activeVoters =
+                voters.stream().filter(v -> v.equals(id) || peers.get(v).activeSinceCheck).count();
+        peers.values().forEach(peer -> peer.activeSinceCheck = false);
+        return activeVoters;
     }
 }
--- a/src/main/java/reeldeal/consensus/RaftLog.java
+++ b/src/main/java/reeldeal/consensus/RaftLog.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * The log of one node: its latest snapshot and the entries after it, how far they are committed and
- * delivered, how far they are on disk, and which changes the disk has not been given yet.
+ * The log of one node: its latest snapshot and the entries after it, the index up to which they are
+ * committed, delivered and on disk, and the changes for which no disk request was issued yet.
  */
 final class RaftLog {
-    /** Approximate size of an entry without its data, in bytes. */
+    /** The approximate size of an entry without its data, in bytes. */
     private static final int ENTRY_OVERHEAD_BYTES = 32;
 
     private final Outbox outbox;
@@ -21,7 +21,10 @@
     private Snapshot unsavedSnapshot;
     private boolean unsavedReset;
 
-    /** A log with what is on disk; committed entries and snapshots go to {@code outbox}. */
+    /**
+     * Creates a log from the snapshot and entries on disk. Committed entries and installed
+     * snapshots go to {@code outbox}.
+     */
     RaftLog(Snapshot snapshot, List<Entry> entries, Outbox outbox) {
         this.outbox = outbox;
         this.snapshot = snapshot;
@@ -44,20 +47,20 @@
     }
 
     long lastTerm() {
-        return term(lastIndex());
+        return termAt(lastIndex());
     }
 
     long commitIndex() {
         return commitIndex;
     }
 
-    /** The last index that is on this node's disk. */
+    /** Returns the index of the last entry on this node's disk. */
     long durableIndex() {
         return Math.max(durableIndex, snapshot.index());
     }
 
-    /** The term of an entry, or -1 if this log does not have it. */
-    long term(long index) {
+    /** Returns the term of an entry, or -1 if this log does not have the entry. */
+    long termAt(long index) {
         if (index == snapshot.index()) {
             return snapshot.term();
         }
@@ -68,15 +71,18 @@
         return entries.get((int) (index - snapshot.index() - 1));
     }
 
-    /** Entries from an index on, up to about {@code maxBytes}, but at least one if there is one. */
-    List<Entry> from(long index, int maxBytes) {
-        List<Entry> found = new ArrayList<>();
+    /**
+     * Returns entries from an index on, up to about {@code maxBytes}, but at least one entry if the
+     * log has it.
+     */
+    List<Entry> entriesFrom(long index, int maxBytes) {
+        List<Entry> batch = new ArrayList<>();
         int bytes = 0;
-        for (long i = index; i <= lastIndex() && (found.isEmpty() || bytes < maxBytes); i++) {
-            found.add(entry(i));
+        for (long i = index; i <= lastIndex() && (batch.isEmpty() || bytes < maxBytes); i++) {
+            batch.add(entry(i));
             bytes += ENTRY_OVERHEAD_BYTES + entry(i).data().length;
         }
-        return found;
+        return batch;
     }
 
     void append(Entry entry) {
@@ -91,26 +97,35 @@
         durableIndex = Math.min(durableIndex, lastIndex());
     }
 
-    /** Commits up to an index and delivers the entries up to it; an earlier index does nothing. */
+    /**
+     * Advances the commit index and delivers the newly committed entries. Does nothing if the index
+     * is already committed.
+     */
     void commitTo(long index) {
         commitIndex = Math.max(commitIndex, index);
         while (deliveredIndex < commitIndex) {
             deliveredIndex++;
-            outbox.commit(entry(deliveredIndex));
+            outbox.deliver(entry(deliveredIndex));
         }
     }
 
-    /** The snapshot of {@code state} at an index of this log that was delivered. */
+    /**
+     * Returns a snapshot of {@code state} at a delivered index, with the term and configuration at
+     * that index.
+     */
     Snapshot snapshotAt(long index, byte[] state) {
         GroupConfiguration configuration = snapshot.configuration();
         for (long i = snapshotIndex() + 1; i <= index; i++) {
             GroupConfiguration changed = entry(i).configuration();
             configuration = changed == null ? configuration : changed;
         }
-        return new Snapshot(index, term(index), configuration, state);
+        return new Snapshot(index, termAt(index), configuration, state);
     }
 
-    /** Replaces the entries up to an index by a snapshot; false if that is not possible. */
+    /**
+     * Replaces the entries up to an index by a snapshot. Returns false, and changes nothing, if the
+     * index is already compacted or not delivered yet.
+     */
     boolean compact(long index, byte[] state) {
         if (index <= snapshotIndex() || index > deliveredIndex) {
             return false;
@@ -119,9 +134,12 @@
         return true;
     }
 
-    /** Installs the leader's snapshot, and keeps entries after it only if they continue it. */
+    /**
+     * Installs a snapshot received from the leader. Keeps the entries after it only if this log has
+     * the snapshot's last entry with the same term.
+     */
     void install(Snapshot received) {
-        if (term(received.index()) == received.term()) {
+        if (termAt(received.index()) == received.term()) {
             replacePrefix(received);
         } else {
             entries.clear();
@@ -137,13 +155,13 @@
     }
 
     private void replacePrefix(Snapshot replacement) {
-        int covered = (int) Math.min(entries.size(), replacement.index() - snapshot.index());
-        entries.subList(0, covered).clear();
+        int coveredEntries = (int) Math.min(entries.size(), replacement.index() - snapshot.index());
+        entries.subList(0, coveredEntries).clear();
         snapshot = replacement;
         unsavedSnapshot = replacement;
     }
 
-    /** The latest configuration in the log, committed or not. */
+    /** Returns the latest configuration in the log, committed or not. */
     GroupConfiguration configuration() {
         for (int i = entries.size() - 1; i >= 0; i--) {
             if (entries.get(i).configuration() != null) {
@@ -153,7 +171,10 @@
         return snapshot.configuration();
     }
 
-    /** The index of the last entry that changes the configuration, or the snapshot's. */
+    /**
+     * Returns the index of the last entry that changes the configuration, or the snapshot's index
+     * if there is none.
+     */
     long configurationIndex() {
         for (int i = entries.size() - 1; i >= 0; i--) {
             if (entries.get(i).configuration() != null) {
@@ -163,7 +184,7 @@
         return snapshot.index();
     }
 
-    /** Whether there are changes that no disk request covers. */
+    /** Whether there are changes for which no disk request was issued. */
     boolean hasUnsaved() {
         return hasUnsavedEntries() || unsavedSnapshot != null;
     }
@@ -172,17 +193,19 @@
         return unsavedFrom <= lastIndex();
     }
 
-    /** A disk request for all changes since the last one. */
-    Ready.Persist takeUnsaved(long request, long term, String vote) {
-        boolean withEntries = hasUnsavedEntries();
-        long from = withEntries ? Math.max(unsavedFrom, snapshotIndex() + 1) : Long.MAX_VALUE;
+    /**
+     * Returns a disk request for all changes since the last request, and marks them as requested.
+     */
+    Ready.Persist takeUnsaved(long requestNumber, long term, String vote) {
+        boolean hasEntries = hasUnsavedEntries();
+        long firstIndex = hasEntries ? Math.max(unsavedFrom, snapshotIndex() + 1) : Long.MAX_VALUE;
         Ready.Persist persist =
                 new Ready.Persist(
-                        request,
+                        requestNumber,
                         term,
                         vote,
-                        from,
-                        withEntries ? from(from, Integer.MAX_VALUE) : List.of(),
+                        firstIndex,
+                        hasEntries ? entriesFrom(firstIndex, Integer.MAX_VALUE) : List.of(),
                         unsavedSnapshot,
                         unsavedReset);
         unsavedFrom = Long.MAX_VALUE;
@@ -191,9 +214,12 @@
         return persist;
     }
 
-    /** The disk has the log up to this entry, unless the entry was replaced meanwhile. */
+    /**
+     * Records that the log is on disk up to this entry, unless the entry was replaced in the
+     * meantime.
+     */
     void markDurable(long index, long term) {
-        if (term(index) == term) {
+        if (termAt(index) == term) {
             durableIndex = Math.max(durableIndex, index);
         }
     }
--- a/src/main/java/reeldeal/consensus/SnapshotTransfer.java
+++ b/src/main/java/reeldeal/consensus/SnapshotTransfer.java
@@ -2,12 +2,15 @@
 
 import java.util.Arrays;
 
-/** Sends a snapshot in chunks to a follower whose next entry is compacted, and receives one. */
+/**
+ * Sends a snapshot in chunks to a follower whose next entry is already compacted and, on a
+ * follower, assembles the chunks and installs the snapshot.
+ */
 final class SnapshotTransfer {
     private static final byte[] EMPTY = new byte[0];
 
     private final RaftContext context;
-    private byte[] received = EMPTY;
+    private byte[] receivedData = EMPTY;
     private long receivedIndex = -1;
     private long receivedTerm;
 
@@ -15,14 +18,16 @@
         this.context = context;
     }
 
-    /** Begins to send the log's snapshot. */
+    /** Starts to send the log's latest snapshot to a follower. */
     void start(String node, PeerProgress peer) {
         peer.snapshot = context.log().snapshot();
         peer.snapshotOffset = 0;
         sendChunk(node, peer);
     }
 
-    /** Sends the next chunk, again if it was sent before. */
+    /**
+     * Sends the chunk at the offset that the follower has confirmed, even if it was sent before.
+     */
     void sendChunk(String node, PeerProgress peer) {
         Snapshot snapshot = peer.snapshot;
         byte[] data = snapshot.data();
@@ -42,7 +47,7 @@
                                 Arrays.copyOfRange(data, peer.snapshotOffset, end)));
     }
 
-    /** The follower has received so much: sends what follows. */
+    /** Handles a follower's report of the bytes received: sends the next chunk. */
     void onChunkResponse(Message.SnapshotChunkResponse message, PeerProgress peer) {
         if (peer.snapshot != null
                 && peer.snapshot.index() == message.index()
@@ -52,7 +57,7 @@
         }
     }
 
-    /** Takes a chunk on a follower, and installs the snapshot with the last one. */
+    /** Handles a chunk on a follower, and installs the snapshot once the last chunk has arrived. */
     void onChunk(Message.SnapshotChunk message) {
         Message.SnapshotHeader header = message.header();
         long commitIndex = context.log().commitIndex();
@@ -60,8 +65,8 @@
             context.acknowledge(message.from(), commitIndex);
             return;
         }
-        collect(message);
-        if (received.length < header.totalBytes()) {
+        appendChunk(message);
+        if (receivedData.length < header.totalBytes()) {
             context.outbox()
                     .send(
                             new Message.SnapshotChunkResponse(
@@ -69,11 +74,11 @@
                                     message.from(),
                                     context.term(),
                                     header.index(),
-                                    received.length));
+                                    receivedData.length));
             return;
         }
-        byte[] state = received;
-        received = EMPTY;
+        byte[] state = receivedData;
+        receivedData = EMPTY;
         receivedIndex = -1;
         context.log()
                 .install(
@@ -83,17 +88,17 @@
         context.acknowledge(message.from(), header.index());
     }
 
-    private void collect(Message.SnapshotChunk message) {
+    private void appendChunk(Message.SnapshotChunk message) {
         long index = message.header().index();
         if (receivedIndex != index || receivedTerm != message.term() || message.offset() == 0) {
-            received = EMPTY;
+            receivedData = EMPTY;
             receivedIndex = index;
             receivedTerm = message.term();
         }
-        if (message.offset() == received.length) {
-            int before = received.length;
-            received = Arrays.copyOf(received, before + message.data().length);
-            System.arraycopy(message.data(), 0, received, before, message.data().length);
+        if (message.offset() == receivedData.length) {
+            int oldLength = receivedData.length;
+            receivedData = Arrays.copyOf(receivedData, oldLength + message.data().length);
+            System.arraycopy(message.data(), 0, receivedData, oldLength, message.data().length);
         }
     }
 }
--- a/src/main/java/reeldeal/storage/ChecksummedRecords.java
+++ b/src/main/java/reeldeal/storage/ChecksummedRecords.java
@@ -4,30 +4,32 @@
 import java.util.zip.CRC32C;
 
 /**
- * Records of a file: {@code length, header checksum, checksum, bytes}, each checksum a CRC32C.
- * Reading tells three ends apart. A record that extends past the file's end, or of which the part
- * in some sector is zero, was being written when the power failed: a torn tail. One that is
- * complete and yet wrong was changed after it was written: damage, since a sector is written as a
- * unit. So that zeros mean "never written", the bytes are scrambled.
+ * Encodes and decodes the records of a file: {@code length, header checksum, checksum, bytes},
+ * where each checksum is a CRC32C. A read that finds no valid record distinguishes three cases: the
+ * end of the file, a torn tail and damage. A record that extends past the end of the file, or whose
+ * part within some sector is all zeros, was being written when the power failed: a torn tail. A
+ * record that is complete but has a wrong checksum was changed after it was written: damage,
+ * because a sector is written as a unit. The bytes are scrambled so that a run of zeros means
+ * "never written".
  *
- * <p>Pure functions on bytes.
+ * <p>Pure functions of byte arrays.
  */
 final class ChecksummedRecords {
-    /** Size of the three numbers before a record's bytes. */
+    /** The size of the three numbers before a record's bytes. */
     static final int HEADER_BYTES = 12;
 
-    /** The largest record. */
+    /** The maximum size of a record's content. */
     static final int MAX_BYTES = 64 << 20;
 
     private static final int SECTOR_BYTES = 512;
 
-    /** Fewer zeros than this in a sector may be part of what was written. */
+    /** A shorter run of zeros in a sector may be part of the written data. */
     private static final int MIN_ZERO_BYTES = 4;
 
     private static final int LENGTH_MASK = 0x5a5a5a5a;
     private static final int SCRAMBLE_FACTOR = 0x9e3779b1;
 
-    /** What is at an offset. */
+    /** The kinds of content that a read can find at an offset. */
     enum Kind {
         RECORD,
         END,
@@ -35,29 +37,32 @@
         DAMAGED
     }
 
-    /** The result of a read: a record's bytes, or a description of the damage; else null. */
-    record Found(Kind kind, byte[] bytes, String damage) {
-        private static final Found END = new Found(Kind.END, null, null);
-        private static final Found TORN = new Found(Kind.TORN, null, null);
+    /**
+     * The result of a read. {@code bytes} is null unless it found a record, {@code damage} unless
+     * it found damage.
+     */
+    record ReadResult(Kind kind, byte[] bytes, String damage) {
+        private static final ReadResult END = new ReadResult(Kind.END, null, null);
+        private static final ReadResult TORN = new ReadResult(Kind.TORN, null, null);
 
-        private static Found damaged(String damage) {
-            return new Found(Kind.DAMAGED, null, damage);
+        private static ReadResult damaged(String damage) {
+            return new ReadResult(Kind.DAMAGED, null, damage);
         }
     }
 
     private record Header(int length, int headerChecksum, int checksum) {
-        static Header read(byte[] file, int offset) {
-            ByteBuffer in = ByteBuffer.wrap(file, offset, HEADER_BYTES);
+        static Header read(byte[] fileBytes, int offset) {
+            ByteBuffer in = ByteBuffer.wrap(fileBytes, offset, HEADER_BYTES);
             return new Header(in.getInt() ^ LENGTH_MASK, in.getInt(), in.getInt());
         }
 
         boolean isValid() {
             return length >= 0
                     && length <= MAX_BYTES
-                    && headerChecksum == checksumOfHeader(length, checksum);
+                    && headerChecksum == headerChecksumOf(length, checksum);
         }
 
-        /** Where the record ends, if it begins at an offset. */
+        /** Returns the offset at which the record ends if its header is at {@code offset}. */
         long end(int offset) {
             return offset + HEADER_BYTES + (long) length;
         }
@@ -71,11 +76,11 @@
         return (int) crc.getValue();
     }
 
-    private static int checksumOfHeader(int length, int checksum) {
+    private static int headerChecksumOf(int length, int checksum) {
         return checksum(ByteBuffer.allocate(8).putInt(length).putInt(checksum).array(), 0, 8);
     }
 
-    /** Its own inverse. */
+    /** Scrambles bytes; applied twice, it returns the original bytes. */
     private static byte[] scramble(byte[] bytes, int offset, int length) {
         byte[] scrambled = new byte[length];
         for (int i = 0; i < length; i++) {
@@ -84,59 +89,59 @@
         return scrambled;
     }
 
-    /** A record's bytes on disk. */
+    /** Returns a record with these bytes, in the form that is written to disk. */
     static byte[] encode(byte[] bytes) {
         byte[] scrambled = scramble(bytes, 0, bytes.length);
         int checksum = checksum(scrambled, 0, scrambled.length);
         return ByteBuffer.allocate(HEADER_BYTES + bytes.length)
                 .putInt(bytes.length ^ LENGTH_MASK)
-                .putInt(checksumOfHeader(bytes.length, checksum))
+                .putInt(headerChecksumOf(bytes.length, checksum))
                 .putInt(checksum)
                 .put(scrambled)
                 .array();
     }
 
-    /** Whether a valid header is at an offset, of a record that ends within the file. */
-    static boolean beginsAt(byte[] file, int offset) {
-        if (file.length - offset < HEADER_BYTES) {
+    /** Whether there is a valid header at an offset, whose record ends within the file. */
+    static boolean beginsAt(byte[] fileBytes, int offset) {
+        if (fileBytes.length - offset < HEADER_BYTES) {
             return false;
         }
-        Header header = Header.read(file, offset);
-        return header.isValid() && header.end(offset) <= file.length;
+        Header header = Header.read(fileBytes, offset);
+        return header.isValid() && header.end(offset) <= fileBytes.length;
     }
 
-    /** Reads what is at an offset of a file's bytes. */
-    static Found read(byte[] file, int offset) {
-        if (offset == file.length) {
-            return Found.END;
+    /** Reads the record at an offset of a file's bytes, or determines why there is none. */
+    static ReadResult read(byte[] fileBytes, int offset) {
+        if (offset == fileBytes.length) {
+            return ReadResult.END;
         }
-        if (file.length - offset < HEADER_BYTES) {
-            return Found.TORN;
+        if (fileBytes.length - offset < HEADER_BYTES) {
+            return ReadResult.TORN;
         }
-        Header header = Header.read(file, offset);
+        Header header = Header.read(fileBytes, offset);
         int start = offset + HEADER_BYTES;
         if (!header.isValid()) {
-            return hasUnwrittenSector(file, offset, start)
-                    ? Found.TORN
-                    : Found.damaged("a record's head is not as it was written");
+            return hasUnwrittenSector(fileBytes, offset, start)
+                    ? ReadResult.TORN
+                    : ReadResult.damaged("a record's header does not match its checksum");
         }
-        if (header.end(offset) > file.length) {
-            return Found.TORN;
+        if (header.end(offset) > fileBytes.length) {
+            return ReadResult.TORN;
         }
-        if (checksum(file, start, header.length()) != header.checksum()) {
-            return hasUnwrittenSector(file, offset, start + header.length())
-                    ? Found.TORN
-                    : Found.damaged("a record's bytes are not as they were written");
+        if (checksum(fileBytes, start, header.length()) != header.checksum()) {
+            return hasUnwrittenSector(fileBytes, offset, start + header.length())
+                    ? ReadResult.TORN
+                    : ReadResult.damaged("a record's bytes do not match their checksum");
         }
-        return new Found(Kind.RECORD, scramble(file, start, header.length()), null);
+        return new ReadResult(Kind.RECORD, scramble(fileBytes, start, header.length()), null);
     }
 
-    /** Whether all that lies within these bounds of some sector is zero. */
-    private static boolean hasUnwrittenSector(byte[] file, int from, int to) {
+    /** Whether the part of some sector that lies between these offsets is all zeros. */
+    private static boolean hasUnwrittenSector(byte[] fileBytes, int from, int to) {
         int start = from;
         while (start < to) {
             int end = Math.min(to, (start / SECTOR_BYTES + 1) * SECTOR_BYTES);
-            if (end - start >= MIN_ZERO_BYTES && isZero(file, start, end)) {
+            if (end - start >= MIN_ZERO_BYTES && isZero(fileBytes, start, end)) {
                 return true;
             }
             start = end;
--- a/src/main/java/reeldeal/storage/LogSegment.java
+++ b/src/main/java/reeldeal/storage/LogSegment.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import reeldeal.consensus.Entry;
 
-/** One file of the log: its first index, and where each of its entries ends. */
+/** One file of the log, with its first index and the offset at which each of its entries ends. */
 final class LogSegment implements AutoCloseable {
     private final long firstIndex;
     private final Path path;
@@ -25,7 +25,7 @@
         this.channel = FileChannel.open(path, options);
     }
 
-    /** Creates an empty file; its name is not flushed yet. */
+    /** Creates an empty file. The caller must flush the directory for its name to be durable. */
     static LogSegment create(long firstIndex, Path path) throws IOException {
         LogSegment segment =
                 new LogSegment(
@@ -39,7 +39,7 @@
         return segment;
     }
 
-    /** Opens a file to be recovered. */
+    /** Opens an existing file; {@link #recover} must be called before other methods. */
     static LogSegment open(long firstIndex, Path path) throws IOException {
         return new LogSegment(firstIndex, path, StandardOpenOption.READ, StandardOpenOption.WRITE);
     }
@@ -57,75 +57,83 @@
     }
 
     /**
-     * Reads the file and adds its entries after the snapshot to {@code entries}; returns how many
-     * bytes of a torn tail were cut.
+     * Reads the file, truncates a torn tail, and adds the entries after the snapshot to {@code
+     * entries}. Returns how many bytes were truncated.
      *
-     * @param nextFirstIndex where the next file begins, or null
+     * @param nextFirstIndex the first index of the next file, or null for the last file
      */
     long recover(Long nextFirstIndex, long snapshotIndex, List<Entry> entries) throws IOException {
-        byte[] file = Files.readAllBytes(path);
-        checkContinues(snapshotIndex, entries);
+        byte[] fileBytes = Files.readAllBytes(path);
+        checkContiguous(snapshotIndex, entries);
         int offset = 0;
-        ChecksummedRecords.Found found = ChecksummedRecords.read(file, offset);
-        while (found.kind() == ChecksummedRecords.Kind.RECORD) {
-            Entry entry = EntryCodec.decode(found.bytes());
+        ChecksummedRecords.ReadResult result = ChecksummedRecords.read(fileBytes, offset);
+        while (result.kind() == ChecksummedRecords.Kind.RECORD) {
+            Entry entry = EntryCodec.decode(result.bytes());
             if (entry.index() != nextIndex()) {
-                throw corrupt(
+                throw corruptData(
                         offset,
-                        "entry " + entry.index() + " stands where " + nextIndex() + " belongs");
+                        "found entry "
+                                + entry.index()
+                                + " where entry "
+                                + nextIndex()
+                                + " was expected");
             }
-            offset += ChecksummedRecords.HEADER_BYTES + found.bytes().length;
+            offset += ChecksummedRecords.HEADER_BYTES + result.bytes().length;
             entryEnds.add((long) offset);
             if (entry.index() > snapshotIndex) {
                 entries.add(entry);
             }
-            found = ChecksummedRecords.read(file, offset);
+            result = ChecksummedRecords.read(fileBytes, offset);
         }
-        if (found.kind() == ChecksummedRecords.Kind.DAMAGED) {
-            throw corrupt(offset, found.damage());
+        if (result.kind() == ChecksummedRecords.Kind.DAMAGED) {
+            throw corruptData(offset, result.damage());
         }
-        if (found.kind() == ChecksummedRecords.Kind.TORN) {
-            cutTornTail(file, offset, nextFirstIndex);
+        if (result.kind() == ChecksummedRecords.Kind.TORN) {
+            truncateTornTail(fileBytes, offset, nextFirstIndex);
         } else if (nextFirstIndex != null && nextFirstIndex != nextIndex()) {
-            throw corrupt(
+            throw corruptData(
                     offset,
                     "entries from " + nextIndex() + " to " + (nextFirstIndex - 1) + " are missing");
         }
         flushedBytes = offset;
-        return (long) file.length - offset;
+        return (long) fileBytes.length - offset;
     }
 
-    private void checkContinues(long snapshotIndex, List<Entry> entries) throws IOException {
-        boolean continues =
+    private void checkContiguous(long snapshotIndex, List<Entry> entries) throws IOException {
+        boolean isContiguous =
                 entries.isEmpty()
                         ? firstIndex <= snapshotIndex + 1
                         : firstIndex == entries.get(entries.size() - 1).index() + 1;
-        if (!continues) {
-            throw corrupt(0, "entries up to " + (firstIndex - 1) + " are missing");
+        if (!isContiguous) {
+            throw corruptData(0, "entries up to " + (firstIndex - 1) + " are missing");
         }
     }
 
-    private void cutTornTail(byte[] file, int offset, Long nextFirstIndex) throws IOException {
+    private void truncateTornTail(byte[] fileBytes, int offset, Long nextFirstIndex)
+            throws IOException {
         if (nextFirstIndex != null) {
-            throw corrupt(offset, "a record ends early, though another file follows");
+            throw corruptData(offset, "a record is incomplete, but this is not the last log file");
         }
-        if (wasFlushed(file, offset)) {
-            throw corrupt(
+        if (wasFlushed(fileBytes, offset)) {
+            throw corruptData(
                     offset,
-                    "a record ends early, though it was on disk before others were written");
+                    "a record is incomplete, but it was flushed before later records were written");
         }
         channel.truncate(offset);
         channel.force(true);
     }
 
-    /** Whether a later record says that this offset was flushed before that record was written. */
-    private static boolean wasFlushed(byte[] file, int offset) {
-        int lastStart = file.length - ChecksummedRecords.HEADER_BYTES - Long.BYTES;
-        for (int at = offset + 1; at <= lastStart; at++) {
-            if (ChecksummedRecords.beginsAt(file, at)) {
-                ChecksummedRecords.Found found = ChecksummedRecords.read(file, at);
-                if (found.kind() == ChecksummedRecords.Kind.RECORD
-                        && EntryCodec.flushedBytes(found.bytes()) > offset) {
+    /**
+     * Whether a later record in the file states that data beyond this offset was flushed before it.
+     */
+    private static boolean wasFlushed(byte[] fileBytes, int offset) {
+        int lastStart = fileBytes.length - ChecksummedRecords.HEADER_BYTES - Long.BYTES;
+        for (int candidateOffset = offset + 1; candidateOffset <= lastStart; candidateOffset++) {
+            if (ChecksummedRecords.beginsAt(fileBytes, candidateOffset)) {
+                ChecksummedRecords.ReadResult result =
+                        ChecksummedRecords.read(fileBytes, candidateOffset);
+                if (result.kind() == ChecksummedRecords.Kind.RECORD
+                        && EntryCodec.flushedBytes(result.bytes()) > offset) {
                     return true;
                 }
             }
@@ -133,11 +141,14 @@
         return false;
     }
 
-    private CorruptDataException corrupt(long offset, String damage) {
+    private CorruptDataException corruptData(long offset, String damage) {
         return new CorruptDataException(path, offset, damage);
     }
 
-    /** Appends entries, without a flush, until the file has {@code maxBytes}; returns how many. */
+    /**
+     * Appends entries, without a flush, until the file has at least {@code maxBytes}. Returns how
+     * many were appended.
+     */
     int append(DurableFiles files, List<Entry> entries, int maxBytes) throws IOException {
         ByteArrayOutputStream batch = new ByteArrayOutputStream();
         long start = bytes();
@@ -157,10 +168,10 @@
         flushedBytes = bytes();
     }
 
-    /** Removes the entries from an index on, on disk once this returns. */
+    /** Removes the entries from an index on; durable once this returns. */
     void truncateFrom(long index) throws IOException {
-        int kept = (int) Math.max(0, Math.min(entryEnds.size(), index - firstIndex));
-        entryEnds.subList(kept, entryEnds.size()).clear();
+        int keptEntries = (int) Math.max(0, Math.min(entryEnds.size(), index - firstIndex));
+        entryEnds.subList(keptEntries, entryEnds.size()).clear();
         channel.truncate(bytes());
         channel.force(true);
         flushedBytes = bytes();
--- a/src/main/java/reeldeal/storage/SegmentedLog.java
+++ b/src/main/java/reeldeal/storage/SegmentedLog.java
@@ -11,16 +11,16 @@
 import reeldeal.consensus.Entry;
 
 /**
- * The log in files {@code log-EPOCH-INDEX}, each with entries from that index on. Files of an epoch
- * before the snapshot's are not part of it.
+ * The log, stored in files {@code log-EPOCH-INDEX} that each contain the entries from that index
+ * on. Files of an earlier epoch than the snapshot's are not part of the log.
  */
 final class SegmentedLog implements AutoCloseable {
     static final String PREFIX = "log-";
 
-    private record FoundFile(long epoch, long firstIndex, Path path) {
-        static FoundFile of(Path path) {
+    private record SegmentFile(long epoch, long firstIndex, Path path) {
+        static SegmentFile of(Path path) {
             String[] parts = path.getFileName().toString().split("-", -1);
-            return new FoundFile(Long.parseLong(parts[1]), Long.parseLong(parts[2]), path);
+            return new SegmentFile(Long.parseLong(parts[1]), Long.parseLong(parts[2]), path);
         }
     }
 
@@ -29,7 +29,7 @@
     private final TreeMap<Long, LogSegment> segments = new TreeMap<>();
     private final Set<LogSegment> unflushed = new LinkedHashSet<>();
 
-    /** A log that begins a new file once one has {@code segmentBytes}. */
+    /** Creates a log that starts a new file once the last one has {@code segmentBytes}. */
     SegmentedLog(DurableFiles files, int segmentBytes) {
         this.files = files;
         this.segmentBytes = segmentBytes;
@@ -40,53 +40,53 @@
     }
 
     /**
-     * Reads the files of the current epoch and deletes those of earlier ones. Adds the entries
-     * after the snapshot to {@code entries}; returns how many bytes of a torn tail were cut.
+     * Reads the files of the current epoch and deletes those of earlier epochs. Adds the entries
+     * after the snapshot to {@code entries}. Returns how many bytes of a torn tail were truncated.
      */
     long recover(List<Path> logFiles, long epoch, long snapshotIndex, List<Entry> entries)
             throws IOException {
-        TreeMap<Long, Path> current = new TreeMap<>();
+        TreeMap<Long, Path> currentFiles = new TreeMap<>();
         for (Path path : logFiles) {
-            FoundFile file = FoundFile.of(path);
+            SegmentFile file = SegmentFile.of(path);
             if (file.epoch() < epoch) {
                 Files.delete(file.path());
             } else {
-                current.put(file.firstIndex(), file.path());
+                currentFiles.put(file.firstIndex(), file.path());
             }
         }
-        long cutBytes = 0;
-        for (Map.Entry<Long, Path> file : current.entrySet()) {
+        long truncatedBytes = 0;
+        for (Map.Entry<Long, Path> file : currentFiles.entrySet()) {
             LogSegment segment = LogSegment.open(file.getKey(), file.getValue());
             segments.put(file.getKey(), segment);
-            Long nextFirstIndex = current.higherKey(file.getKey());
-            cutBytes += segment.recover(nextFirstIndex, snapshotIndex, entries);
+            Long nextFirstIndex = currentFiles.higherKey(file.getKey());
+            truncatedBytes += segment.recover(nextFirstIndex, snapshotIndex, entries);
         }
-        return cutBytes;
+        return truncatedBytes;
     }
 
-    /** The index after the last entry; Long.MAX_VALUE if there is no file. */
+    /** Returns the index after the last entry, or Long.MAX_VALUE if there is no file. */
     long nextIndex() {
-        return segments.isEmpty() ? Long.MAX_VALUE : last().nextIndex();
+        return segments.isEmpty() ? Long.MAX_VALUE : lastSegment().nextIndex();
     }
 
-    private LogSegment last() {
+    private LogSegment lastSegment() {
         return segments.lastEntry().getValue();
     }
 
-    /** Appends entries, on disk after the next flush. */
+    /** Appends entries; they are durable after the next flush. */
     void append(long epoch, List<Entry> entries) throws IOException {
-        int written = 0;
-        while (written < entries.size()) {
-            long index = entries.get(written).index();
+        int appended = 0;
+        while (appended < entries.size()) {
+            long index = entries.get(appended).index();
             if (segments.isEmpty()
-                    || last().bytes() >= segmentBytes
-                    || last().nextIndex() != index) {
+                    || lastSegment().bytes() >= segmentBytes
+                    || lastSegment().nextIndex() != index) {
                 flush(); // only the last file may have a torn tail
                 beginSegment(epoch, index);
             }
-            LogSegment segment = last();
-            written +=
-                    segment.append(files, entries.subList(written, entries.size()), segmentBytes);
+            LogSegment segment = lastSegment();
+            appended +=
+                    segment.append(files, entries.subList(appended, entries.size()), segmentBytes);
             unflushed.add(segment);
         }
     }
@@ -109,25 +109,28 @@
         unflushed.clear();
     }
 
-    /** Removes the entries from an index on. Later files first: a crash leaves no gap. */
+    /**
+     * Removes the entries from an index on. Deletes later files first, so that a crash leaves no
+     * gap.
+     */
     void truncateFrom(long index) throws IOException {
         while (!segments.isEmpty() && segments.lastKey() >= index) {
-            drop(last());
+            deleteSegment(lastSegment());
             files.flushDirectory();
         }
         if (!segments.isEmpty()) {
-            last().truncateFrom(index);
+            lastSegment().truncateFrom(index);
         }
     }
 
-    /** Deletes the files of which all entries are at or before an index. */
-    void dropThrough(long index) throws IOException {
+    /** Deletes the files whose entries all are at or before an index. */
+    void deleteThrough(long index) throws IOException {
         while (!segments.isEmpty() && segments.firstEntry().getValue().nextIndex() <= index + 1) {
-            drop(segments.firstEntry().getValue());
+            deleteSegment(segments.firstEntry().getValue());
         }
     }
 
-    private void drop(LogSegment segment) throws IOException {
+    private void deleteSegment(LogSegment segment) throws IOException {
         segment.delete();
         segments.remove(segment.firstIndex());
     }
--- a/src/test/java/reeldeal/consensus/LogReplicationTest.java
+++ b/src/test/java/reeldeal/consensus/LogReplicationTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import org.junit.Test;
 
-/** What a follower makes of append requests, and a leader of their answers. */
+/** Tests how a follower handles append requests and how a leader handles the responses. */
 public class LogReplicationTest {
-    private static final byte[] NONE = new byte[0];
+    private static final byte[] NO_DATA = new byte[0];
 
     private final RaftNode follower =
             new RaftNode(
@@ -19,7 +19,7 @@
                     bound -> 0);
 
     private static Entry entry(long index, long term) {
-        return new Entry(index, term, NONE, null);
+        return new Entry(index, term, NO_DATA, null);
     }
 
     private Ready append(long term, long prevIndex, long prevTerm, long commit, Entry... entries) {
@@ -67,21 +67,24 @@
     public void aFollowerThatLostAcknowledgedEntriesIsReported() {
         ReliableGroup group = new ReliableGroup(RaftNode.Settings.DEFAULT);
         RaftNode leader = group.electLeader();
-        leader.propose(NONE);
+        leader.propose(NO_DATA);
         group.deliver();
         long last = leader.lastIndex();
         leader.receive(new Message.AppendResponse("b", "a", leader.term(), false, last, 0, 0));
         assertEquals("a stale rejection is ignored", List.of(), leader.takeReady().notes);
-        stall(leader);
+        loseRequest(leader);
         leader.receive(new Message.AppendResponse("b", "a", leader.term(), false, last, 0, 0));
         List<String> notes = leader.takeReady().notes;
         assertEquals(1, notes.size());
         assertTrue(notes.get(0), notes.get(0).startsWith("b has lost entries"));
     }
 
-    /** A request is lost, and the leader probes the follower again after the next heartbeats. */
-    private static void stall(RaftNode leader) {
-        leader.propose(NONE);
+    /**
+     * Loses an append request, so that the leader probes the follower again after two heartbeat
+     * rounds.
+     */
+    private static void loseRequest(RaftNode leader) {
+        leader.propose(NO_DATA);
         leader.takeReady();
         for (long round = 1; round <= 2; round++) {
             leader.tick();
