--- a/src/main/java/reeldeal/fleet/ConditionalWrite.java
+++ b/src/main/java/reeldeal/fleet/ConditionalWrite.java
@@ -4,36 +4,38 @@
 import java.util.TreeMap;
 
 /**
- * A write that is applied only where all keys it was decided from are still at the versions that
- * were read. Mutable while it is being built, by the thread that decides; not changed once it is
- * handed to the store.
+ * A write to the store that is applied only if every key it was based on is still at the version
+ * that was read. Mutable while the deciding thread builds it; must not be changed once it has been
+ * passed to the store.
  *
- * @param expectedVersions keys with the versions that they must have, 0 for keys that must not
- *     exist
- * @param changes keys with their new values, null to delete a key
- * @param reason one line for the log
+ * @param expectedVersions the required version of each key, 0 for a key that must not exist
+ * @param changes the new value of each key, null to delete the key
+ * @param reason why the write is made, one line for the log
  */
 public record ConditionalWrite(
         Map<String, Long> expectedVersions, Map<String, String> changes, String reason) {
 
-    /** A write without expectations and changes so far. */
+    /** Returns a write without expectations or changes, to which both can be added. */
     public static ConditionalWrite because(String reason) {
         return new ConditionalWrite(new TreeMap<>(), new TreeMap<>(), reason);
     }
 
-    /** Also expects a key at a version; returns this write. */
+    /** Adds the precondition that a key is at a version; returns this write. */
     public ConditionalWrite expect(String key, long version) {
         expectedVersions.put(key, version);
         return this;
     }
 
-    /** Also puts a value's text, or deletes the key where it is null; returns this write. */
+    /**
+     * Adds a change that sets a key to the text of a value, or deletes it if the value is null;
+     * returns this write.
+     */
     public ConditionalWrite put(String key, Object value) {
         changes.put(key, value == null ? null : value.toString());
         return this;
     }
 
-    /** Also expects and changes what another write does; returns this write. */
+    /** Adds the preconditions and changes of another write; returns this write. */
     public ConditionalWrite include(ConditionalWrite other) {
         expectedVersions.putAll(other.expectedVersions);
         changes.putAll(other.changes);
--- a/src/main/java/reeldeal/fleet/ConfigVersion.java
+++ b/src/main/java/reeldeal/fleet/ConfigVersion.java
@@ -6,15 +6,15 @@
 import java.util.HexFormat;
 
 /**
- * The version of a configuration: the first hexadecimal digits of its text's SHA-256 digest, so
- * that equal texts have the same version.
+ * Computes the version of a configuration: the first hexadecimal digits of the SHA-256 digest of
+ * its text, so that equal texts have the same version.
  */
 public final class ConfigVersion {
     private static final int DIGITS = 12;
 
     private ConfigVersion() {}
 
-    /** The version of a configuration's text, 12 hexadecimal digits. */
+    /** Returns the version of a configuration text, 12 hexadecimal digits. */
     public static String of(String text) {
         try {
             byte[] digest =
@@ -22,7 +22,7 @@
                             .digest(text.getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(digest).substring(0, DIGITS);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every JVM has SHA-256", e);
+            throw new IllegalStateException("this JVM does not provide SHA-256", e);
         }
     }
 }
--- a/src/main/java/reeldeal/fleet/DisruptionPolicy.java
+++ b/src/main/java/reeldeal/fleet/DisruptionPolicy.java
@@ -6,18 +6,18 @@
 import java.util.TreeMap;
 
 /**
- * How many members may be out at the same time, as kept in the store. A limit is a number, or a
- * percentage such as {@code 25%} of the members it applies to, which is rounded down but not below
- * one unless it is {@code 0%}.
+ * The stored limits on how many members may be out of service at the same time. A limit is a
+ * number, or a percentage such as {@code 25%} of the members it applies to. A percentage is rounded
+ * down, but not below one member unless it is {@code 0%}.
  *
- * @param brokersOut the most brokers out in all
- * @param brokersZoneOut the most brokers out of one zone
- * @param searchersOut the most searchers out in all
- * @param searchersZoneOut the most searchers out of one zone
- * @param searchersKindOut the most searchers out of one kind
- * @param searchersSetOut the most searchers out of one set, which is a cell
- * @param shardLeast the fewest warm, serving searchers that each shard must keep
- * @param apartMs the least time between two grants, ms
+ * @param brokersOut the maximum number of brokers out in total
+ * @param brokersZoneOut the maximum number of brokers out in one zone
+ * @param searchersOut the maximum number of searchers out in total
+ * @param searchersZoneOut the maximum number of searchers out in one zone
+ * @param searchersKindOut the maximum number of searchers out of one kind
+ * @param searchersSetOut the maximum number of searchers out in one set, that is, one cell
+ * @param minWarmSearchersPerShard the minimum number of warm, serving searchers of each shard
+ * @param minGrantIntervalMs the minimum time between two grants, ms
  */
 public record DisruptionPolicy(
         String brokersOut,
@@ -26,8 +26,8 @@
         String searchersZoneOut,
         String searchersKindOut,
         String searchersSetOut,
-        long shardLeast,
-        long apartMs) {
+        long minWarmSearchersPerShard,
+        long minGrantIntervalMs) {
     private static final String SHARD_LEAST = "shard_least";
     private static final String APART_MS = "apart_ms";
     private static final Set<String> INTEGER_SETTINGS = Set.of(SHARD_LEAST, APART_MS);
@@ -46,7 +46,7 @@
         return Collections.unmodifiableMap(defaults);
     }
 
-    /** The policy of a stored value; settings that are missing or invalid have their defaults. */
+    /** Parses a stored policy; settings that are missing or invalid get their defaults. */
     public static DisruptionPolicy parse(String text) {
         FormAttributes settings = new FormAttributes();
         DEFAULTS.forEach(settings::with);
@@ -69,11 +69,11 @@
                 settings.number(APART_MS, 1_000));
     }
 
-    /** Why a setting cannot be used, or null where it can. */
+    /** Returns why a setting is rejected, or null if it is valid. */
     public static String invalidReason(String key, String value) {
         if (!DEFAULTS.containsKey(key)) {
             String known = String.join(", ", DEFAULTS.keySet());
-            return "policy: no setting " + key + "; there are " + known;
+            return "policy: unknown setting " + key + ", expected one of " + known;
         }
         if (INTEGER_SETTINGS.contains(key)) {
             return value.matches("[0-9]{1,8}")
@@ -84,11 +84,13 @@
                 ? null
                 : "policy "
                         + key
-                        + ": expected a number or a share from 0% to 100%, found "
+                        + ": expected a number or a percentage from 0% to 100%, found "
                         + value;
     }
 
-    /** How many of {@code total} members a limit allows; the limit must be a valid one. */
+    /**
+     * Returns how many of {@code total} members a limit allows to be out; the limit must be valid.
+     */
     public static long parse(String limit, long total) {
         if (!limit.endsWith("%")) {
             return Long.parseLong(limit);
@@ -97,7 +99,7 @@
         return percent == 0 ? 0 : Math.max(1, total * percent / 100);
     }
 
-    /** The form that is stored and that operators see. */
+    /** Returns the attributes that are stored and shown to operators. */
     public FormAttributes toAttributes() {
         return new FormAttributes()
                 .with("brokers_out", brokersOut)
@@ -106,7 +108,7 @@
                 .with("searchers_zone_out", searchersZoneOut)
                 .with("searchers_kind_out", searchersKindOut)
                 .with("searchers_set_out", searchersSetOut)
-                .with(SHARD_LEAST, shardLeast)
-                .with(APART_MS, apartMs);
+                .with(SHARD_LEAST, minWarmSearchersPerShard)
+                .with(APART_MS, minGrantIntervalMs);
     }
 }
--- a/src/main/java/reeldeal/fleet/FleetCodec.java
+++ b/src/main/java/reeldeal/fleet/FleetCodec.java
@@ -12,23 +12,23 @@
 import reeldeal.fleet.FleetView.Value;
 
 /**
- * Reads and writes the fleet's stored values. The attribute names here are part of the stored data
- * and never change; nothing outside this class spells them. Stateless, callable from any thread.
+ * Encodes and decodes the stored values of the fleet. The attribute names are part of the stored
+ * data and must never change; no other class contains them. Stateless, callable from any thread.
  */
 public final class FleetCodec {
     private static final long DEFAULT_SETTLE_MS = 5_000;
     private static final long DEFAULT_STEP_MS = 60_000;
 
     /**
-     * What a broker process registers with.
+     * The data that a broker process registers in the store.
      *
-     * @param boot identifies the process
+     * @param boot the unique identifier of the process
      * @param session the process's session in the store
      * @param zone the availability zone
      * @param program the program's version
-     * @param config the version of the configuration that the process runs with
-     * @param starts how many processes were started on this data directory, 0 where not counted
-     * @param crashedIncarnation the incarnation of the preceding process if that ended without
+     * @param config the version of the configuration that the process runs
+     * @param starts how many processes were started on this data directory, 0 if not counted
+     * @param crashedIncarnation the incarnation of the preceding process if it ended without
      *     deregistering, otherwise 0
      */
     public record Registration(
@@ -44,11 +44,13 @@
 
     // ---- reading ----
 
-    /** A member from its registration and its last state, which is null before the first one. */
+    /**
+     * Decodes a member from its registration and its last state, null if no state was written yet.
+     */
     static Member decodeMember(String name, Value registration, Value state) {
         FormAttributes attributes = FormAttributes.of(registration.text());
         FormAttributes stateAttributes = FormAttributes.of(state == null ? "" : state.text());
-        // The state of an earlier incarnation says nothing of this one.
+        // A state written by an earlier incarnation does not apply to this one.
         boolean isCurrent = stateAttributes.number("incarnation", -1) == registration.version();
         return new Member(
                 name,
@@ -67,8 +69,8 @@
     }
 
     /**
-     * How many processes a registration counts on its data directory, 0 where it counts none or is
-     * null.
+     * Returns how many processes were started on the data directory of a registration, 0 if it has
+     * no such count or is null.
      */
     public static long decodeStarts(String registration) {
         return registration == null ? 0 : FormAttributes.of(registration).number("starts", 0);
@@ -86,7 +88,7 @@
                 value.version());
     }
 
-    /** The mark of the process that a drain is meant for. */
+    /** Decodes the mark of the process that a drain applies to. */
     static String decodeDrainMark(String drain) {
         return FormAttributes.of(drain).get("mark");
     }
@@ -131,7 +133,7 @@
 
     // ---- writing ----
 
-    /** A registration's value. */
+    /** Encodes a registration. */
     public static FormAttributes encode(Registration registration) {
         return new FormAttributes()
                 .with("boot", registration.boot())
@@ -143,7 +145,7 @@
                 .with("after", registration.crashedIncarnation());
     }
 
-    /** The value of a member's state, valid for one incarnation. */
+    /** Encodes the state of a member, which is valid for one incarnation. */
     static FormAttributes encodeState(long incarnation, State state, String reason) {
         return new FormAttributes()
                 .with("incarnation", incarnation)
@@ -152,16 +154,17 @@
     }
 
     /**
-     * A drain's value.
+     * Encodes a drain.
      *
-     * @param mark the process that is meant: a broker's boot, a searcher's start in Unix ms
-     * @param requestedBy {@code operator}, or the release with its id
+     * @param mark the process to be drained: the boot of a broker, or the start of a searcher in
+     *     Unix ms
+     * @param requestedBy {@code operator}, or {@code release} and the ID of the release
      */
     public static FormAttributes encodeDrain(String mark, String requestedBy) {
         return new FormAttributes().with("mark", mark).with("by", requestedBy);
     }
 
-    /** A permit's value; see {@link Permit} for the parameters. */
+    /** Encodes a permit; see {@link Permit} for the parameters. */
     public static FormAttributes encodePermit(
             String mark, String requestedBy, boolean planned, String reason) {
         return new FormAttributes()
@@ -171,7 +174,7 @@
                 .with("reason", reason);
     }
 
-    /** The value of a searcher that was listed; its name and version are not part of it. */
+    /** Encodes a listed searcher, without its name and version. */
     public static FormAttributes encode(KnownSearcher searcher) {
         return new FormAttributes()
                 .with("zone", searcher.zone())
@@ -180,7 +183,7 @@
                 .with("since", searcher.startedAtMs());
     }
 
-    /** A step's value; its name and version are not part of it. */
+    /** Encodes a step, without its name and version. */
     public static FormAttributes encode(Step step) {
         return new FormAttributes()
                 .with("wave", step.wave())
@@ -190,7 +193,7 @@
                 .with("from", step.previousVersion());
     }
 
-    /** A release's value; its version is not part of it. */
+    /** Encodes a release, without its version. */
     public static FormAttributes encode(Release release) {
         return new FormAttributes()
                 .with("id", release.id())
--- a/src/main/java/reeldeal/fleet/FleetView.java
+++ b/src/main/java/reeldeal/fleet/FleetView.java
@@ -8,54 +8,56 @@
 import java.util.TreeMap;
 
 /**
- * What the store says of the fleet at one version. Decisions are made from this and from
- * observations outside the store, and each resulting write expects the versions that were read
- * here.
+ * The stored state of the fleet at one version. Decisions are based on this view and on
+ * observations that are not in the store; each resulting write expects the versions that were read
+ * from this view.
  *
- * <p>Immutable and safe to share between threads, provided that the map it is built from is not
+ * <p>Immutable and safe to share between threads, provided that the map it was built from is not
  * changed.
  */
 public final class FleetView {
-    /** The prefix of all keys of the fleet. */
+    /** The prefix of all fleet keys. */
     public static final String ROOT = "fleet/";
 
     /** The key of the {@link DisruptionPolicy}. */
     public static final String POLICY = ROOT + "policy";
 
-    /** The prefix of brokers' registrations; the broker's name follows. */
+    /** The prefix of broker registrations, followed by the name of the broker. */
     public static final String BOOT = ROOT + "boot/";
 
-    /** The prefix of brokers' states; the broker's name follows. */
+    /** The prefix of broker states, followed by the name of the broker. */
     public static final String STATE = ROOT + "state/";
 
-    /** The prefix of searchers that were listed; the searcher's name follows. */
+    /** The prefix of searchers that were listed, followed by the name of the searcher. */
     public static final String SEARCHER = ROOT + "searcher/";
 
-    /** The prefix of the configuration versions that brokers start with; the name follows. */
+    /**
+     * The prefix of the configuration version each broker is to start with, followed by its name.
+     */
     public static final String TARGET = ROOT + "target/";
 
-    /** The prefix of configuration texts; the {@link ConfigVersion} follows. */
+    /** The prefix of configuration texts, followed by the {@link ConfigVersion}. */
     public static final String CONFIG = ROOT + "config/";
 
-    /** The key of the release that is planned, running or was last. */
+    /** The key of the current release: the one that is planned or running, or the last one. */
     public static final String RELEASE = ROOT + "release";
 
-    /** The prefix of the release's steps; the member's name follows. */
+    /** The prefix of the steps of the current release, followed by the name of the member. */
     public static final String STEP = ROOT + "step/";
 
     /**
-     * Rewritten with each permit that is granted or released, so that two of these cannot both be
-     * decided from one state.
+     * The key that is rewritten whenever a permit is granted or released, so that no two such
+     * changes can be based on the same state.
      */
     public static final String SERIAL = ROOT + "serial";
 
     private static final String PERMIT = ROOT + "permit/";
     private static final String DRAIN = ROOT + "drain/";
 
-    /** A value of the store with the version of the write that put it. */
+    /** A stored value with the version of the write that set it. */
     public record Value(String text, long version) {}
 
-    /** The two kinds of processes that can be disrupted. */
+    /** The kinds of processes that can be taken out of service. */
     public enum Kind implements StoredIdentifier {
         BROKER("BROKER"),
         SEARCHER("SEARCHER");
@@ -71,13 +73,16 @@
             return stored;
         }
 
-        /** The spelling in keys and in operators' commands. */
+        /** Returns the name of this kind in keys and in operator commands. */
         public String lowerCase() {
             return stored.toLowerCase(Locale.ROOT);
         }
     }
 
-    /** A broker's state: as it reported itself, or LAPSED as the leader found. */
+    /**
+     * The state of a broker: reported by the broker itself, except LAPSED, which the leader writes
+     * when the lease expires.
+     */
     public enum State implements StoredIdentifier {
         STARTING("STARTING"),
         SERVING("SERVING"),
@@ -98,20 +103,21 @@
     }
 
     /**
-     * A broker as it registered, and its last state.
+     * The registration of a broker, and its last state.
      *
-     * @param name the broker's name, the same for all its processes
-     * @param incarnation the version of the registering write: the fencing token of all that this
-     *     process writes
-     * @param boot identifies the process, so that one that registers again is told from a new one
+     * @param name the name of the broker, the same for all its processes
+     * @param incarnation the version of the registering write, which is the fencing token of every
+     *     write of this process
+     * @param boot the unique identifier of the process, which distinguishes a process that
+     *     registers again from a new one
      * @param session the process's session in the store
      * @param zone the availability zone
      * @param program the program's version
-     * @param config the version of the configuration that the process runs with
-     * @param state the state of this incarnation, STARTING before its first write of one
-     * @param stateVersion the version of the last write of a state, 0 while there is none
-     * @param reason why it is in this state, may be empty
-     * @param crashedIncarnation the incarnation of the preceding process if that ended without
+     * @param config the version of the configuration that the process runs
+     * @param state the state of this incarnation, STARTING until it has written a state
+     * @param stateVersion the version of the last state write, 0 if there was none
+     * @param reason why the broker is in this state, may be empty
+     * @param crashedIncarnation the incarnation of the preceding process if it ended without
      *     deregistering, otherwise 0
      */
     public record Member(
@@ -126,26 +132,26 @@
             long stateVersion,
             String reason,
             long crashedIncarnation) {
-        /** Whether it holds a lease as far as the log says. */
+        /** Returns whether the member holds a lease according to the log. */
         public boolean hasLease() {
             return state != State.GONE && state != State.LAPSED;
         }
 
-        /** Whether it has reported that it takes clients. */
+        /** Returns whether the member has reported that it accepts clients. */
         public boolean isServing() {
             return state == State.SERVING;
         }
     }
 
     /**
-     * A slot of the {@link DisruptionPolicy}: its holder is out or may be, and counts as out until
-     * there is evidence of its return.
+     * A slot of the disruption budget that {@link DisruptionPolicy} limits. Its holder may be out
+     * of service, and counts as out until there is evidence of its return.
      *
-     * @param processMark the process that held the name at the grant: a broker's boot, a searcher's
-     *     start in Unix ms
-     * @param requestedBy who requested it: {@code release}, {@code operator}, {@code exit}, or
-     *     {@code found} where nobody did
-     * @param planned whether it was granted before its holder went out
+     * @param processMark the process that had the name at the time of the grant: the boot of a
+     *     broker, or the start of a searcher in Unix ms
+     * @param requestedBy who requested the permit: {@code release}, {@code operator}, {@code exit},
+     *     or {@code found} for an outage that nobody requested
+     * @param planned whether the permit was granted before its holder went out of service
      */
     public record Permit(
             Kind kind,
@@ -157,15 +163,16 @@
             long version) {}
 
     /**
-     * A searcher that was listed once: remembered, so that its absence is noticed.
+     * A searcher that was listed at least once. The store keeps it, so that its absence is
+     * detected.
      *
-     * @param cell the cell of shards that it holds
-     * @param startedAtMs the start of its process, Unix ms
+     * @param cell the cell whose shards the searcher holds
+     * @param startedAtMs when its process started, Unix ms
      */
     public record KnownSearcher(
             String name, String zone, String kind, int cell, long startedAtMs, long version) {}
 
-    /** The stages of one member in a release. */
+    /** The stages that a member passes through in a release. */
     public enum Stage implements StoredIdentifier {
         WAITING("WAITING"),
         DRAIN("DRAIN"),
@@ -188,12 +195,13 @@
     }
 
     /**
-     * One member's progress in the release.
+     * The progress of one member in the release.
      *
-     * @param wave the wave that it belongs to, from 1
-     * @param rollingBack whether it is being rolled back
-     * @param processMark the broker's boot or the searcher's start when the stage began
-     * @param previousVersion the version that it had before the release
+     * @param wave the number of the member's wave, from 1
+     * @param rollingBack whether the member is being rolled back
+     * @param processMark the process at the beginning of the stage: the boot of a broker, or the
+     *     start of a searcher in Unix ms
+     * @param previousVersion the version that the member had before the release
      */
     public record Step(
             String name,
@@ -203,18 +211,18 @@
             String processMark,
             String previousVersion,
             long version) {
-        /** The same member at another stage, for the process with this mark. */
-        public Step at(Stage newStage, String newMark) {
+        /** Returns a copy of this step at another stage, for the process with this mark. */
+        public Step withStage(Stage newStage, String newMark) {
             return new Step(name, wave, rollingBack, newStage, newMark, previousVersion, version);
         }
 
-        /** The same member at another stage, rolling back or not. */
-        public Step at(Stage newStage, boolean rollingBack) {
+        /** Returns a copy of this step at another stage, in either direction of the release. */
+        public Step withStage(Stage newStage, boolean rollingBack) {
             return new Step(
                     name, wave, rollingBack, newStage, processMark, previousVersion, version);
         }
 
-        /** Whether the release has nothing more to do for this member. */
+        /** Returns whether the release has nothing more to do for this member. */
         public boolean isFinished() {
             return stage == Stage.SETTLED || stage == Stage.UNTOUCHED;
         }
@@ -244,11 +252,11 @@
      * A release of a configuration or a program to a list of members.
      *
      * @param artifact {@code config} or {@code program}
-     * @param targetVersion the version that members are to have
-     * @param rollingBack whether it is being rolled back
-     * @param reason why it is in this state
-     * @param settleMs for how long a member must have served before the next wave, ms
-     * @param stepMs how long one stage of a member may take, ms
+     * @param targetVersion the version to roll out
+     * @param rollingBack whether the release is being rolled back
+     * @param reason why the release is in this state
+     * @param settleMs how long a member must have served before the next wave begins, ms
+     * @param stepMs the timeout of one stage of a member, ms
      */
     public record Release(
             String id,
@@ -261,17 +269,20 @@
             long settleMs,
             long stepMs,
             long version) {
-        /** Whether steps are being taken. */
+        /** Returns whether the release is running, so that its members advance. */
         public boolean isRunning() {
             return progress == Progress.RUNNING;
         }
 
-        /** Whether this is the release of brokers' configuration, which the store distributes. */
+        /**
+         * Returns whether this release rolls out a broker configuration, which the store
+         * distributes.
+         */
         public boolean isBrokerConfig() {
             return kind == Kind.BROKER && artifact.equals("config");
         }
 
-        /** The same release in another state. */
+        /** Returns a copy of this release in another state. */
         public Release with(boolean rollingBack, Progress newProgress, String newReason) {
             return new Release(
                     id,
@@ -296,7 +307,7 @@
     private final DisruptionPolicy policy;
     private final Release release;
 
-    /** The fleet by all values under {@link #ROOT}; the map must not be changed afterwards. */
+    /** Creates a view of all values under {@link #ROOT}; the map must not be changed afterwards. */
     public FleetView(Map<String, Value> values) {
         this.values = values;
         String policyText = get(POLICY);
@@ -329,65 +340,69 @@
         permits.put(name, FleetCodec.decodePermit(kind, name, value));
     }
 
-    /** The version of a key's last write, 0 where the key does not exist. */
+    /** Returns the version of the last write to a key, 0 if the key does not exist. */
     public long version(String key) {
         Value value = values.get(key);
         return value == null ? 0 : value.version();
     }
 
-    /** A key's value, or null where the key does not exist. */
+    /** Returns the value of a key, or null if the key does not exist. */
     public String get(String key) {
         Value value = values.get(key);
         return value == null ? null : value.text();
     }
 
     /**
-     * How many processes had been started on a member's data directory when it registered last, 0
-     * where that was not counted.
+     * Returns how many processes had been started on the data directory of a member when it last
+     * registered, 0 if not counted.
      */
     public long starts(String name) {
         return FleetCodec.decodeStarts(get(BOOT + name));
     }
 
-    /** How many members may be out at the same time. */
+    /** Returns the limits on how many members may be out at the same time. */
     public DisruptionPolicy policy() {
         return policy;
     }
 
-    /** The release that is planned, running or was last, or null. */
+    /**
+     * Returns the release that is planned or running, else the last one, or null if there was none.
+     */
     public Release release() {
         return release;
     }
 
-    /** The registered brokers by name. */
+    /** Returns the registered brokers by name. */
     public Map<String, Member> members() {
         return Collections.unmodifiableMap(members);
     }
 
-    /** The searchers that were ever listed, by name. */
+    /** Returns all searchers that were ever listed, by name. */
     public Map<String, KnownSearcher> searchers() {
         return Collections.unmodifiableMap(searchers);
     }
 
-    /** The holders of permits, who may be out, by name. */
+    /** Returns the permits by the name of their holder, which may be out of service. */
     public Map<String, Permit> permits(Kind kind) {
         return Collections.unmodifiableMap(kind == Kind.BROKER ? brokerPermits : searcherPermits);
     }
 
-    /** The members of the release by name. */
+    /** Returns the steps of the release by the name of the member. */
     public Map<String, Step> steps() {
         return Collections.unmodifiableMap(steps);
     }
 
-    /** The mark of the process that is to be drained under this name, or null where none is. */
+    /**
+     * Returns the mark of the process of this name that is to be drained, or null if there is none.
+     */
     public String drainMark(Kind kind, String name) {
         String drain = get(drainKey(kind, name));
         return drain == null ? null : FleetCodec.decodeDrainMark(drain);
     }
 
     /**
-     * The mark of the process that now has this name: a broker's boot, a searcher's start in Unix
-     * ms, "" where there is none.
+     * Returns the mark of the process that currently has this name: the boot of a broker, or the
+     * start of a searcher in Unix ms; "" if there is none.
      */
     public String processMark(Kind kind, String name) {
         if (kind == Kind.BROKER) {
@@ -398,7 +413,7 @@
         return searcher == null ? "" : String.valueOf(searcher.startedAtMs());
     }
 
-    /** The searchers that operators or a release have drained. */
+    /** Returns the names of the searchers with a drain, ordered by an operator or a release. */
     public List<String> drainedSearchers() {
         String prefix = drainKey(Kind.SEARCHER, "");
         List<String> drained = new ArrayList<>();
@@ -408,19 +423,20 @@
         return drained;
     }
 
-    /** The key of a drain; its value names the process that is meant, by its mark. */
+    /** Returns the key of a drain, whose value contains the mark of the process to be drained. */
     public static String drainKey(Kind kind, String name) {
         return DRAIN + kind.lowerCase() + "/" + name;
     }
 
-    /** The key of a permit. */
+    /** Returns the key of a permit. */
     public static String permitKey(Kind kind, String name) {
         return PERMIT + kind.lowerCase() + "/" + name;
     }
 
     /**
-     * The write of a member's state. It expects the member's registration, its last state and its
-     * drain as they are in this view, so that a superseded process writes nothing.
+     * Returns the write that changes the state of a member. It expects the registration, the last
+     * state and the drain of the member as they are in this view, so that it fails for a superseded
+     * process.
      */
     public ConditionalWrite stateWrite(Member member, State state, String reason) {
         String drainKey = drainKey(Kind.BROKER, member.name());
--- a/src/main/java/reeldeal/fleet/FormAttributes.java
+++ b/src/main/java/reeldeal/fleet/FormAttributes.java
@@ -8,9 +8,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Form-encoded attributes, the form of all stored values of the fleet and of its messages: {@code
- * key=value} separated by single spaces, each value escaped as in a URL's query. Keeps the order in
- * which attributes were added. Mutable, for use by one thread at a time.
+ * Form-encoded attributes, the encoding of all stored values and messages of the fleet: {@code
+ * key=value} pairs separated by single spaces, with each value escaped as in a URL query. Keeps the
+ * order in which attributes were added. Mutable, for use by one thread at a time.
  */
 public final class FormAttributes {
     private static final Pattern INTEGER = Pattern.compile("-?[0-9]{1,18}");
@@ -19,7 +19,7 @@
 
     /**
      * Parses attributes. Text without {@code =} is ignored, so that a later version of the program
-     * may add to the form.
+     * can extend the format.
      */
     public static FormAttributes of(String text) {
         FormAttributes parsed = new FormAttributes();
@@ -37,28 +37,28 @@
         try {
             return URLDecoder.decode(value, StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
-            return value; // contains a % that begins no escape: typed by hand
+            return value; // typed by hand, with a % that does not begin an escape
         }
     }
 
-    /** Sets an attribute to the text of a value; returns this. */
+    /** Sets an attribute to the text of a value; returns this object. */
     public FormAttributes with(String key, Object value) {
         attributes.put(key, String.valueOf(value));
         return this;
     }
 
-    /** An attribute's value, or "" where there is none. */
+    /** Returns the value of an attribute, or "" if it is missing. */
     public String get(String key) {
         return attributes.getOrDefault(key, "");
     }
 
-    /** An attribute as an integer, or the default where it is missing or not an integer. */
+    /** Returns an attribute as an integer, or the default if it is missing or not an integer. */
     public long number(String key, long defaultValue) {
         String value = get(key);
         return INTEGER.matcher(value).matches() ? Long.parseLong(value) : defaultValue;
     }
 
-    /** A copy of all attributes. */
+    /** Returns a copy of all attributes. */
     public Map<String, String> all() {
         return Map.copyOf(attributes);
     }
--- a/src/main/java/reeldeal/fleet/StoredIdentifier.java
+++ b/src/main/java/reeldeal/fleet/StoredIdentifier.java
@@ -1,17 +1,17 @@
 package reeldeal.fleet;
 
 /**
- * An enum constant that is written to the replicated store. The identifier is part of the stored
- * data: it never changes, whatever the constant is called in the code.
+ * An enum constant that is written to the replicated store. Its identifier is part of the stored
+ * data and must not change, even if the constant is renamed in the code.
  */
 public interface StoredIdentifier {
 
-    /** The text that stands for this constant in stored values. */
+    /** Returns the text that represents this constant in stored values. */
     String stored();
 
     /**
-     * The constant with this identifier; throws IllegalArgumentException that names the type and
-     * the text where there is none.
+     * Returns the constant with this identifier; if there is none, throws an
+     * IllegalArgumentException with the type and the identifier.
      */
     static <E extends Enum<E> & StoredIdentifier> E parse(Class<E> type, String stored) {
         for (E constant : type.getEnumConstants()) {
@@ -19,6 +19,7 @@
                 return constant;
             }
         }
-        throw new IllegalArgumentException("no stored " + type.getName() + ": " + stored);
+        throw new IllegalArgumentException(
+                "unknown stored identifier of " + type.getName() + ": " + stored);
     }
 }
--- a/src/main/java/reeldeal/fleet/disruption/BudgetLimits.java
+++ b/src/main/java/reeldeal/fleet/disruption/BudgetLimits.java
@@ -18,13 +18,14 @@
 import reeldeal.fleet.disruption.DisruptionBudget.ShardLayout;
 
 /**
- * Who is out, and whether that is more than the {@link DisruptionPolicy} allows. A violation is a
- * line that says which limit is exceeded and by whom, null where none is.
+ * Determines which members are out of service, and whether they are more than the {@link
+ * DisruptionPolicy} allows. A violation is one line with the limit that is exceeded and the members
+ * or the group that exceed it, or null if no limit is exceeded.
  */
 public class BudgetLimits {
     private static final int MAX_NAMES_SHOWN = 5;
 
-    /** The brokers that are out or may be: under a permit, or not in the state SERVING. */
+    /** Returns the brokers that are or may be out: with a permit, or not in the state SERVING. */
     public Set<String> brokersOut(FleetView fleet) {
         Set<String> out = new TreeSet<>(fleet.permits(Kind.BROKER).keySet());
         fleet.members().values().stream()
@@ -34,8 +35,8 @@
     }
 
     /**
-     * The searchers that are out or may be: under a permit, missing from the list, draining in it,
-     * or ejected. The list must be known.
+     * Returns the searchers that are or may be out: with a permit, missing from the endpoint list,
+     * draining in it, or ejected. The list must be known.
      */
     public Set<String> searchersOut(FleetView fleet, Observations observations) {
         Set<String> out = new TreeSet<>(fleet.permits(Kind.SEARCHER).keySet());
@@ -50,9 +51,10 @@
     }
 
     /**
-     * The limit that is exceeded where somebody went out without a permit. Where all are out under
-     * permits the policy was tightened since these were granted: they return, and no more are
-     * granted meanwhile.
+     * Returns the limit that is exceeded if a member went out without a permit granted beforehand.
+     * If all members that are out have such permits, the policy was tightened after the grants;
+     * this is no violation, since the members will return and no more permits are granted
+     * meanwhile.
      */
     public String violation(FleetView fleet, Observations observations) {
         Set<String> brokersOut = brokersOut(fleet);
@@ -76,24 +78,24 @@
                 .anyMatch(name -> !permits.containsKey(name) || !permits.get(name).planned());
     }
 
-    /** The limit that these brokers exceed by being out. */
+    /** Returns the limit that is exceeded while these brokers are out. */
     protected String brokerViolation(FleetView fleet, Set<String> out) {
         DisruptionPolicy policy = fleet.policy();
         long allowed = DisruptionPolicy.parse(policy.brokersOut(), fleet.members().size());
         if (out.size() > allowed) {
-            return out.size() + " brokers out, " + allowed + " allowed: " + summary(out);
+            return out.size() + " brokers out, " + allowed + " allowed: " + abbreviatedList(out);
         }
         return groupViolation(
                 "brokers out of zone", out, policy.brokersZoneOut(), fleet.members(), Member::zone);
     }
 
-    /** The limit that these searchers exceed by being out. */
+    /** Returns the limit that is exceeded while these searchers are out. */
     String searcherViolation(FleetView fleet, Observations observations, Set<String> out) {
         DisruptionPolicy policy = fleet.policy();
         Map<String, KnownSearcher> all = fleet.searchers();
         long allowed = DisruptionPolicy.parse(policy.searchersOut(), all.size());
         if (out.size() > allowed) {
-            return out.size() + " searchers out, " + allowed + " allowed: " + summary(out);
+            return out.size() + " searchers out, " + allowed + " allowed: " + abbreviatedList(out);
         }
         return Stream.of(
                         groupViolation(
@@ -119,7 +121,10 @@
                 .orElseGet(() -> shardViolation(fleet, observations, out));
     }
 
-    /** The shard that would have fewer warm, serving searchers than the policy requires. */
+    /**
+     * Returns a violation for the first shard that would have fewer warm, serving searchers than
+     * the policy requires.
+     */
     private static String shardViolation(
             FleetView fleet, Observations observations, Set<String> out) {
         ShardLayout layout = observations.shards();
@@ -127,7 +132,7 @@
             return null;
         }
         long[] warmByCell = warmSearchersByCell(observations, out);
-        long required = fleet.policy().shardLeast();
+        long required = fleet.policy().minWarmSearchersPerShard();
         for (int shard = 0; shard < Math.min(layout.shards(), layout.cells()); shard++) {
             long replicas = 0;
             for (int offset = 0; offset < layout.consecutiveCells(); offset++) {
@@ -140,7 +145,7 @@
                         + replicas
                         + " warm searchers, "
                         + required
-                        + " wanted";
+                        + " required";
             }
         }
         return null;
@@ -161,8 +166,8 @@
     }
 
     /**
-     * Why the store would lose its majority. One or two voters have none to spare and may restart
-     * all the same.
+     * Returns why the store would lose its majority. With one or two voters, every restart loses
+     * the majority, and is allowed nevertheless.
      */
     static String quorumViolation(Set<String> voters, String name, Set<String> out) {
         long remaining = voters.stream().filter(voter -> !out.contains(voter)).count();
@@ -171,16 +176,19 @@
             return null;
         }
         return name
-                + " votes in the store, and "
+                + " is a voter of the store, and "
                 + remaining
                 + " of "
                 + voters.size()
-                + " voters would be left, "
+                + " voters would remain, "
                 + majority
-                + " are needed";
+                + " required";
     }
 
-    /** The group of members, such as a zone, of which more are out than the limit allows. */
+    /**
+     * Returns a violation for the first group, such as a zone, with more members out than the limit
+     * allows.
+     */
     private static <T> String groupViolation(
             String description,
             Set<String> out,
@@ -210,7 +218,7 @@
         return null;
     }
 
-    private static String summary(Set<String> names) {
+    private static String abbreviatedList(Set<String> names) {
         return names.stream().limit(MAX_NAMES_SHOWN).collect(Collectors.joining(" "))
                 + (names.size() > MAX_NAMES_SHOWN ? " ..." : "");
     }
--- a/src/main/java/reeldeal/fleet/disruption/DisruptionBudget.java
+++ b/src/main/java/reeldeal/fleet/disruption/DisruptionBudget.java
@@ -17,45 +17,45 @@
 import reeldeal.fleet.FleetView.Step;
 
 /**
- * Grants permits to go out and releases them. A holder counts as out from the grant until there is
- * {@link ReturnEvidence}; whoever went out by itself counts too. No permit is released by time: the
- * times only delay grants.
+ * Grants and releases permits to go out of service. A holder counts as out from the grant until
+ * there is {@link ReturnEvidence}; a member that went out without a permit counts too. No permit is
+ * released because of elapsed time: times only delay grants.
  *
  * <p>Protected methods, here and in {@link BudgetLimits} and {@link ReturnEvidence}, are rules that
- * the simulation overrides to check that it notices.
+ * the simulation overrides with broken ones, to verify that it detects them.
  */
 public class DisruptionBudget {
     private final BudgetLimits limits;
     private final ReturnEvidence evidence;
 
-    /** The budget with the rules that hold. */
+    /** Creates a budget with the production rules. */
     public DisruptionBudget() {
         this(new BudgetLimits(), new ReturnEvidence());
     }
 
-    /** The budget with rules of its own. */
+    /** Creates a budget with the given rules. */
     public DisruptionBudget(BudgetLimits limits, ReturnEvidence evidence) {
         this.limits = limits;
         this.evidence = evidence;
     }
 
     /**
-     * Where shards are held: shard s in the cells {@code (s + j) mod cells} for each j below {@code
-     * consecutiveCells}.
+     * The assignment of shards to cells: shard s is held by the cells {@code (s + j) mod cells} for
+     * each j below {@code consecutiveCells}.
      *
-     * @param shards the number of shards, 0 where the layout is not known
+     * @param shards the number of shards, 0 if the layout is not known
      */
     public record ShardLayout(int shards, int cells, int consecutiveCells) {}
 
     /**
-     * What the decider knows beside the store.
+     * The observations of the deciding node that are not in the store.
      *
-     * @param searchers the endpoint list by name; null where it is not known yet, and then nothing
-     *     about searchers is decided
-     * @param shards where shards are held
-     * @param voters the store's voters, empty where they do not matter
-     * @param sinceGrantMs how long ago the last grant was seen, ms by the node's steady clock, at
-     *     most since it leads
+     * @param searchers the endpoint list by name; null if it is not known yet, in which case no
+     *     decision about searchers is made
+     * @param shards the assignment of shards to cells
+     * @param voters the voters of the store, empty if they are irrelevant to the decision
+     * @param sinceGrantMs how long ago this node saw the last grant, ms of its steady clock; at a
+     *     leader, at most the time for which it has led
      */
     public record Observations(
             Map<String, ObservedSearcher> searchers,
@@ -63,19 +63,19 @@
             Set<String> voters,
             long sinceGrantMs) {}
 
-    /** The write that grants a permit, or the reason why there is none; the other is null. */
+    /** The write that grants a permit, or the reason why it is rejected; the other one is null. */
     public record PermitDecision(ConditionalWrite write, String rejectionReason) {
         static PermitDecision reject(String reason) {
             return new PermitDecision(null, reason);
         }
     }
 
-    /** The limits that grants keep to. */
+    /** Returns the limits that grants must not exceed. */
     public BudgetLimits limits() {
         return limits;
     }
 
-    /** What proves returns. */
+    /** Returns the rules for evidence that a permit holder has returned. */
     public ReturnEvidence evidence() {
         return evidence;
     }
@@ -83,8 +83,8 @@
     // ---- grants ----
 
     /**
-     * Whether a member may go out now. The write puts the permit and expects all versions that the
-     * decision was based on.
+     * Decides whether a member may go out now. The write of a grant stores the permit and expects
+     * all versions that the decision was based on.
      *
      * @param requestedBy see {@link Permit#requestedBy}
      */
@@ -96,29 +96,34 @@
             String requestedBy,
             String reason) {
         Permit held = fleet.permits(kind).get(name);
-        long minIntervalMs = fleet.policy().apartMs();
+        long minIntervalMs = fleet.policy().minGrantIntervalMs();
         if (held != null) {
             return PermitDecision.reject(name + " has a permit already: " + held.reason());
         } else if (observations.sinceGrantMs() < minIntervalMs) {
             return PermitDecision.reject(
-                    "the last grant is "
+                    "the last permit was granted "
                             + observations.sinceGrantMs()
-                            + " ms old, "
+                            + " ms ago, the minimum interval is "
                             + minIntervalMs
-                            + " wanted");
+                            + " ms");
         }
         String rejection =
                 kind == Kind.BROKER
-                        ? rejectBroker(fleet, observations, name)
-                        : rejectSearcher(fleet, observations, name);
+                        ? brokerRejection(fleet, observations, name)
+                        : searcherRejection(fleet, observations, name);
         if (rejection != null) {
             return PermitDecision.reject(rejection);
         }
         ConditionalWrite write =
-                ConditionalWrite.because(kind.lowerCase() + " " + name + " may go out: " + reason)
+                ConditionalWrite.because(
+                                kind.lowerCase()
+                                        + " "
+                                        + name
+                                        + " gets a permit to go out: "
+                                        + reason)
                         .expect(FleetView.POLICY, fleet.version(FleetView.POLICY))
                         .expect(FleetView.permitKey(kind, name), 0);
-        serializeGrants(fleet, write);
+        serializePermitChanges(fleet, write);
         if (kind == Kind.BROKER) {
             expectAllStates(fleet, write, name);
         }
@@ -129,9 +134,9 @@
         return new PermitDecision(write, null);
     }
 
-    private String rejectBroker(FleetView fleet, Observations observations, String name) {
+    private String brokerRejection(FleetView fleet, Observations observations, String name) {
         if (!fleet.members().containsKey(name)) {
-            return "no broker " + name + " has registered";
+            return "broker " + name + " has not registered";
         }
         Set<String> out = new HashSet<>(limits.brokersOut(fleet));
         out.add(name);
@@ -141,18 +146,21 @@
                 : BudgetLimits.quorumViolation(observations.voters(), name, out);
     }
 
-    private String rejectSearcher(FleetView fleet, Observations observations, String name) {
+    private String searcherRejection(FleetView fleet, Observations observations, String name) {
         if (observations.searchers() == null) {
-            return "the list of searchers is not known yet";
+            return "the endpoint list of searchers is not known yet";
         } else if (!fleet.searchers().containsKey(name)) {
-            return "no searcher " + name + " was ever listed";
+            return "searcher " + name + " was never listed";
         }
         Set<String> out = new TreeSet<>(limits.searchersOut(fleet, observations));
         out.add(name);
         return limits.searcherViolation(fleet, observations, out);
     }
 
-    /** Whoever lapses, registers or leaves meanwhile changes what the decision was based on. */
+    /**
+     * Adds the state of every member as a precondition: a member that lapses, registers or leaves
+     * meanwhile invalidates the decision.
+     */
     private static void expectAllStates(FleetView fleet, ConditionalWrite write, String name) {
         write.expect(FleetView.BOOT + name, fleet.members().get(name).incarnation());
         for (Member member : fleet.members().values()) {
@@ -160,19 +168,20 @@
         }
     }
 
-    /** Serialises a write with all others that grant or release permits. */
-    protected void serializeGrants(FleetView fleet, ConditionalWrite write) {
+    /** Serializes a write with all other writes that grant or release permits. */
+    protected void serializePermitChanges(FleetView fleet, ConditionalWrite write) {
         write.expect(FleetView.SERIAL, fleet.version(FleetView.SERIAL)).put(FleetView.SERIAL, "");
     }
 
-    // ---- returns and changes that were noticed ----
+    // ---- observed returns and outages ----
 
     /**
-     * The write that releases a permit; it expects all versions that the evidence is based on.
+     * Returns the write that releases a permit; it expects all versions that the evidence is based
+     * on.
      *
-     * @param proof the evidence, for the log
+     * @param returnEvidence the evidence that the holder has returned, for the log
      */
-    public ConditionalWrite releasePermit(FleetView fleet, Permit permit, String proof) {
+    public ConditionalWrite releasePermit(FleetView fleet, Permit permit, String returnEvidence) {
         String permitKey = FleetView.permitKey(permit.kind(), permit.name());
         String drainKey = FleetView.drainKey(permit.kind(), permit.name());
         ConditionalWrite write =
@@ -180,8 +189,8 @@
                                 permit.kind().lowerCase()
                                         + " "
                                         + permit.name()
-                                        + " is back: "
-                                        + proof)
+                                        + " has returned: "
+                                        + returnEvidence)
                         .expect(permitKey, permit.version());
         if (permit.kind() == Kind.BROKER) {
             Member member = fleet.members().get(permit.name());
@@ -189,37 +198,38 @@
                     .expect(FleetView.STATE + permit.name(), member.stateVersion());
         }
         write.expect(drainKey, fleet.version(drainKey));
-        serializeGrants(fleet, write);
+        serializePermitChanges(fleet, write);
         return write.put(permitKey, null);
     }
 
     /**
-     * The writes that are due now: permits of members that are back, searchers that were listed or
-     * restarted, and permits for searchers that went out without one.
+     * Returns the writes that are due now: releases of the permits of members that have returned,
+     * entries of searchers that were listed or restarted, ends of drains of restarted searchers,
+     * and permits for searchers that went out without one.
      */
     public List<ConditionalWrite> pendingWrites(FleetView fleet, Observations observations) {
         List<ConditionalWrite> writes = new ArrayList<>();
-        addReturns(writes, fleet, observations, Kind.BROKER);
+        addPermitReleases(writes, fleet, observations, Kind.BROKER);
         if (observations.searchers() != null) {
             addListedSearchers(writes, fleet, observations);
             addEndedDrains(writes, fleet, observations);
-            addReturns(writes, fleet, observations, Kind.SEARCHER);
+            addPermitReleases(writes, fleet, observations, Kind.SEARCHER);
             addUnplannedOutages(writes, fleet, observations);
         }
         return writes;
     }
 
-    private void addReturns(
+    private void addPermitReleases(
             List<ConditionalWrite> writes, FleetView fleet, Observations observations, Kind kind) {
         for (Permit permit : fleet.permits(kind).values()) {
-            String proof = evidence.of(fleet, observations, permit);
-            if (proof != null && !isReleasedByRollout(fleet, kind, permit.name())) {
-                writes.add(releasePermit(fleet, permit, proof));
+            String returnEvidence = evidence.findEvidence(fleet, observations, permit);
+            if (returnEvidence != null && !isReleasedByRollout(fleet, kind, permit.name())) {
+                writes.add(releasePermit(fleet, permit, returnEvidence));
             }
         }
     }
 
-    /** Whether the release itself releases this permit, in the same write as a step. */
+    /** Returns whether the rollout releases this permit itself, in the same write as a step. */
     private static boolean isReleasedByRollout(FleetView fleet, Kind kind, String name) {
         Step step = fleet.steps().get(name);
         return fleet.release() != null
@@ -247,7 +257,7 @@
                         ConditionalWrite.because(
                                         "searcher "
                                                 + observed.name()
-                                                + " listed, started "
+                                                + " was listed, process started at "
                                                 + observed.startedAtMs())
                                 .expect(key, version)
                                 .put(key, FleetCodec.encode(listed)));
@@ -255,7 +265,7 @@
         }
     }
 
-    /** A drain is meant for one process: that of a searcher that was restarted is over. */
+    /** Removes the drains of restarted searchers: a drain applies to one process only. */
     private static void addEndedDrains(
             List<ConditionalWrite> writes, FleetView fleet, Observations observations) {
         for (String name : fleet.drainedSearchers()) {
@@ -268,7 +278,7 @@
                 String key = FleetView.drainKey(Kind.SEARCHER, name);
                 writes.add(
                         ConditionalWrite.because(
-                                        "searcher " + name + " was started anew, its drain ends")
+                                        "searcher " + name + " was restarted, its drain ends")
                                 .expect(key, fleet.version(key))
                                 .put(key, null));
             }
@@ -287,9 +297,9 @@
             String reason = observed == null ? "not listed any more" : "draining in the list";
             ConditionalWrite write =
                     ConditionalWrite.because(
-                                    "searcher " + known.name() + " is out with nobody having asked")
+                                    "searcher " + known.name() + " is out without a permit")
                             .expect(key, 0);
-            serializeGrants(fleet, write);
+            serializePermitChanges(fleet, write);
             String mark = String.valueOf(known.startedAtMs());
             writes.add(write.put(key, FleetCodec.encodePermit(mark, "found", false, reason)));
         }
--- a/src/main/java/reeldeal/fleet/disruption/ReturnEvidence.java
+++ b/src/main/java/reeldeal/fleet/disruption/ReturnEvidence.java
@@ -9,21 +9,23 @@
 import reeldeal.fleet.disruption.DisruptionBudget.Observations;
 
 /**
- * What proves that the holder of a permit is back. Time proves nothing: a slot is released on
- * evidence only. Evidence is a line for the log, null where there is none.
+ * Looks for evidence that the holder of a permit is back in service. Elapsed time is no evidence,
+ * so a permit never times out. Evidence is one line for the log, or null if there is none.
  */
 public class ReturnEvidence {
 
-    /** The evidence that a permit's holder is back. */
-    public String of(FleetView fleet, Observations observations, Permit permit) {
+    /** Returns the evidence that the holder of a permit has returned. */
+    public String findEvidence(FleetView fleet, Observations observations, Permit permit) {
         if (permit.kind() == Kind.BROKER) {
-            return ofBroker(fleet, permit);
+            return findBrokerEvidence(fleet, permit);
         }
-        return observations.searchers() == null ? null : ofSearcher(fleet, observations, permit);
+        return observations.searchers() == null
+                ? null
+                : findSearcherEvidence(fleet, observations, permit);
     }
 
-    /** The evidence that a broker under a permit is back. */
-    protected String ofBroker(FleetView fleet, Permit permit) {
+    /** Returns the evidence that a broker with a permit has returned. */
+    protected String findBrokerEvidence(FleetView fleet, Permit permit) {
         Member member = fleet.members().get(permit.name());
         if (member == null || !member.isServing()) {
             return null;
@@ -33,18 +35,19 @@
                     ? "a newer process serves, incarnation " + member.incarnation()
                     : null;
         }
-        // Without a drain the same process cannot begin to drain any more: its write of that
-        // state expects the drain's key.
+        // After its drain was removed, the same process cannot begin to drain: its write of
+        // DRAINING expects the version of the drain's key.
         boolean undrained = fleet.drainMark(Kind.BROKER, permit.name()) == null;
         return undrained
                         && !permit.requestedBy().equals("exit")
                         && !isRestartOrdered(fleet, Kind.BROKER, permit.name())
-                ? "it serves, and its drain was taken back"
+                ? "it serves, and its drain was cancelled"
                 : null;
     }
 
-    /** The evidence that a searcher under a permit is back; the list must be known. */
-    protected String ofSearcher(FleetView fleet, Observations observations, Permit permit) {
+    /** Returns the evidence that a searcher with a permit has returned; the list must be known. */
+    protected String findSearcherEvidence(
+            FleetView fleet, Observations observations, Permit permit) {
         ObservedSearcher observed = observations.searchers().get(permit.name());
         if (observed == null
                 || !observed.isServing()
@@ -57,10 +60,13 @@
         }
         return isRestartOrdered(fleet, Kind.SEARCHER, permit.name())
                 ? null
-                : "the same process is listed, and its drain was taken back";
+                : "the same process is listed, and its drain was cancelled";
     }
 
-    /** Whether a release has ordered its restart, so that only a newer process is evidence. */
+    /**
+     * Returns whether a release has ordered the restart of a member, in which case only a newer
+     * process is evidence.
+     */
     private static boolean isRestartOrdered(FleetView fleet, Kind kind, String name) {
         Step step = fleet.steps().get(name);
         return step != null
--- a/src/main/java/reeldeal/fleet/membership/ClockMedian.java
+++ b/src/main/java/reeldeal/fleet/membership/ClockMedian.java
@@ -6,34 +6,38 @@
 import java.util.stream.LongStream;
 
 /**
- * The wall clock of a fleet in which some clocks are wrong. The leader's own clock alone would not
- * do: were it the wrong one, all others would look wrong. Members send their wall clocks with their
- * heartbeats; the median of all, the leader's own among them, is the fleet's. The time that a
- * heartbeat was in transit counts as the clock's lag, some ms on a local network.
+ * Computes the wall clock of a fleet in which some clocks may be wrong. The clock of the leader is
+ * not sufficient: if it were the wrong one, all other clocks would look wrong. Members send their
+ * wall clock time with their heartbeats, and the median of all clocks, including the leader's, is
+ * the time of the fleet. The transit time of a heartbeat makes a member's clock look slow by that
+ * time, some ms on a local network.
  *
- * <p>Kept by the leader, on the state loop.
+ * <p>Maintained by the leader, on the state loop.
  */
 public final class ClockMedian {
     private final Map<String, Long> offsetsMs = new TreeMap<>();
 
-    /** A member's clock showed {@code memberMs} when the leader's showed {@code leaderMs}. */
+    /**
+     * Records that the clock of a member showed {@code memberMs} when the leader's showed {@code
+     * leaderMs}.
+     */
     public void recordOffset(String member, long memberMs, long leaderMs) {
         offsetsMs.put(member, memberMs - leaderMs);
     }
 
-    /** Forgets all members but these. */
+    /** Removes the offsets of all members except these. */
     public void retainMembers(Collection<String> members) {
         offsetsMs.keySet().retainAll(members);
     }
 
-    /** Forgets all offsets: a new leader has to hear the members itself. */
+    /** Removes all offsets: a new leader must first receive heartbeats from the members. */
     public void clear() {
         offsetsMs.clear();
     }
 
     /**
-     * Whether the clocks of more than half of {@code memberCount} members are known, the leader's
-     * own among them; fewer do not show which clock is wrong.
+     * Returns whether the clocks of more than half of {@code memberCount} members are known,
+     * including the leader's. With fewer clocks it cannot be determined which one is wrong.
      */
     public boolean hasQuorum(String leader, int memberCount) {
         long others = offsetsMs.keySet().stream().filter(name -> !name.equals(leader)).count();
@@ -41,8 +45,8 @@
     }
 
     /**
-     * By how much the fleet's clock is ahead of the leader's, ms; of two middle offsets the one
-     * nearer to the leader's clock.
+     * Returns by how many ms the fleet's clock is ahead of the leader's. Of two middle offsets, it
+     * is the one closer to the leader's clock.
      */
     public long medianOffsetMs(String leader) {
         LongStream others =
--- a/src/main/java/reeldeal/fleet/membership/LeaseTable.java
+++ b/src/main/java/reeldeal/fleet/membership/LeaseTable.java
@@ -8,9 +8,9 @@
 import reeldeal.fleet.FleetView.Member;
 
 /**
- * The leader's side of the leases, in its memory. A lease ends a whole term after its holder was
- * last heard, and not before this leader has led for a whole term, since it does not know what its
- * predecessor heard.
+ * The leases as the leader tracks them, in memory. A lease expires a whole term after the last
+ * heartbeat of its holder, but not before this leader has led for a whole term, since the
+ * heartbeats that its predecessor received are not known to it.
  *
  * <p>Times are ms of the leader's steady clock. Used on the state loop.
  */
@@ -19,12 +19,13 @@
     private static final long UNKNOWN_TERM_START = Long.MAX_VALUE / 2;
 
     /**
-     * What is known of a holder.
+     * The state of a lease holder.
      *
-     * @param lastHeardAt when it was last heard, or first seen in the log if never
-     * @param appliedVersion the version up to which it has applied the log
-     * @param everHeard whether a heartbeat came under this leader
-     * @param expiring whether the end of its lease is being written
+     * @param lastHeardAt when its last heartbeat was received, or when it was first seen in the log
+     *     if none was
+     * @param appliedVersion the version up to which the holder has applied the log
+     * @param everHeard whether this leader has received a heartbeat from it
+     * @param expiring whether the write that ends its lease is in progress
      */
     private record Holder(
             long incarnation,
@@ -37,18 +38,20 @@
     private final Map<String, Holder> holders = new HashMap<>();
     private long leadingSince = NOT_LEADING;
 
-    /** The table of a node that does not lead yet; {@code termMs} is the term of all leases. */
+    /**
+     * Creates the table of a node that does not lead yet; {@code termMs} is the term of all leases.
+     */
     public LeaseTable(long termMs) {
         this.termMs = termMs;
     }
 
-    /** This node leads from now on; all leases begin a whole term. */
+    /** Starts the leadership of this node; all leases begin a whole term. */
     public void beginLeadership(long now) {
         leadingSince = now;
         holders.clear();
     }
 
-    /** This node leads no more. */
+    /** Ends the leadership of this node. */
     public void endLeadership() {
         leadingSince = NOT_LEADING;
         holders.clear();
@@ -58,15 +61,16 @@
         return leadingSince != NOT_LEADING;
     }
 
-    /** What is known of this incarnation of a member, or null. */
+    /** Returns the state of this incarnation of a member, or null if there is none. */
     private Holder holder(Member member) {
         Holder holder = holders.get(member.name());
         return holder == null || holder.incarnation() != member.incarnation() ? null : holder;
     }
 
     /**
-     * A heartbeat came from a holder that has applied the log up to a version. False where it does
-     * not renew the lease: the incarnation holds none, or its end is being written already.
+     * Records a heartbeat from a holder that has applied the log up to a version. Returns false if
+     * the heartbeat does not renew the lease, because this node does not lead, the incarnation
+     * holds no lease, or the end of the lease is already being written.
      */
     public boolean recordHeartbeat(
             FleetView fleet, String name, long incarnation, long appliedVersion, long now) {
@@ -85,7 +89,7 @@
         return true;
     }
 
-    /** The log has changed: incarnations that are new in it have a whole term from now. */
+    /** Handles a change of the log: incarnations that are new in it get a whole term from now. */
     public void onFleetChanged(FleetView fleet, long now) {
         if (!isLeading()) {
             return;
@@ -98,8 +102,8 @@
     }
 
     /**
-     * The end of a lease is being written: from now on this leader does not renew it, whether that
-     * write succeeds or not.
+     * Marks a lease whose end is being written: this leader no longer renews it, whether that write
+     * succeeds or not.
      */
     public void markExpiring(Member member) {
         Holder known = holders.get(member.name());
@@ -115,7 +119,7 @@
         holders.put(member.name(), expiring);
     }
 
-    /** The members whose term is over and that hold a lease by the log. */
+    /** Returns the members that hold a lease according to the log and whose term has expired. */
     public Set<String> expiredMembers(FleetView fleet, long now) {
         Set<String> expired = new TreeSet<>();
         for (Member member : fleet.members().values()) {
@@ -127,15 +131,18 @@
     }
 
     /**
-     * When a member's term began: when it was last heard, or first seen in the log, or when this
-     * node began to lead, whichever is latest.
+     * Returns when the term of a member began: when its last heartbeat was received (or it was
+     * first seen in the log), or when this node began to lead, whichever is later.
      */
     protected long termStart(Member member) {
         Holder holder = holder(member);
         return holder == null ? UNKNOWN_TERM_START : Math.max(leadingSince, holder.lastHeardAt());
     }
 
-    /** The lease holders that have not reported to have applied the log up to a version. */
+    /**
+     * Returns the lease holders that have not yet reported that they applied the log up to a
+     * version.
+     */
     public Set<String> membersBehind(FleetView fleet, long version) {
         Set<String> behind = new TreeSet<>();
         for (Member member : fleet.members().values()) {
@@ -147,7 +154,10 @@
         return behind;
     }
 
-    /** For how long a member was not heard, ms, or -1 where this leader never heard it. */
+    /**
+     * Returns how long ago the last heartbeat of a member was received, ms, or -1 if this leader
+     * never received one.
+     */
     public long silenceMs(Member member, long now) {
         Holder holder = holder(member);
         return holder == null || !holder.everHeard() ? -1 : now - holder.lastHeardAt();
--- a/src/main/java/reeldeal/fleet/membership/LocalMember.java
+++ b/src/main/java/reeldeal/fleet/membership/LocalMember.java
@@ -17,49 +17,52 @@
 import reeldeal.fleet.disruption.DisruptionBudget;
 
 /**
- * One broker process as a member of the fleet: registers, renews its lease, reports its state and
- * follows drains and restarts. It begins to drain only once the log says that it drains, and
- * reports that it serves only once it does, so that it is never out while the log has it as
- * serving. Its incarnation is read from the log: a write with an unknown outcome is looked up
- * there.
+ * One broker process as a member of the fleet: registers, renews its lease, reports its state, and
+ * executes drains and restarts that were ordered. It begins to drain only after the log has its
+ * state as DRAINING, and reports SERVING only once it accepts clients, so that it is never out of
+ * service while the log has it as serving. Its incarnation is read from the log, which also shows
+ * whether a write with an unknown outcome was committed.
  *
  * <p>A state machine without I/O: inputs are method calls with the time, ms of this node's steady
  * clock; outputs are {@link #drainActions}. Used on the state loop. Protected methods are rules
- * that the simulation overrides to check that it notices.
+ * that the simulation overrides with broken ones, to verify that it detects them.
  */
 public class LocalMember {
-    /** What the caller has to do, in order. */
+    /** An action that the caller must execute, in the order of the list. */
     public sealed interface Action {}
 
-    /** Propose a write; {@link LocalMember#writeEnded} reports its outcome. */
+    /** Proposes a write; the caller reports its outcome with {@link LocalMember#writeEnded}. */
     public record Propose(ConditionalWrite write) implements Action {}
 
-    /** Send a heartbeat to the leader; {@link LocalMember#heartbeatAnswered} reports its answer. */
+    /**
+     * Sends a heartbeat to the leader; the caller reports the answer with {@link
+     * LocalMember#heartbeatAnswered}.
+     */
     public record SendHeartbeat(long incarnation, long sentAtMs, long appliedVersion)
             implements Action {}
 
-    /** Accept no new clients and finish open requests. */
+    /** Stops accepting new clients and completes open requests. */
     public record Drain() implements Action {}
 
-    /** Accept clients again. */
+    /** Accepts clients again. */
     public record Serve() implements Action {}
 
-    /** Shut the process down gracefully. */
+    /** Shuts the process down gracefully. */
     public record Exit(String reason) implements Action {}
 
-    /** Write a line to the log. */
+    /** Writes a line to the process log. */
     public record Log(String line) implements Action {}
 
     /**
-     * The process that is a member.
+     * The attributes of the process that it registers with.
      *
-     * @param name the broker's name, the same for all its processes
-     * @param boot differs for each process
+     * @param name the name of the broker, the same for all its processes
+     * @param boot the unique identifier of the process
      * @param session the process's session in the store
      * @param zone the availability zone
      * @param program the program's version
-     * @param config the version of its configuration
-     * @param starts how many processes were started on its data directory, 0 if not counted
+     * @param config the version of the configuration that the process runs
+     * @param starts how many processes were started on this data directory, 0 if not counted
      */
     public record Identity(
             String name,
@@ -69,7 +72,7 @@
             String program,
             String config,
             long starts) {
-        /** A process whose starts are not counted. */
+        /** Creates the identity of a process whose starts are not counted. */
         public Identity(
                 String name,
                 String boot,
@@ -86,18 +89,18 @@
      *
      * @param termMs the term of leases
      * @param heartbeatMs the interval of heartbeats
-     * @param exitWaitMs how long a process that has to end waits for a permit
+     * @param exitWaitMs how long a process that was asked to terminate waits for a permit
      * @param retryMs the delay after a failed write
      */
     public record Timing(long termMs, long heartbeatMs, long exitWaitMs, long retryMs) {
-        /** The durations where the configuration gives none. */
+        /** The default durations. */
         public static final Timing DEFAULT = new Timing(6_000, 1_000, 10_000, 500);
     }
 
-    /** The store's prefix of keys that keep a session from being forgotten; the session follows. */
+    /** The prefix of the keys that make the store keep a session, followed by the session. */
     public static final String SESSION_PREFIX = "session/";
 
-    /** How many retry delays a process waits beyond the permit's time before it ends anyway. */
+    /** How many retry delays a process waits after the permit deadline before it exits anyway. */
     private static final int EXIT_GRACE_RETRIES = 4;
 
     private final Identity identity;
@@ -106,31 +109,31 @@
     private final Lease lease;
     private final List<Action> actions = new ArrayList<>();
 
-    // As the store's copy says.
+    // The state in this node's copy of the store.
     private FleetView fleet;
     private Set<String> voters = Set.of();
     private long appliedVersion;
-    private boolean isCurrent;
+    private boolean isCopyCurrent;
     private boolean wasRegistered;
     private boolean superseded;
     private long lastSerial = -1;
     private long grantSeenAt = Long.MIN_VALUE / 2;
 
-    // This process.
-    private boolean ready;
+    // The state of this process.
+    private boolean acceptsClients;
     private boolean isDraining;
     private boolean deregistered;
     private long nextHeartbeatAt = Long.MIN_VALUE;
     private boolean writeInProgress;
     private long nextWriteAt = Long.MIN_VALUE;
 
-    // Its exit.
+    // The exit of this process.
     private boolean terminating;
     private long permitDeadline = Long.MAX_VALUE;
     private boolean unplannedExit;
     private boolean exitOrdered;
 
-    /** A member that has not registered yet. */
+    /** Creates a member that has not registered yet. */
     public LocalMember(Identity identity, Timing timing, DisruptionBudget budget) {
         this.identity = identity;
         this.timing = timing;
@@ -138,7 +141,7 @@
         this.lease = createLease(timing.termMs());
     }
 
-    /** The holder's side of the lease. */
+    /** Creates the lease of this process. */
     protected Lease createLease(long termMs) {
         return new Lease(termMs);
     }
@@ -146,14 +149,14 @@
     // ---- inputs ----
 
     /**
-     * The node's copy of the store is at a version.
+     * Handles a new version of this node's copy of the store.
      *
-     * @param groupHeard whether the copy is current, as opposed to one read from disk
+     * @param copyCurrent whether the copy is up to date, rather than read from disk at the start
      */
-    public void onFleetChanged(long now, FleetView newFleet, long version, boolean groupHeard) {
+    public void onFleetChanged(long now, FleetView newFleet, long version, boolean copyCurrent) {
         fleet = newFleet;
         appliedVersion = version;
-        isCurrent = groupHeard;
+        isCopyCurrent = copyCurrent;
         long serial = newFleet.version(FleetView.SERIAL);
         if (serial != lastSerial) {
             lastSerial = serial;
@@ -162,31 +165,34 @@
         tick(now);
     }
 
-    /** The store's voters, a majority of which must stay. */
+    /** Sets the voters of the store, a majority of which must remain available. */
     public void setVoters(Set<String> newVoters) {
         voters = newVoters;
     }
 
-    /** The broker accepts clients. */
+    /** Records that the broker accepts clients. */
     public void onReady(long now) {
-        ready = true;
+        acceptsClients = true;
         tick(now);
     }
 
-    /** A write has ended; one that failed or has an unknown outcome is decided again later. */
+    /**
+     * Handles the end of a write. If it failed or its outcome is unknown, the next write is decided
+     * after a delay.
+     */
     public void writeEnded(long now, boolean committed) {
         writeInProgress = false;
         nextWriteAt = now + (committed ? 0 : timing.retryMs());
         tick(now);
     }
 
-    /** The leader answered a heartbeat that this incarnation sent at {@code sentAt}. */
+    /** Renews the lease for a heartbeat, sent at {@code sentAt}, that the leader answered. */
     public void heartbeatAnswered(long now, long incarnation, long sentAt) {
         lease.renew(incarnation, sentAt);
         tick(now);
     }
 
-    /** SIGTERM: the process requests a permit, and ends without one after a while. */
+    /** Handles SIGTERM: the process requests a permit, and exits without one after the timeout. */
     public void terminate(long now) {
         if (!terminating) {
             terminating = true;
@@ -195,7 +201,7 @@
         tick(now);
     }
 
-    /** The actions that have accumulated since the last call, in order. */
+    /** Returns the actions that have accumulated since the last call, in order, and clears them. */
     public List<Action> drainActions() {
         List<Action> drained = List.copyOf(actions);
         actions.clear();
@@ -204,75 +210,78 @@
 
     // ---- state ----
 
-    /** This process as the log has it, or null while it has not registered. */
+    /** Returns the member entry of this process in the log, or null if it has not registered. */
     public Member member() {
         Member listed = fleet == null ? null : fleet.members().get(identity.name());
         return listed != null && listed.boot().equals(identity.boot()) ? listed : null;
     }
 
-    /** This process as the log has it where it may act under its lease, otherwise null. */
+    /** Returns the member entry of this process if it may act under its lease, otherwise null. */
     private Member leaseHolder() {
-        Member me = member();
-        return me != null && me.hasLease() && !deregistered ? me : null;
+        Member self = member();
+        return self != null && self.hasLease() && !deregistered ? self : null;
     }
 
-    /** Whether it surely holds its lease. */
+    /** Returns whether this process is certain to hold its lease. */
     public boolean holdsLease(long now) {
-        Member me = leaseHolder();
-        return me != null && lease.isValid(me.incarnation(), now);
+        Member self = leaseHolder();
+        return self != null && lease.isValid(self.incarnation(), now);
     }
 
-    /** Until when it surely holds its lease; {@code Long.MIN_VALUE} where it does not. */
+    /**
+     * Returns until when this process is certain to hold its lease; {@code Long.MIN_VALUE} if it
+     * does not hold it.
+     */
     public long leaseUntil() {
-        Member me = leaseHolder();
-        return me == null ? Long.MIN_VALUE : lease.expiresAt(me.incarnation());
+        Member self = leaseHolder();
+        return self == null ? Long.MIN_VALUE : lease.expiresAt(self.incarnation());
     }
 
-    /** Its availability zone. */
+    /** Returns the availability zone of this process. */
     public String zone() {
         return identity.zone();
     }
 
-    /** Its incarnation, 0 while it has none. */
+    /** Returns the incarnation of this process, 0 if it has not registered. */
     public long incarnation() {
-        Member me = member();
-        return me == null ? 0 : me.incarnation();
+        Member self = member();
+        return self == null ? 0 : self.incarnation();
     }
 
-    /** Whether it has begun to drain. */
+    /** Returns whether this process has begun to drain. */
     public boolean isDraining() {
         return isDraining;
     }
 
     // ---- decisions ----
 
-    /** Time has passed. */
+    /** Advances the state machine to the current time, and decides the next actions. */
     public void tick(long now) {
         if (fleet == null || superseded) {
             return;
         }
-        Member me = member();
-        if (me == null && wasRegistered && fleet.members().containsKey(identity.name())) {
+        Member self = member();
+        if (self == null && wasRegistered && fleet.members().containsKey(identity.name())) {
             onSuperseded();
             return;
         }
-        wasRegistered |= me != null;
-        if (me != null && now >= nextHeartbeatAt) {
+        wasRegistered |= self != null;
+        if (self != null && now >= nextHeartbeatAt) {
             nextHeartbeatAt = now + timing.heartbeatMs();
-            actions.add(new SendHeartbeat(me.incarnation(), now, appliedVersion));
+            actions.add(new SendHeartbeat(self.incarnation(), now, appliedVersion));
         }
         if (exitOrdered) {
-            return; // heartbeats go on until the process has ended
+            return; // only heartbeats continue until the process has ended
         }
-        followOrders(me);
-        if (isCurrent && !writeInProgress && now >= nextWriteAt) {
-            if (me == null || me.state() == State.LAPSED) {
+        followOrders(self);
+        if (isCopyCurrent && !writeInProgress && now >= nextWriteAt) {
+            if (self == null || self.state() == State.LAPSED) {
                 register();
             } else {
-                reportState(now, me);
+                reportState(now, self);
             }
         }
-        exitIfOverdue(now, me);
+        exitIfOverdue(now, self);
     }
 
     private void onSuperseded() {
@@ -283,43 +292,49 @@
                                 + identity.name()
                                 + ", incarnation "
                                 + fleet.members().get(identity.name()).incarnation()
-                                + "; this one writes no more"));
+                                + "; this process no longer writes to the store"));
     }
 
-    private void followOrders(Member me) {
-        if (me == null) {
+    private void followOrders(Member self) {
+        if (self == null) {
             return;
         }
-        if (mayDrain(me) && !isDraining) {
+        if (mayDrain(self) && !isDraining) {
             isDraining = true;
             actions.add(new Drain());
         }
         Step step = fleet.steps().get(identity.name());
         Release release = fleet.release();
         if (step != null
-                && mayRestart(step, me)
+                && mayRestart(step, self)
                 && release != null
                 && release.kind() == Kind.BROKER) {
             exit("release " + release.id() + " restarts it");
         }
     }
 
-    /** Whether the log orders this process to drain. */
+    /** Returns whether a drain of this process is ordered in the log. */
     protected boolean isDrainOrdered() {
         return fleet != null
                 && identity.boot().equals(fleet.drainMark(Kind.BROKER, identity.name()));
     }
 
-    /** Nobody drains while the log has it as serving: its own report comes first. */
-    protected boolean mayDrain(Member me) {
-        return me.state() == State.DRAINING && (terminating || isDrainOrdered());
+    /**
+     * Returns whether this process may begin to drain. It must report DRAINING first, so that no
+     * process drains while the log has it as serving.
+     */
+    protected boolean mayDrain(Member self) {
+        return self.state() == State.DRAINING && (terminating || isDrainOrdered());
     }
 
-    /** A restart is ordered for one process: its successor must not end for it again. */
-    protected boolean mayRestart(Step step, Member me) {
+    /**
+     * Returns whether a restart of this process is ordered. The order names one process, so that
+     * its successor is not restarted again.
+     */
+    protected boolean mayRestart(Step step, Member self) {
         return step.stage() == Stage.RESTART
                 && step.processMark().equals(identity.boot())
-                && me.state() == State.DRAINING;
+                && self.state() == State.DRAINING;
     }
 
     private void exit(String reason) {
@@ -329,17 +344,17 @@
         }
     }
 
-    /** Ends the process where no permit came or the store is out of reach, as unplanned. */
-    private void exitIfOverdue(long now, Member me) {
+    /** Exits, unplanned, if no permit was granted in time or the store is unreachable. */
+    private void exitIfOverdue(long now, Member self) {
         if (!terminating || now < permitDeadline + timing.retryMs() * EXIT_GRACE_RETRIES) {
             return;
         }
-        boolean storeUnreachable = me == null || !isCurrent;
+        boolean storeUnreachable = self == null || !isCopyCurrent;
         exit(
-                "told to end, unplanned: "
+                "terminated, unplanned: "
                         + (storeUnreachable
-                                ? "the store is not in reach"
-                                : "no permit in " + timing.exitWaitMs() + " ms"));
+                                ? "the store is unreachable"
+                                : "no exit permit within " + timing.exitWaitMs() + " ms"));
     }
 
     private void propose(ConditionalWrite write) {
@@ -352,7 +367,7 @@
         ConditionalWrite write =
                 ConditionalWrite.because(
                                 identity.name()
-                                        + " registers, program "
+                                        + " registers with program "
                                         + identity.program()
                                         + ", configuration "
                                         + identity.config())
@@ -381,7 +396,7 @@
                 crashedIncarnation(previous));
     }
 
-    /** The incarnation of the preceding process where that did not deregister, otherwise 0. */
+    /** Returns the incarnation of the preceding process if it did not deregister, otherwise 0. */
     private long crashedIncarnation(Member previous) {
         if (previous == null) {
             return 0;
@@ -392,35 +407,38 @@
         return previous.state() == State.GONE ? 0 : previous.incarnation();
     }
 
-    /** Brings the state in the log in line with what this process does, or is to do. */
-    private void reportState(long now, Member me) {
-        boolean mayEnd = unplannedExit || hasPermit(me);
+    /**
+     * Proposes a write that brings the state in the log in line with the state of this process, and
+     * requests a permit to exit if needed.
+     */
+    private void reportState(long now, Member self) {
+        boolean mayEnd = unplannedExit || hasPermit(self);
         boolean shouldDrain = (terminating && mayEnd) || isDrainOrdered();
-        boolean shouldServe = !shouldDrain && ready;
-        if (terminating && !mayEnd && me.state() != State.DRAINING) {
+        boolean shouldServe = !shouldDrain && acceptsClients;
+        if (terminating && !mayEnd && self.state() != State.DRAINING) {
             requestPermit(now);
             if (writeInProgress) {
                 return;
             }
         }
-        if (shouldDrain && me.state() != State.DRAINING) {
+        if (shouldDrain && self.state() != State.DRAINING) {
             String reason =
                     unplannedExit ? "unplanned: no permit in " + timing.exitWaitMs() + " ms" : "";
-            propose(fleet.stateWrite(me, State.DRAINING, reason));
-        } else if (shouldServe && me.state() != State.SERVING) {
+            propose(fleet.stateWrite(self, State.DRAINING, reason));
+        } else if (shouldServe && self.state() != State.SERVING) {
             if (isDraining) {
-                isDraining = false; // it serves before it reports so
+                isDraining = false; // it serves before it reports SERVING
                 actions.add(new Serve());
             }
-            propose(fleet.stateWrite(me, State.SERVING, ""));
-        } else if (terminating && me.state() == State.DRAINING) {
-            exit(unplannedExit ? "told to end, unplanned" : "told to end, with a permit");
+            propose(fleet.stateWrite(self, State.SERVING, ""));
+        } else if (terminating && self.state() == State.DRAINING) {
+            exit(unplannedExit ? "terminated, unplanned" : "terminated, with a permit");
         }
     }
 
-    private boolean hasPermit(Member me) {
+    private boolean hasPermit(Member self) {
         Permit permit = fleet.permits(Kind.BROKER).get(identity.name());
-        return permit != null && permit.processMark().equals(me.boot());
+        return permit != null && permit.processMark().equals(self.boot());
     }
 
     private void requestPermit(long now) {
@@ -445,32 +463,36 @@
     }
 
     /**
-     * The last write of a process that has drained, or null where it holds no lease. Once that is
-     * committed others may take over its requests, so that the process acts under its lease no more
-     * from this call on.
+     * Returns the last write of a process that has drained, or null if it holds no lease. Once the
+     * write is committed, other brokers may take over its requests; therefore the process no longer
+     * acts under its lease after this call.
      */
     public ConditionalWrite deregistration() {
         deregistered = true;
-        Member me = member();
-        if (me == null || !me.hasLease()) {
+        Member self = member();
+        if (self == null || !self.hasLease()) {
             return null;
         }
-        return fleet.stateWrite(me, State.GONE, unplannedExit ? "unplanned" : "")
+        return fleet.stateWrite(self, State.GONE, unplannedExit ? "unplanned" : "")
                 .put(SESSION_PREFIX + identity.session(), null);
     }
 
-    /** One line for operators: the name, the state, and whether it is fenced. */
+    /**
+     * Returns a status line for operators: the name, the state, and whether the process is fenced.
+     */
     public String describe(long now) {
         return identity.name() + " " + describeState(member()) + (holdsLease(now) ? "" : " fenced");
     }
 
-    private String describeState(Member me) {
+    private String describeState(Member self) {
         if (superseded) {
             return "superseded";
         }
-        if (me == null) {
+        if (self == null) {
             return "unregistered";
         }
-        return me.state().stored().toLowerCase(Locale.ROOT) + " incarnation=" + me.incarnation();
+        return self.state().stored().toLowerCase(Locale.ROOT)
+                + " incarnation="
+                + self.incarnation();
     }
 }
--- a/src/main/java/reeldeal/fleet/package-info.java
+++ b/src/main/java/reeldeal/fleet/package-info.java
@@ -1,11 +1,12 @@
 /**
- * What all nodes agree on about the fleet: {@link reeldeal.fleet.FleetView} is the stored state at
- * one version, {@link reeldeal.fleet.FleetCodec} its stored form, {@link
- * reeldeal.fleet.ConditionalWrite} a decision that depends on versions. The packages below hold the
- * decisions.
+ * The replicated state of the fleet: {@link reeldeal.fleet.FleetView} is the stored state at one
+ * version, {@link reeldeal.fleet.FleetCodec} encodes and decodes its values, and {@link
+ * reeldeal.fleet.ConditionalWrite} is a change that is applied only at the versions it was based
+ * on. The subpackages decide which changes to make.
  *
- * <p>No I/O, no clock and no threads: time is an argument, writes are returned as values. All but
- * {@code fleet.node} import only other packages of the fleet and the JDK. Instances belong to the
- * thread that created them; the running program uses them on the state loop.
+ * <p>The code does no I/O, reads no clock and starts no threads: time is passed as an argument, and
+ * writes are returned as values. All packages except {@code fleet.node} import only other fleet
+ * packages and the JDK. Instances belong to the thread that created them; the running program uses
+ * them on the state loop.
  */
 package reeldeal.fleet;
--- a/src/main/java/reeldeal/fleet/rollout/HaltRules.java
+++ b/src/main/java/reeldeal/fleet/rollout/HaltRules.java
@@ -10,19 +10,19 @@
 import reeldeal.fleet.disruption.DisruptionBudget;
 import reeldeal.fleet.rollout.RolloutController.MemberObservations;
 
-/** What halts a running release until an operator resumes it or rolls it back. */
+/** The rules that halt a running release until an operator resumes it or rolls it back. */
 public class HaltRules {
-    /** A release does not go on by itself after a longer time without a leader, ms. */
+    /** The time without a leader, ms, from which on a release is not continued automatically. */
     public static final long MAX_LEADERLESS_MS = 10_000;
 
     private final BudgetLimits limits;
 
-    /** Rules that halt where these limits are exceeded. */
+    /** Creates rules that halt a release if these limits are exceeded, among other reasons. */
     public HaltRules(BudgetLimits limits) {
         this.limits = limits;
     }
 
-    /** Why the running release has to halt, or null. */
+    /** Returns why the running release must halt, or null if it may continue. */
     protected String haltReason(
             FleetView fleet,
             DisruptionBudget.Observations observations,
@@ -61,15 +61,18 @@
         };
     }
 
-    /** Says that a broker restarted with another version than it was to have, or null. */
+    /**
+     * Returns a description of a broker that restarted with another version than expected, or null.
+     */
     private static String wrongVersion(FleetView fleet, Step step) {
         Release release = fleet.release();
-        if (release.kind() != Kind.BROKER || !isVersionDue(fleet, step)) {
+        if (release.kind() != Kind.BROKER || !isVersionExpected(fleet, step)) {
             return null;
         }
         String actual = RolloutOrders.versionOf(release, fleet.members().get(step.name()));
         String expected = step.rollingBack() ? step.previousVersion() : release.targetVersion();
-        // One that was restarting when the rollback was ordered may have taken the new version.
+        // A broker that was already restarting when the rollback was ordered may run the new
+        // version.
         boolean tookNewVersion =
                 step.rollingBack()
                         && step.stage() == Stage.BACK
@@ -86,8 +89,11 @@
                 + expected;
     }
 
-    /** A settled broker counts too: it may have crashed and started with any version. */
-    private static boolean isVersionDue(FleetView fleet, Step step) {
+    /**
+     * Returns whether a broker should have the version of its step by now. This includes settled
+     * brokers, which may have crashed and restarted with any version.
+     */
+    private static boolean isVersionExpected(FleetView fleet, Step step) {
         return switch (step.stage()) {
             case BACK -> fleet.processMark(Kind.BROKER, step.name()).equals(step.processMark());
             case SETTLED -> fleet.members().containsKey(step.name());
--- a/src/main/java/reeldeal/fleet/rollout/RolloutController.java
+++ b/src/main/java/reeldeal/fleet/rollout/RolloutController.java
@@ -13,45 +13,48 @@
 import reeldeal.fleet.disruption.DisruptionBudget;
 
 /**
- * Carries a release on for the leader. The release and its steps are in the store; each write
- * expects the release's version, so that a halt in the log stops whatever was decided before it,
- * and the step's, so that each step is taken once whoever leads. A rollback is the same state
- * machine over the members that were changed, the last wave first.
+ * Advances a release at the leader. The release and its steps are in the store. Each write expects
+ * the version of the release, so that a halt in the log invalidates all earlier decisions, and the
+ * version of the step, so that each step is taken once even if the leader changes. A rollback is
+ * the same state machine applied to the members that were changed, beginning with the last wave.
  *
  * <p>Stateless apart from its rules; used on the state loop.
  */
 public class RolloutController {
 
-    /** What the leader has observed beside the store. */
+    /** The observations of the leader that are not in the store. */
     public interface MemberObservations {
-        /** Whether all lease holders have reported to have applied the log up to a version. */
+        /**
+         * Returns whether all lease holders have reported that they applied the log up to a
+         * version.
+         */
         boolean acknowledged(long version);
 
-        /** For how long this leader has seen a step at its present stage, ms. */
+        /** Returns how long this leader has seen a step at its current stage, ms. */
         long stageMs(Step step);
 
-        /** What is measurably worse in the members that were changed, or null. */
+        /** Returns a description of what is measurably worse on the changed members, or null. */
         String healthRegression();
 
-        /** For how long nobody led before this leader did, ms. */
+        /** Returns how long there was no leader before this one, ms. */
         long leaderlessMs();
     }
 
     private final HaltRules haltRules;
     private final StepRules stepRules;
 
-    /** The controller with the rules that hold. */
+    /** Creates a controller with the production rules. */
     public RolloutController(DisruptionBudget budget) {
         this(new HaltRules(budget.limits()), new StepRules(budget));
     }
 
-    /** The controller with rules of its own. */
+    /** Creates a controller with the given rules. */
     public RolloutController(HaltRules haltRules, StepRules stepRules) {
         this.haltRules = haltRules;
         this.stepRules = stepRules;
     }
 
-    /** The writes that are due now; each expects all versions that it was decided from. */
+    /** Returns the writes that are due now; each expects all versions that it was based on. */
     public List<ConditionalWrite> nextWrites(
             FleetView fleet,
             DisruptionBudget.Observations observations,
@@ -115,7 +118,7 @@
         return List.of(RolloutOrders.changeProgress(fleet, Progress.DONE, reason));
     }
 
-    /** The members that run what the release brings, to be compared with the others. */
+    /** Returns the members that run the released version, to be compared with the others. */
     public static Set<String> changedMembers(FleetView fleet) {
         Set<String> changed = new TreeSet<>();
         for (Step step : fleet.steps().values()) {
--- a/src/main/java/reeldeal/fleet/rollout/RolloutHealth.java
+++ b/src/main/java/reeldeal/fleet/rollout/RolloutHealth.java
@@ -7,15 +7,15 @@
 import java.util.Set;
 
 /**
- * Whether the members that a release has changed do worse than the others. Three shares are
- * compared over the last {@link #WINDOW_MS}: late answers, rejected requests, failed attempts. A
- * share is worse where both groups have at least {@link #MIN_EVENTS} events, it is higher by more
- * than {@link #MIN_DIFFERENCE}, and a test of two proportions with a pooled variance gives more
- * than {@link #MIN_STANDARD_ERRORS} standard errors (one-sided, 1 in 2,000 by chance). Only {@link
- * #REQUIRED_FINDINGS} findings in a row count, {@link #EVALUATION_INTERVAL_MS} apart, so that one
- * bad second makes none.
+ * Detects whether the members that a release has changed perform worse than the others. Three
+ * shares are compared over the last {@link #WINDOW_MS}: late answers, rejected requests and failed
+ * attempts. A share counts as worse if both groups have at least {@link #MIN_EVENTS} events, the
+ * share is higher by more than {@link #MIN_DIFFERENCE}, and a two-proportion test with a pooled
+ * variance gives more than {@link #MIN_STANDARD_ERRORS} standard errors (one-sided, 1 in 2,000 by
+ * chance). A regression is reported after {@link #REQUIRED_FINDINGS} consecutive findings, {@link
+ * #EVALUATION_INTERVAL_MS} apart, so that a single bad second is not reported.
  *
- * <p>In the leader's memory, used on the state loop. Times are ms of its steady clock.
+ * <p>Held in the memory of the leader and used on the state loop. Times are ms of its steady clock.
  */
 public final class RolloutHealth {
     static final long WINDOW_MS = 30_000;
@@ -28,13 +28,13 @@
     private static final Counts ZERO = new Counts(0, 0, 0, 0, 0);
 
     /**
-     * What a broker has counted since it started.
+     * The counters of a broker since it started.
      *
-     * @param requests requests that came, rejected ones included
-     * @param late answers later than the objective
+     * @param requests all received requests, including rejected ones
+     * @param late answers that exceeded the latency objective
      * @param rejected requests that were shed
-     * @param attempts attempts at searchers
-     * @param failed failed attempts
+     * @param attempts shard requests sent to searchers
+     * @param failed attempts that failed
      */
     public record Counts(long requests, long late, long rejected, long attempts, long failed) {
         Counts minus(Counts other) {
@@ -56,7 +56,7 @@
         }
     }
 
-    private record Sample(long at, Counts counts) {}
+    private record Sample(long takenAt, Counts counts) {}
 
     /** The recent samples of one process, the oldest first. */
     private static final class History {
@@ -74,50 +74,52 @@
         }
     }
 
-    private final Map<String, History> members = new HashMap<>();
+    private final Map<String, History> histories = new HashMap<>();
     private long nextEvaluationAt = Long.MIN_VALUE;
-    private int findingsInARow;
+    private int consecutiveFindings;
     private String finding;
 
-    /** A heartbeat brought a member's counts; those of a new process begin at zero. */
+    /**
+     * Records the counters of a member from its heartbeat; those of a new process begin at zero.
+     */
     public void record(String name, String boot, long now, Counts counts) {
-        History history = members.get(name);
+        History history = histories.get(name);
         if (history == null || !history.boot.equals(boot)) {
             history = new History(boot);
             history.samples.add(new Sample(now, ZERO));
-            members.put(name, history);
+            histories.put(name, history);
         }
         ArrayDeque<Sample> samples = history.samples;
         samples.add(new Sample(now, counts));
-        while (samples.size() > 2 && now - samples.peek().at() > WINDOW_MS) {
+        while (samples.size() > 2 && now - samples.peek().takenAt() > WINDOW_MS) {
             samples.poll();
         }
     }
 
     /**
-     * What is worse in the changed members, by several findings in a row, or null. May be called as
-     * often as one likes: it evaluates every {@link #EVALUATION_INTERVAL_MS}.
+     * Returns what is worse on the changed members after enough consecutive findings, or null. May
+     * be called at any rate: it evaluates the shares every {@link #EVALUATION_INTERVAL_MS} only.
      */
     public String regression(Set<String> changed, Set<String> others, long now) {
         if (now >= nextEvaluationAt) {
             nextEvaluationAt = now + EVALUATION_INTERVAL_MS;
             finding = compare(sum(changed), sum(others));
-            findingsInARow = finding == null ? 0 : findingsInARow + 1;
+            consecutiveFindings = finding == null ? 0 : consecutiveFindings + 1;
         }
-        return findingsInARow >= REQUIRED_FINDINGS ? finding : null;
+        return consecutiveFindings >= REQUIRED_FINDINGS ? finding : null;
     }
 
-    /** Forgets all, at the beginning of a leadership. */
+    /** Clears all counters and findings, at the beginning of a leadership. */
     public void clear() {
-        members.clear();
-        findingsInARow = 0;
+        histories.clear();
+        consecutiveFindings = 0;
         finding = null;
     }
 
     private Counts sum(Set<String> names) {
         Counts sum = ZERO;
         for (String name : names) {
-            History history = members.get(name);
+            History history = histories.get(name);
             if (history != null) {
                 sum = sum.plus(history.countsInWindow());
             }
@@ -154,7 +156,10 @@
                 others.attempts());
     }
 
-    /** Describes a share that is significantly higher in the changed members, otherwise null. */
+    /**
+     * Returns a description of a share that is significantly higher on the changed members, or null
+     * if it is not.
+     */
     static String compareShares(
             String description, long badChanged, long allChanged, long badOthers, long allOthers) {
         if (allChanged < MIN_EVENTS || allOthers < MIN_EVENTS) {
@@ -163,10 +168,11 @@
         double changed = (double) badChanged / allChanged;
         double others = (double) badOthers / allOthers;
         double pooled = (double) (badChanged + badOthers) / (allChanged + allOthers);
-        double error = Math.sqrt(pooled * (1 - pooled) * (1.0 / allChanged + 1.0 / allOthers));
+        double standardError =
+                Math.sqrt(pooled * (1 - pooled) * (1.0 / allChanged + 1.0 / allOthers));
         double difference = changed - others;
         boolean isSignificant =
-                difference > MIN_DIFFERENCE && difference > MIN_STANDARD_ERRORS * error;
+                difference > MIN_DIFFERENCE && difference > MIN_STANDARD_ERRORS * standardError;
         if (!isSignificant) {
             return null;
         }
--- a/src/main/java/reeldeal/fleet/rollout/RolloutOrders.java
+++ b/src/main/java/reeldeal/fleet/rollout/RolloutOrders.java
@@ -13,15 +13,16 @@
 import reeldeal.fleet.FleetView.Step;
 
 /**
- * Writes that plan a release and that move it as a whole: by an operator's order, at its end, and
- * when it halts. Each expects the release as it was seen. Stateless, callable from any thread.
+ * Creates the writes that plan a release and that change its state as a whole: on an operator's
+ * order, when it completes, and when it halts. Each write expects the version of the release that
+ * was read. Stateless, callable from any thread.
  */
 public final class RolloutOrders {
     private static final int FIRST_WAVE = 1;
 
     private RolloutOrders() {}
 
-    /** The write that moves the current release to another state. */
+    /** Returns the write that moves the current release to another state. */
     public static ConditionalWrite changeProgress(
             FleetView fleet, Progress progress, String reason) {
         Release release = fleet.release();
@@ -38,12 +39,11 @@
                         FleetCodec.encode(release.with(release.rollingBack(), progress, reason)));
     }
 
-    /** The write that rolls the current release back, on the members that it has changed so far. */
+    /** Returns the write that rolls back the current release on the members changed so far. */
     public static ConditionalWrite rollBack(FleetView fleet, String reason) {
         Release release = fleet.release();
         ConditionalWrite write =
-                ConditionalWrite.because(
-                                "release " + release.id() + " goes the way back: " + reason)
+                ConditionalWrite.because("release " + release.id() + " rolls back: " + reason)
                         .expect(FleetView.RELEASE, release.version())
                         .put(
                                 FleetView.RELEASE,
@@ -56,32 +56,35 @@
         return write;
     }
 
-    /** A member's first stage of the way back; adds to the write what belongs to that stage. */
+    /**
+     * Returns the first stage of a member in a rollback, and adds the changes that belong to that
+     * stage to the write.
+     */
     private static Step rollBackStep(FleetView fleet, Step step, ConditionalWrite write) {
         Release release = fleet.release();
         return switch (step.stage()) {
-            case WAITING -> step.at(Stage.UNTOUCHED, true);
+            case WAITING -> step.withStage(Stage.UNTOUCHED, true);
             case DRAIN -> {
                 String drainKey = FleetView.drainKey(release.kind(), step.name());
                 write.expect(drainKey, fleet.version(drainKey)).put(drainKey, null);
-                yield step.at(Stage.UNDRAIN, true);
+                yield step.withStage(Stage.UNDRAIN, true);
             }
             case RESTART -> {
                 if (release.isBrokerConfig()) {
                     write.put(FleetView.TARGET + step.name(), step.previousVersion());
                 }
-                yield step.at(Stage.RESTART, true);
+                yield step.withStage(Stage.RESTART, true);
             }
-            case BACK, SETTLED -> step.at(Stage.WAITING, true);
+            case BACK, SETTLED -> step.withStage(Stage.WAITING, true);
             case UNDRAIN, UNTOUCHED -> step;
         };
     }
 
     /**
-     * The write that plans a release; it replaces one that was planned or is done.
+     * Returns the write that plans a release; it replaces a release that is planned or done.
      *
-     * @param members the members in the order of their turn
-     * @param waveSizes how many members each wave has; the last size is repeated
+     * @param members the members in the order in which they are changed
+     * @param waveSizes the number of members of each wave; the last size is repeated
      */
     public static ConditionalWrite plan(
             FleetView fleet, Release release, List<String> members, List<Integer> waveSizes) {
@@ -112,14 +115,17 @@
             }
             remaining--;
             Member member = fleet.members().get(name);
-            String from = release.kind() == Kind.BROKER ? versionOf(release, member) : "";
-            Step step = new Step(name, wave, false, Stage.WAITING, "", from, 0);
+            String previousVersion =
+                    release.kind() == Kind.BROKER ? versionOf(release, member) : "";
+            Step step = new Step(name, wave, false, Stage.WAITING, "", previousVersion, 0);
             write.put(FleetView.STEP + name, FleetCodec.encode(step));
         }
         return write;
     }
 
-    /** The version of the released artifact that a broker has, "" where it has not registered. */
+    /**
+     * Returns the version of the released artifact that a broker runs, "" if it has not registered.
+     */
     static String versionOf(Release release, Member member) {
         if (member == null) {
             return "";
--- a/src/main/java/reeldeal/fleet/rollout/StepRules.java
+++ b/src/main/java/reeldeal/fleet/rollout/StepRules.java
@@ -15,29 +15,35 @@
 import reeldeal.fleet.rollout.RolloutController.MemberObservations;
 
 /**
- * The stages of one member in a release: waiting, drain (under its permit), restart, back, settled;
- * undrain and untouched for one whose drain was taken back. Each method returns the write that
- * moves one member on, or null where it stays.
+ * Decides the stages of one member in a release: waiting, drain (with a permit), restart, back,
+ * settled; undrain and untouched for a member whose drain was cancelled. Each method returns the
+ * write that advances one member, or null if it stays at its stage.
  */
 public class StepRules {
     private final DisruptionBudget budget;
 
-    /** Rules that request their permits from this budget. */
+    /** Creates rules that request permits from this budget. */
     public StepRules(DisruptionBudget budget) {
         this.budget = budget;
     }
 
-    /** Whatever was decided before a halt must not happen after it. */
+    /**
+     * Adds the version of the release as a precondition, so that no decision made before a halt is
+     * carried out after it.
+     */
     protected void expectRelease(Release release, ConditionalWrite write) {
         write.expect(FleetView.RELEASE, release.version());
     }
 
-    /** Whether all that could still send to a member have applied a version that has its drain. */
+    /**
+     * Returns whether all brokers that could still send requests to a member have applied the
+     * version that contains its drain.
+     */
     protected boolean isDrainAcknowledged(MemberObservations memberObservations, long version) {
         return memberObservations.acknowledged(version);
     }
 
-    private ConditionalWrite write(Release release, Step changed, String description) {
+    private ConditionalWrite stepWrite(Release release, Step changed, String description) {
         String key = FleetView.STEP + changed.name();
         ConditionalWrite write =
                 ConditionalWrite.because(
@@ -54,8 +60,9 @@
     }
 
     /**
-     * A member whose permit is released by evidence of its return, after its restart or where its
-     * drain was taken back. Not bound to the release's version: evidence counts while it is halted.
+     * Releases the permit of a member on evidence of its return, after its restart or after its
+     * drain was cancelled. Does not expect the version of the release: evidence also counts while
+     * the release is halted.
      */
     ConditionalWrite completeReturn(
             FleetView fleet, DisruptionBudget.Observations observations, Step step) {
@@ -64,8 +71,9 @@
         }
         Kind kind = fleet.release().kind();
         Permit permit = fleet.permits(kind).get(step.name());
-        String proof = permit == null ? null : budget.evidence().of(fleet, observations, permit);
-        if (proof == null) {
+        String returnEvidence =
+                permit == null ? null : budget.evidence().findEvidence(fleet, observations, permit);
+        if (returnEvidence == null) {
             return null;
         }
         String mark =
@@ -75,9 +83,9 @@
         Stage next = step.stage() == Stage.UNDRAIN ? Stage.UNTOUCHED : Stage.BACK;
         String stepKey = FleetView.STEP + step.name();
         ConditionalWrite write =
-                budget.releasePermit(fleet, permit, proof)
+                budget.releasePermit(fleet, permit, returnEvidence)
                         .expect(stepKey, step.version())
-                        .put(stepKey, FleetCodec.encode(step.at(next, mark)));
+                        .put(stepKey, FleetCodec.encode(step.withStage(next, mark)));
         String drainKey = FleetView.drainKey(kind, step.name());
         if (fleet.version(drainKey) != 0) {
             write.put(drainKey, null);
@@ -85,7 +93,7 @@
         return write;
     }
 
-    /** The next stage of a member that is neither waiting nor finished. */
+    /** Returns the write to the next stage of a member that is neither waiting nor finished. */
     ConditionalWrite advance(FleetView fleet, MemberObservations memberObservations, Step step) {
         return switch (step.stage()) {
             case DRAIN -> advanceDrain(fleet, memberObservations, step);
@@ -100,7 +108,7 @@
         return fleet.permits(fleet.release().kind()).containsKey(step.name());
     }
 
-    /** Whether the process that the stage began with still has the member's name. */
+    /** Returns whether the member still runs the process with which the stage began. */
     private static boolean isSameProcess(FleetView fleet, Step step) {
         return currentMark(fleet, step).equals(step.processMark());
     }
@@ -114,22 +122,26 @@
         Release release = fleet.release();
         String drainKey = FleetView.drainKey(release.kind(), step.name());
         if (!isSameProcess(fleet, step) && !hasPermit(fleet, step)) {
-            // It crashed while it drained and its new process released the permit: it starts over.
-            return write(release, step.at(Stage.WAITING, ""), "came back from the drain by itself")
+            // The member crashed during the drain, and its permit was released because its new
+            // process serves: the member starts over.
+            return stepWrite(
+                            release,
+                            step.withStage(Stage.WAITING, ""),
+                            "crashed during its drain and waits again")
                     .expect(drainKey, fleet.version(drainKey))
                     .put(drainKey, null);
         }
         Member member = fleet.members().get(step.name());
         long stateVersion = member == null ? 0 : member.stateVersion();
-        long drainedAt = Math.max(fleet.version(drainKey), stateVersion);
-        if (!isDrained(release, member) || !isDrainAcknowledged(memberObservations, drainedAt)) {
+        long drainVersion = Math.max(fleet.version(drainKey), stateVersion);
+        if (!isDrained(release, member) || !isDrainAcknowledged(memberObservations, drainVersion)) {
             return null;
         }
         ConditionalWrite write =
-                write(
+                stepWrite(
                         release,
-                        step.at(Stage.RESTART, step.processMark()),
-                        "is drained, and restarts");
+                        step.withStage(Stage.RESTART, step.processMark()),
+                        "is drained and restarts");
         if (release.isBrokerConfig()) {
             String version = step.rollingBack() ? step.previousVersion() : release.targetVersion();
             write.put(FleetView.TARGET + step.name(), version);
@@ -137,7 +149,10 @@
         return write;
     }
 
-    /** A broker reports itself that it drains; one without a lease takes no requests anyway. */
+    /**
+     * Returns whether a member is drained. A broker reports that state itself, and accepts no
+     * requests without a lease; searchers are drained by the brokers.
+     */
     private static boolean isDrained(Release release, Member member) {
         return release.kind() == Kind.SEARCHER
                 || member == null
@@ -149,19 +164,19 @@
         if (hasPermit(fleet, step) || isSameProcess(fleet, step)) {
             return null;
         }
-        return write(
+        return stepWrite(
                 fleet.release(),
-                step.at(Stage.BACK, currentMark(fleet, step)),
-                "is another process, and its slot was given up");
+                step.withStage(Stage.BACK, currentMark(fleet, step)),
+                "runs a new process, and its permit was released");
     }
 
     private ConditionalWrite advanceUndrain(FleetView fleet, Step step) {
         return hasPermit(fleet, step)
                 ? null
-                : write(
+                : stepWrite(
                         fleet.release(),
-                        step.at(Stage.UNTOUCHED, step.processMark()),
-                        "was not changed");
+                        step.withStage(Stage.UNTOUCHED, step.processMark()),
+                        "was left unchanged");
     }
 
     private ConditionalWrite advanceBack(
@@ -172,14 +187,18 @@
                 && step.rollingBack()
                 && RolloutOrders.versionOf(release, member).equals(release.targetVersion())
                 && !release.targetVersion().equals(step.previousVersion())) {
-            // It was restarting when the rollback was ordered, and took the new version.
-            return write(release, step.at(Stage.WAITING, ""), "took the new version; it goes back");
+            // The broker was already restarting when the rollback was ordered, and runs the new
+            // version.
+            return stepWrite(
+                    release,
+                    step.withStage(Stage.WAITING, ""),
+                    "restarted with the new version and waits for its rollback");
         }
         if (!isSameProcess(fleet, step)) {
-            return write(
+            return stepWrite(
                     release,
-                    step.at(Stage.BACK, currentMark(fleet, step)),
-                    "died before it had settled and is another process");
+                    step.withStage(Stage.BACK, currentMark(fleet, step)),
+                    "crashed before it had settled and runs a new process");
         }
         boolean isServing =
                 release.kind() == Kind.SEARCHER
@@ -188,11 +207,15 @@
                                 && member.isServing()
                                 && member.boot().equals(step.processMark());
         return isServing && memberObservations.stageMs(step) >= release.settleMs()
-                ? write(release, step.at(Stage.SETTLED, step.processMark()), "has settled")
+                ? stepWrite(
+                        release, step.withStage(Stage.SETTLED, step.processMark()), "has settled")
                 : null;
     }
 
-    /** Drains the next waiting member of the open wave that gets a permit; one per call. */
+    /**
+     * Starts the drain of the next waiting member of the current wave that gets a permit, at most
+     * one per call.
+     */
     ConditionalWrite startNext(FleetView fleet, DisruptionBudget.Observations observations) {
         Release release = fleet.release();
         Comparator<Step> byWave = Comparator.comparingInt(Step::wave);
@@ -204,9 +227,9 @@
         if (unfinished.isEmpty()) {
             return null;
         }
-        int openWave = unfinished.get(0).wave();
+        int currentWave = unfinished.get(0).wave();
         for (Step step : unfinished) {
-            if (step.wave() == openWave && mayStart(fleet, step)) {
+            if (step.wave() == currentWave && mayStart(fleet, step)) {
                 ConditionalWrite write = start(fleet, observations, step);
                 if (write != null) {
                     return write;
@@ -236,7 +259,7 @@
         }
         String mark = currentMark(fleet, step);
         String drainKey = FleetView.drainKey(release.kind(), step.name());
-        return write(release, step.at(Stage.DRAIN, mark), "has its permit, and drains")
+        return stepWrite(release, step.withStage(Stage.DRAIN, mark), "has a permit and drains")
                 .include(decision.write())
                 .expect(drainKey, fleet.version(drainKey))
                 .put(drainKey, FleetCodec.encodeDrain(mark, requestedBy));
--- a/src/test/java/reeldeal/fleet/BrokenFleetModules.java
+++ b/src/test/java/reeldeal/fleet/BrokenFleetModules.java
@@ -35,8 +35,8 @@
     private BrokenFleetModules() {}
 
     /** Sets of modules by what is broken in them. */
-    static Map<String, FleetSimulation.Parts> all() {
-        Map<String, FleetSimulation.Parts> broken = new LinkedHashMap<>();
+    static Map<String, FleetSimulation.Modules> all() {
+        Map<String, FleetSimulation.Modules> broken = new LinkedHashMap<>();
         broken.put("brokers out are not counted", budget(brokersNotCounted()));
         broken.put("grants are not serialised", budget(new UnserializedBudget()));
         broken.put("a permit is released once its holder has lapsed", budget(lapsedHolderIsBack()));
@@ -67,8 +67,8 @@
 
     // ---- the disruption budget ----
 
-    private static FleetSimulation.Parts budget(DisruptionBudget budget) {
-        return new FleetSimulation.Parts() {
+    private static FleetSimulation.Modules budget(DisruptionBudget budget) {
+        return new FleetSimulation.Modules() {
             @Override
             DisruptionBudget disruptionBudget() {
                 return budget;
@@ -89,7 +89,7 @@
 
     private static final class UnserializedBudget extends DisruptionBudget {
         @Override
-        protected void serializeGrants(FleetView fleet, ConditionalWrite write) {}
+        protected void serializePermitChanges(FleetView fleet, ConditionalWrite write) {}
 
         @Override
         public PermitDecision grant(
@@ -119,11 +119,11 @@
         return evidence(
                 new ReturnEvidence() {
                     @Override
-                    protected String ofBroker(FleetView fleet, Permit permit) {
+                    protected String findBrokerEvidence(FleetView fleet, Permit permit) {
                         Member member = fleet.members().get(permit.name());
                         return member != null && !member.hasLease()
                                 ? "lapsed"
-                                : super.ofBroker(fleet, permit);
+                                : super.findBrokerEvidence(fleet, permit);
                     }
                 });
     }
@@ -132,11 +132,11 @@
         return evidence(
                 new ReturnEvidence() {
                     @Override
-                    protected String ofBroker(FleetView fleet, Permit permit) {
+                    protected String findBrokerEvidence(FleetView fleet, Permit permit) {
                         Member member = fleet.members().get(permit.name());
                         return member != null && !member.boot().equals(permit.processMark())
                                 ? "registered"
-                                : super.ofBroker(fleet, permit);
+                                : super.findBrokerEvidence(fleet, permit);
                     }
                 });
     }
@@ -145,14 +145,14 @@
         return evidence(
                 new ReturnEvidence() {
                     @Override
-                    protected String ofSearcher(
+                    protected String findSearcherEvidence(
                             FleetView fleet, Observations observations, Permit permit) {
                         var observed = observations.searchers().get(permit.name());
                         return observed != null
                                         && observed.startedAtMs()
                                                 > Long.parseLong(permit.processMark())
                                 ? "listed"
-                                : super.ofSearcher(fleet, observations, permit);
+                                : super.findSearcherEvidence(fleet, observations, permit);
                     }
                 });
     }
@@ -161,7 +161,7 @@
         return evidence(
                 new ReturnEvidence() {
                     @Override
-                    protected String ofSearcher(
+                    protected String findSearcherEvidence(
                             FleetView fleet, Observations observations, Permit permit) {
                         return observations.searchers().containsKey(permit.name())
                                 ? "listed"
@@ -172,8 +172,8 @@
 
     // ---- membership ----
 
-    private static FleetSimulation.Parts earlyLeaseEnds() {
-        return new FleetSimulation.Parts() {
+    private static FleetSimulation.Modules earlyLeaseEnds() {
+        return new FleetSimulation.Modules() {
             @Override
             LeaseTable leaseTable() {
                 return new LeaseTable(3_000) {
@@ -186,8 +186,8 @@
         };
     }
 
-    private static FleetSimulation.Parts unconfirmedLeader() {
-        return new FleetSimulation.Parts() {
+    private static FleetSimulation.Modules unconfirmedLeader() {
+        return new FleetSimulation.Modules() {
             @Override
             boolean confirmsLeadership() {
                 return false;
@@ -195,8 +195,8 @@
         };
     }
 
-    private static FleetSimulation.Parts localMember(LocalMemberFactory factory) {
-        return new FleetSimulation.Parts() {
+    private static FleetSimulation.Modules localMember(LocalMemberFactory factory) {
+        return new FleetSimulation.Modules() {
             @Override
             LocalMember localMember(
                     LocalMember.Identity identity,
@@ -229,7 +229,7 @@
         }
 
         @Override
-        protected boolean mayRestart(Step step, Member me) {
+        protected boolean mayRestart(Step step, Member self) {
             return step.stage() == Stage.RESTART;
         }
     }
@@ -240,16 +240,16 @@
         }
 
         @Override
-        protected boolean mayDrain(Member me) {
-            return super.mayDrain(me) || isDrainOrdered();
+        protected boolean mayDrain(Member self) {
+            return super.mayDrain(self) || isDrainOrdered();
         }
     }
 
     // ---- releases ----
 
-    private static FleetSimulation.Parts rollout(
+    private static FleetSimulation.Modules rollout(
             Function<DisruptionBudget, RolloutController> factory) {
-        return new FleetSimulation.Parts() {
+        return new FleetSimulation.Modules() {
             @Override
             RolloutController rolloutController(DisruptionBudget budget) {
                 return factory.apply(budget);
@@ -257,7 +257,7 @@
         };
     }
 
-    private static FleetSimulation.Parts steps(Function<DisruptionBudget, StepRules> factory) {
+    private static FleetSimulation.Modules steps(Function<DisruptionBudget, StepRules> factory) {
         return rollout(
                 budget ->
                         new RolloutController(
@@ -284,7 +284,7 @@
         }
     }
 
-    private static FleetSimulation.Parts wrongVersionsIgnored() {
+    private static FleetSimulation.Modules wrongVersionsIgnored() {
         return rollout(
                 budget ->
                         new RolloutController(
@@ -305,14 +305,14 @@
                                 new StepRules(budget)));
     }
 
-    private static FleetSimulation.Parts incompleteRollback() {
-        return new FleetSimulation.Parts() {
+    private static FleetSimulation.Modules incompleteRollback() {
+        return new FleetSimulation.Modules() {
             @Override
             ConditionalWrite rollBack(FleetView fleet) {
                 ConditionalWrite write = super.rollBack(fleet);
                 for (Step step : fleet.steps().values()) {
                     if (step.stage() == Stage.SETTLED) {
-                        Step untouched = step.at(Stage.UNTOUCHED, true);
+                        Step untouched = step.withStage(Stage.UNTOUCHED, true);
                         write.put(FleetView.STEP + step.name(), FleetCodec.encode(untouched));
                     }
                 }
--- a/src/test/java/reeldeal/fleet/BrokenRecoveryModules.java
+++ b/src/test/java/reeldeal/fleet/BrokenRecoveryModules.java
@@ -18,8 +18,8 @@
     private BrokenRecoveryModules() {}
 
     /** Sets of modules by what is broken in them. */
-    static Map<String, RecoverySimulation.Parts> all() {
-        Map<String, RecoverySimulation.Parts> broken = new LinkedHashMap<>();
+    static Map<String, RecoverySimulation.Modules> all() {
+        Map<String, RecoverySimulation.Modules> broken = new LinkedHashMap<>();
         broken.put("an uncertain outage counts as none", classifier(UncertainIsNoOutage::new));
         broken.put("an uncertain outage counts as one", classifier(UncertainIsOutage::new));
         broken.put(
@@ -51,8 +51,8 @@
 
     // ---- classification ----
 
-    private static RecoverySimulation.Parts classifier(Supplier<OutageClassifier> factory) {
-        return new RecoverySimulation.Parts() {
+    private static RecoverySimulation.Modules classifier(Supplier<OutageClassifier> factory) {
+        return new RecoverySimulation.Modules() {
             @Override
             OutageClassifier outageClassifier() {
                 return factory.get();
@@ -151,8 +151,8 @@
 
     // ---- steps ----
 
-    private static RecoverySimulation.Parts controller(Supplier<RecoveryController> factory) {
-        return new RecoverySimulation.Parts() {
+    private static RecoverySimulation.Modules controller(Supplier<RecoveryController> factory) {
+        return new RecoverySimulation.Modules() {
             @Override
             RecoveryController recoveryController() {
                 return factory.get();
@@ -240,8 +240,9 @@
 
     // ---- brokers ----
 
-    private static RecoverySimulation.Parts status(Function<String, BrokerRecoveryStatus> factory) {
-        return new RecoverySimulation.Parts() {
+    private static RecoverySimulation.Modules status(
+            Function<String, BrokerRecoveryStatus> factory) {
+        return new RecoverySimulation.Modules() {
             @Override
             BrokerRecoveryStatus recoveryStatus(String zone) {
                 return factory.apply(zone);
@@ -255,14 +256,14 @@
         }
 
         @Override
-        public boolean update(FleetView fleet, Member me, Inputs inputs) {
+        public boolean update(FleetView fleet, Member self, Inputs inputs) {
             return super.update(
                     fleet,
-                    me,
+                    self,
                     new Inputs(
                             inputs.groupHeard(),
                             inputs.servingStale(),
-                            me != null,
+                            self != null,
                             inputs.searchersListed()));
         }
     }
@@ -278,9 +279,9 @@
         }
 
         @Override
-        public boolean update(FleetView fleet, Member me, Inputs inputs) {
+        public boolean update(FleetView fleet, Member self, Inputs inputs) {
             current = new BrokerRecoveryStatus(RAMP, zone);
-            return current.update(fleet, me, inputs);
+            return current.update(fleet, self, inputs);
         }
 
         @Override
--- a/src/test/java/reeldeal/fleet/BrokenTakeoverModules.java
+++ b/src/test/java/reeldeal/fleet/BrokenTakeoverModules.java
@@ -25,8 +25,8 @@
     private BrokenTakeoverModules() {}
 
     /** Sets of modules by what is broken in them. */
-    static Map<String, TakeoverSimulation.Parts> all() {
-        Map<String, TakeoverSimulation.Parts> broken = new LinkedHashMap<>();
+    static Map<String, TakeoverSimulation.Modules> all() {
+        Map<String, TakeoverSimulation.Modules> broken = new LinkedHashMap<>();
         broken.put("requests are taken over by time", policy(new TakeoverByTime()));
         broken.put("the deduplication window is ignored", policy(new WindowIgnored()));
         broken.put("a claim does not expect the record", policy(new UnfencedClaim()));
@@ -58,8 +58,8 @@
 
     // ---- the policy ----
 
-    private static TakeoverSimulation.Parts policy(TakeoverPolicy policy) {
-        return new TakeoverSimulation.Parts() {
+    private static TakeoverSimulation.Modules policy(TakeoverPolicy policy) {
+        return new TakeoverSimulation.Modules() {
             @Override
             TakeoverPolicy takeoverPolicy() {
                 return policy;
@@ -126,8 +126,8 @@
         }
     }
 
-    private static TakeoverSimulation.Parts leaseNotChecked() {
-        return new TakeoverSimulation.Parts() {
+    private static TakeoverSimulation.Modules leaseNotChecked() {
+        return new TakeoverSimulation.Modules() {
             @Override
             boolean checksLease() {
                 return false;
@@ -137,7 +137,7 @@
 
     // ---- the records' writes ----
 
-    private static TakeoverSimulation.Parts writes(RecordWrites writes) {
+    private static TakeoverSimulation.Modules writes(RecordWrites writes) {
         return requests(
                 (name, records) ->
                         new InFlightRequests(
@@ -194,8 +194,8 @@
 
     // ---- the requests in flight ----
 
-    private static TakeoverSimulation.Parts requests(RequestsFactory factory) {
-        return new TakeoverSimulation.Parts() {
+    private static TakeoverSimulation.Modules requests(RequestsFactory factory) {
+        return new TakeoverSimulation.Modules() {
             @Override
             InFlightRequests inFlightRequests(
                     String name, Function<String, RequestRecord> records) {
--- a/src/test/java/reeldeal/fleet/FleetCodecTest.java
+++ b/src/test/java/reeldeal/fleet/FleetCodecTest.java
@@ -46,14 +46,14 @@
     }
 
     @Test
-    public void attributesThatAreNotKnownAreIgnored() {
+    public void unknownAttributesAreIgnored() {
         FleetView fleet =
                 new FleetValues().with(FleetView.SEARCHER + "s", "since=5 later=x other").view();
         assertEquals(5, fleet.searchers().get("s").startedAtMs());
     }
 
     @Test
-    public void aValueThatIsNoEscapeIsReadAsItIs() {
+    public void aValueWithAnInvalidEscapeIsReadUnchanged() {
         assertEquals("25%", FormAttributes.of("brokers_out=25%").get("brokers_out"));
         assertEquals("a b", FormAttributes.of("reason=a+b").get("reason"));
     }
--- a/src/test/java/reeldeal/fleet/FleetInvariants.java
+++ b/src/test/java/reeldeal/fleet/FleetInvariants.java
@@ -93,7 +93,7 @@
                 processesThatServed.getOrDefault(permit.name(), Set.of()).stream()
                         .anyMatch(boot -> !boot.equals(permit.processMark()));
         SimulatedProcess holder =
-                fleet.processesEver().stream()
+                fleet.allProcesses().stream()
                         .filter(process -> process.boot.equals(permit.processMark()))
                         .findFirst()
                         .orElseThrow();
@@ -101,7 +101,7 @@
                 newerServed || !holder.draining,
                 "the permit of " + permit.name() + " was released without evidence of its return");
         fleet.check(
-                newerServed || holder.exiting == null || !holder.alive,
+                newerServed || holder.exitReason == null || !holder.alive,
                 "the permit of " + permit.name() + " was released while it ends");
     }
 
@@ -144,15 +144,15 @@
     }
 
     private List<String> describeBrokersOut() {
-        return fleet.processesEver().stream()
-                .filter(SimulatedProcess::isOrderlyOut)
+        return fleet.allProcesses().stream()
+                .filter(SimulatedProcess::isOutByOrder)
                 .map(
                         process ->
                                 process.boot
                                         + "/"
                                         + process.alive
                                         + "/"
-                                        + process.exiting
+                                        + process.exitReason
                                         + "/"
                                         + fleet.processes.get(process.name).boot)
                 .toList();
@@ -161,20 +161,20 @@
     /** The brokers that are out by an order or are about to be, whether they live or not. */
     private long brokersOut(Set<String> granted) {
         Set<String> out = new TreeSet<>(granted);
-        List<SimulatedProcess> all = fleet.processesEver();
+        List<SimulatedProcess> all = fleet.allProcesses();
         for (int i = 0; i < all.size(); i++) {
             SimulatedProcess process = all.get(i);
-            List<SimulatedProcess> later = all.subList(i + 1, all.size());
-            if (process.isOrderlyOut() && !isReplaced(process, later)) {
+            List<SimulatedProcess> laterProcesses = all.subList(i + 1, all.size());
+            if (process.isOutByOrder() && !isReplaced(process, laterProcesses)) {
                 out.add(process.name);
             }
         }
         return out.size();
     }
 
-    private boolean isReplaced(SimulatedProcess process, List<SimulatedProcess> later) {
+    private boolean isReplaced(SimulatedProcess process, List<SimulatedProcess> laterProcesses) {
         Set<String> served = processesThatServed.getOrDefault(process.name, Set.of());
-        return later.stream()
+        return laterProcesses.stream()
                 .anyMatch(other -> other.name.equals(process.name) && served.contains(other.boot));
     }
 
@@ -204,15 +204,15 @@
         }
         if (step.stage() == Stage.RESTART) {
             String drainKey = FleetView.drainKey(after.release().kind(), step.name());
-            checkDrainSeen(step, after.version(drainKey));
+            checkDrainApplied(step, after.version(drainKey));
         }
     }
 
-    private void checkDrainSeen(Step step, long drainedAt) {
+    private void checkDrainApplied(Step step, long drainVersion) {
         for (SimulatedProcess process : fleet.processes.values()) {
             boolean maySend = process.alive && !process.paused && process.holdsLease();
             fleet.check(
-                    !maySend || process.seen >= drainedAt,
+                    !maySend || process.appliedVersion >= drainVersion,
                     step.name() + " restarts while " + process.name + " has not seen its drain");
         }
     }
--- a/src/test/java/reeldeal/fleet/FleetSimulation.java
+++ b/src/test/java/reeldeal/fleet/FleetSimulation.java
@@ -43,7 +43,7 @@
     private static final int TRACE_LENGTH = 60;
 
     /** The modules, intact or broken on purpose. */
-    static class Parts {
+    static class Modules {
         DisruptionBudget disruptionBudget() {
             return new DisruptionBudget();
         }
@@ -90,12 +90,12 @@
     }
 
     /** What else the processes do, such as their keyed requests. */
-    interface Extra {
-        void started(SimulatedProcess process);
+    interface Extension {
+        void onStarted(SimulatedProcess process);
 
-        void tick(SimulatedProcess process);
+        void onTick(SimulatedProcess process);
 
-        void committed();
+        void onCommitted();
 
         /** What a process has counted, as its heartbeats say. */
         default RolloutHealth.Counts counts(SimulatedProcess process) {
@@ -103,12 +103,12 @@
         }
     }
 
-    private record Event(long at, long order, Runnable action) {}
+    private record Event(long atMs, long order, Runnable action) {}
 
     final UniformRandomProvider rng;
-    final Parts parts;
-    final boolean calm;
-    final int size;
+    final Modules modules;
+    final boolean faultFree;
+    final int brokerCount;
     final Map<String, SimulatedProcess> processes = new TreeMap<>();
     final Map<String, SimulatedSearcher> searchers = new TreeMap<>();
     final List<Map<String, ObservedSearcher>> endpointLists = new ArrayList<>();
@@ -118,14 +118,14 @@
     private final SimulatedFaults faults;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
-                    Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+                    Comparator.comparingLong(Event::atMs).thenComparingLong(Event::order));
     private final List<SimulatedProcess> allProcesses = new ArrayList<>();
     private final List<String> trace = new ArrayList<>();
     private long eventCount;
-    private int boots;
+    private int bootCount;
 
     /** Whether one process may still start with a wrong configuration. */
-    private boolean wrongConfigDue;
+    private boolean wrongConfigPending;
 
     /** The store, its version, and the fleet in it. */
     final KeyValueState state = new KeyValueState();
@@ -139,28 +139,28 @@
 
     long now;
     boolean healed;
-    Extra extra;
+    Extension extension;
 
     /** How the release ended, "" before. */
-    String end = "";
+    String outcome = "";
 
-    FleetSimulation(long seed, Parts parts) {
-        this(seed, parts, 0, 0);
+    FleetSimulation(long seed, Modules modules) {
+        this(seed, modules, 0, 0);
     }
 
     /**
      * A fleet of so many brokers without faults, of which {@code maxOut} may be out at a time; with
      * 0 of them there is no release. With 0 brokers their number and the faults are drawn.
      */
-    FleetSimulation(long seed, Parts parts, int brokers, int maxOut) {
-        this.parts = parts;
-        calm = brokers > 0;
+    FleetSimulation(long seed, Modules modules, int brokers, int maxOut) {
+        this.modules = modules;
+        faultFree = brokers > 0;
         rng = RandomSource.XO_SHI_RO_256_PP.create(seed);
-        Kind kind = rng.nextInt(3) == 0 && !calm ? Kind.SEARCHER : Kind.BROKER;
-        int drawnSize = rng.nextInt(40) == 0 ? 30 + rng.nextInt(31) : 5 + rng.nextInt(8);
-        size = calm ? brokers : drawnSize;
-        faults = new SimulatedFaults(this, calm ? 0 : rng.nextInt(4) * 3);
-        wrongConfigDue = !calm && kind == Kind.BROKER && rng.nextInt(4) == 0;
+        Kind kind = rng.nextInt(3) == 0 && !faultFree ? Kind.SEARCHER : Kind.BROKER;
+        int drawnBrokerCount = rng.nextInt(40) == 0 ? 30 + rng.nextInt(31) : 5 + rng.nextInt(8);
+        brokerCount = faultFree ? brokers : drawnBrokerCount;
+        faults = new SimulatedFaults(this, faultFree ? 0 : rng.nextInt(4) * 3);
+        wrongConfigPending = !faultFree && kind == Kind.BROKER && rng.nextInt(4) == 0;
         operator = new SimulatedOperator(this, kind);
         for (int i = 0; i < SEARCHERS; i++) {
             SimulatedSearcher searcher = new SimulatedSearcher(this, i);
@@ -171,24 +171,24 @@
         commit(
                 ConditionalWrite.because("policy")
                         .put(FleetView.POLICY, drawPolicy(String.valueOf(maxOut))));
-        for (int i = 0; i < size; i++) {
+        for (int i = 0; i < brokerCount; i++) {
             String name = "b" + i;
             after(rng.nextInt(300), () -> startIfDead(name));
         }
         listSearchers();
-        if (!calm || maxOut > 0) {
+        if (!faultFree || maxOut > 0) {
             after(4_000, operator::plan);
         }
-        after(5_000 + rng.nextInt(2_000), faults::next);
+        after(5_000 + rng.nextInt(2_000), faults::injectNext);
         after(HEAL_AT, this::heal);
     }
 
     private FormAttributes drawPolicy(String maxOut) {
-        String brokersOut = calm ? maxOut : rng.nextBoolean() ? "1" : "25%";
+        String brokersOut = faultFree ? maxOut : rng.nextBoolean() ? "1" : "25%";
         return new FormAttributes()
                 .with("brokers_out", brokersOut)
                 .with("searchers_out", rng.nextBoolean() ? "2" : "25%")
-                .with("apart_ms", calm ? 0 : rng.nextInt(3) * 300);
+                .with("apart_ms", faultFree ? 0 : rng.nextInt(3) * 300);
     }
 
     // ---- time ----
@@ -197,16 +197,16 @@
         events.add(new Event(now + delayMs, eventCount++, action));
     }
 
-    private void playNext() {
+    private void runNextEvent() {
         Event event = events.poll();
-        now = event.at();
+        now = event.atMs();
         event.action().run();
     }
 
     /** Plays to the end, which must come: nothing may stay out or unfinished once all is healed. */
-    void play() {
-        while (!events.isEmpty() && end.isEmpty()) {
-            playNext();
+    void runToEnd() {
+        while (!events.isEmpty() && outcome.isEmpty()) {
+            runNextEvent();
             check(now < LATEST_END, "no end: " + describeRelease());
         }
     }
@@ -223,9 +223,9 @@
     }
 
     /** Plays until a time. */
-    void playTo(long time) {
-        while (!events.isEmpty() && events.peek().at() <= time) {
-            playNext();
+    void runUntil(long time) {
+        while (!events.isEmpty() && events.peek().atMs() <= time) {
+            runNextEvent();
         }
     }
 
@@ -242,22 +242,22 @@
 
     /** How long a message takes, ms. */
     long drawDelay() {
-        return rng.nextInt(25) == 0 && !calm ? rng.nextInt(2_500) : 1 + rng.nextInt(20);
+        return rng.nextInt(25) == 0 && !faultFree ? rng.nextInt(2_500) : 1 + rng.nextInt(20);
     }
 
     /** The configuration with which a process starts; one process may take a wrong one. */
     String drawConfig(String name) {
         String target = latest.get(FleetView.TARGET + name);
-        boolean isWrong = wrongConfigDue && rng.nextInt(4) == 0 && target != null;
+        boolean isWrong = wrongConfigPending && rng.nextInt(4) == 0 && target != null;
         if (isWrong) {
-            wrongConfigDue = false;
+            wrongConfigPending = false;
             return WRONG_CONFIG;
         }
         return target == null ? FIRST_CONFIG : target;
     }
 
-    int nextBoot() {
-        return ++boots;
+    int nextBootNumber() {
+        return ++bootCount;
     }
 
     // ---- checks and trace ----
@@ -268,7 +268,7 @@
         }
     }
 
-    void note(String line) {
+    void addToTrace(String line) {
         trace.add(now + " " + line);
     }
 
@@ -280,7 +280,7 @@
     // ---- processes and searchers ----
 
     /** Every process that there ever was, the oldest first. */
-    List<SimulatedProcess> processesEver() {
+    List<SimulatedProcess> allProcesses() {
         return allProcesses;
     }
 
@@ -315,23 +315,28 @@
      * Power is lost, of a zone or, where that is null, of all. Processes restart one after another,
      * one of {@code neverOneOf} of them never unless that is 0; so do searchers, without a warm-up.
      */
-    List<SimulatedProcess> losePower(String zone, long restartWithinMs, int neverOneOf) {
-        List<SimulatedProcess> lost = new ArrayList<>();
+    List<SimulatedProcess> cutPower(String zone, long restartWithinMs, int staysDownOneIn) {
+        List<SimulatedProcess> killed = new ArrayList<>();
         // Sometimes one broker has a battery.
-        String spared = zone == null && rng.nextInt(3) == 0 ? "b0" : "";
+        String batteryBacked = zone == null && rng.nextInt(3) == 0 ? "b0" : "";
         for (SimulatedProcess process : List.copyOf(processes.values())) {
-            boolean inZone = zone == null || process.self.zone().equals(zone);
-            if (process.alive && !process.name.equals(spared) && inZone) {
+            boolean inZone = zone == null || process.member.zone().equals(zone);
+            if (process.alive && !process.name.equals(batteryBacked) && inZone) {
                 process.kill();
-                lost.add(process);
-                if (neverOneOf == 0 || rng.nextInt(neverOneOf) > 0) {
+                killed.add(process);
+                if (staysDownOneIn == 0 || rng.nextInt(staysDownOneIn) > 0) {
                     after(
                             200 + rng.nextInt((int) restartWithinMs),
                             () -> startIfDead(process.name));
                 }
             }
         }
-        note("power is lost: " + (zone == null ? "all" : zone) + ", " + lost.size() + " processes");
+        addToTrace(
+                "power is lost: "
+                        + (zone == null ? "all" : zone)
+                        + ", "
+                        + killed.size()
+                        + " processes");
         if (zone == null) {
             searchers
                     .values()
@@ -339,7 +344,7 @@
                             searcher -> searcher.restart(500 + rng.nextInt((int) restartWithinMs)));
             election.elect();
         }
-        return lost;
+        return killed;
     }
 
     /** Ends all faults; the operators then see to the end of the release. */
@@ -347,7 +352,7 @@
         healed = true;
         for (SimulatedProcess process : processes.values()) {
             process.paused = false;
-            process.cut = false;
+            process.partitioned = false;
         }
         election.heal();
         after(8_000, operator::finish);
@@ -356,17 +361,18 @@
     // ---- the store ----
 
     /** A write on its way; {@code ended} is told whether it is known to be committed. */
-    void submit(ConditionalWrite write, boolean cut, Consumer<Boolean> ended) {
-        submit(write, cut, () -> true, ended);
+    void submit(ConditionalWrite write, boolean partitioned, Consumer<Boolean> onEnd) {
+        submit(write, partitioned, () -> true, onEnd);
     }
 
     /** A leader's write is in the log before the next leader begins, or never. */
     void submit(
             ConditionalWrite write,
-            boolean cut,
+            boolean partitioned,
             BooleanSupplier isStillPossible,
-            Consumer<Boolean> ended) {
-        boolean isLost = cut || !election.hasLeader() || (rng.nextInt(25) == 0 && !calm);
+            Consumer<Boolean> onEnd) {
+        boolean isLost =
+                partitioned || !election.hasLeader() || (rng.nextInt(25) == 0 && !faultFree);
         int copies = isLost ? 0 : rng.nextInt(20) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             after(
@@ -377,8 +383,8 @@
                         }
                     });
         }
-        boolean isKnown = copies > 0 && (rng.nextInt(15) > 0 || calm);
-        after(isKnown ? 30 : 1_500, () -> ended.accept(isKnown));
+        boolean isOutcomeKnown = copies > 0 && (rng.nextInt(15) > 0 || faultFree);
+        after(isOutcomeKnown ? 30 : 1_500, () -> onEnd.accept(isOutcomeKnown));
     }
 
     /** Applies a write where its expectations hold, and checks what it has changed. */
@@ -395,13 +401,13 @@
                         + new TreeMap<>(write.expectedVersions())
                         + " "
                         + new TreeMap<>(write.changes()));
-        note(write.reason());
+        addToTrace(write.reason());
         FleetView before = latest;
         latest = readFleet();
         invariants.checkCommit(before, latest);
         operator.restartSearchers(before);
-        if (extra != null) {
-            extra.committed();
+        if (extension != null) {
+            extension.onCommitted();
         }
     }
 
--- a/src/test/java/reeldeal/fleet/FleetSimulationCommand.java
+++ b/src/test/java/reeldeal/fleet/FleetSimulationCommand.java
@@ -17,14 +17,14 @@
             case "trace" -> trace(Long.parseLong(args[1]), args[2]);
             case "figures" -> figures();
             case "broken" ->
-                    SeededRuns.table(
+                    SeededRuns.printTable(
                             BrokenFleetModules.all(),
-                            parts -> seed -> play(seed, parts),
+                            modules -> seed -> runSeed(seed, modules),
                             Integer.parseInt(args[1]));
             default -> {
                 long from = System.nanoTime();
                 Map<String, Integer> outcomes =
-                        playIntact(Long.parseLong(args[1]), Long.parseLong(args[2]));
+                        runIntact(Long.parseLong(args[1]), Long.parseLong(args[2]));
                 System.out.println(
                         outcomes + " in " + (System.nanoTime() - from) / 1_000_000 + " ms");
             }
@@ -32,38 +32,38 @@
     }
 
     /** Plays one seed to its end. */
-    static FleetSimulation play(long seed, FleetSimulation.Parts parts) {
-        FleetSimulation simulation = new FleetSimulation(seed, parts);
-        simulation.play();
+    static FleetSimulation runSeed(long seed, FleetSimulation.Modules modules) {
+        FleetSimulation simulation = new FleetSimulation(seed, modules);
+        simulation.runToEnd();
         return simulation;
     }
 
     /** Plays seeds with intact modules, which all have to hold; how many releases ended how. */
-    static Map<String, Integer> playIntact(long from, long to) {
+    static Map<String, Integer> runIntact(long from, long to) {
         Map<String, Integer> outcomes = new HashMap<>();
-        SeededRuns.hold(
+        SeededRuns.requireAllToHold(
                 from,
                 to,
-                seed -> new FleetSimulation(seed, new FleetSimulation.Parts()),
-                FleetSimulation::play,
+                seed -> new FleetSimulation(seed, new FleetSimulation.Modules()),
+                FleetSimulation::runToEnd,
                 FleetSimulation::trace,
-                simulation -> outcomes.merge(simulation.end, 1, Integer::sum));
+                simulation -> outcomes.merge(simulation.outcome, 1, Integer::sum));
         return outcomes;
     }
 
     private static void trace(long seed, String rule) {
         BrokenFleetModules.all()
                 .forEach(
-                        (name, parts) -> {
+                        (name, modules) -> {
                             if (name.contains(rule)) {
-                                trace(new FleetSimulation(seed, parts));
+                                trace(new FleetSimulation(seed, modules));
                             }
                         });
     }
 
     private static void trace(FleetSimulation simulation) {
         try {
-            simulation.play();
+            simulation.runToEnd();
         } catch (FleetSimulation.Violation e) {
             System.out.println(e.getMessage() + "\n" + String.join("\n", simulation.trace()));
         }
@@ -71,10 +71,11 @@
 
     private static void figures() {
         for (int members : new int[] {10, 100, 300}) {
-            FleetSimulation idle = new FleetSimulation(1, new FleetSimulation.Parts(), members, 0);
-            idle.playTo(30_000);
+            FleetSimulation idle =
+                    new FleetSimulation(1, new FleetSimulation.Modules(), members, 0);
+            idle.runUntil(30_000);
             int before = idle.commits;
-            idle.playTo(90_000);
+            idle.runUntil(90_000);
             System.out.println(
                     members
                             + " idle members: "
@@ -92,9 +93,9 @@
 
     private static void releaseTime(int members, int maxOut) {
         FleetSimulation simulation =
-                new FleetSimulation(1, new FleetSimulation.Parts(), members, maxOut);
+                new FleetSimulation(1, new FleetSimulation.Modules(), members, maxOut);
         while (!simulation.isReleaseDone()) {
-            simulation.playTo(simulation.now + 100);
+            simulation.runUntil(simulation.now + 100);
         }
         System.out.println(
                 "release of "
--- a/src/test/java/reeldeal/fleet/FleetSimulationTest.java
+++ b/src/test/java/reeldeal/fleet/FleetSimulationTest.java
@@ -20,7 +20,7 @@
 
     @Test
     public void invariantsHoldForAFixedSetOfSeeds() {
-        Map<String, Integer> outcomes = FleetSimulationCommand.playIntact(1, SEEDS);
+        Map<String, Integer> outcomes = FleetSimulationCommand.runIntact(1, SEEDS);
         assertTrue(
                 "releases end both ways: " + outcomes,
                 outcomes.get("done") > SEEDS / 8 && outcomes.get("back") > SEEDS / 8);
@@ -31,8 +31,8 @@
         EventDigest all = new EventDigest();
         for (long seed = 1; seed <= DIGEST_SEEDS; seed++) {
             FleetSimulation simulation =
-                    FleetSimulationCommand.play(seed, new FleetSimulation.Parts());
-            all.add(seed + " " + simulation.end + " " + simulation.digest.hex());
+                    FleetSimulationCommand.runSeed(seed, new FleetSimulation.Modules());
+            all.add(seed + " " + simulation.outcome + " " + simulation.digest.hex());
         }
         assertEquals("recorded on 9332643", "ea25b20abe0555872880e544", all.hex());
     }
@@ -41,11 +41,13 @@
     public void eachBrokenRuleIsFound() {
         BrokenFleetModules.all()
                 .forEach(
-                        (rule, parts) ->
+                        (rule, modules) ->
                                 assertNotNull(
                                         "not found: " + rule,
                                         SeededRuns.find(
-                                                seed -> FleetSimulationCommand.play(seed, parts),
+                                                seed ->
+                                                        FleetSimulationCommand.runSeed(
+                                                                seed, modules),
                                                 FIRST_SEEDS.getOrDefault(rule, 1),
                                                 MAX_SEEDS_TO_FIND)));
     }
--- a/src/test/java/reeldeal/fleet/RecoverySimulation.java
+++ b/src/test/java/reeldeal/fleet/RecoverySimulation.java
@@ -20,7 +20,7 @@
  * each step once and in order, no broker that restarted in an outage serves all before the last
  * step, no broker that served on is restricted, all serve in bounded time, releases halt.
  */
-final class RecoverySimulation implements FleetSimulation.Extra {
+final class RecoverySimulation implements FleetSimulation.Extension {
     static final RecoveryRamp RAMP = RecoveryRamp.DEFAULT;
     private static final long WARM_UP_MS = 15_000;
     private static final double COLD_CAPACITY = 0.2;
@@ -31,7 +31,7 @@
     private static final long END = 130_000;
 
     /** The modules, intact or broken on purpose. */
-    static class Parts extends FleetSimulation.Parts {
+    static class Modules extends FleetSimulation.Modules {
         @Override
         OutageClassifier outageClassifier() {
             return new OutageClassifier(RAMP);
@@ -54,16 +54,16 @@
     }
 
     final FleetSimulation fleet;
-    private final Parts parts;
+    private final Modules modules;
     private final Map<SimulatedProcess, BrokerRecoveryStatus> statuses = new HashMap<>();
     private final Map<SimulatedProcess, RequestCounts> counts = new HashMap<>();
     private final Map<String, Long> outageBeforeStart = new HashMap<>();
     private final Map<SimulatedProcess, Long> startedAfterOutage = new HashMap<>();
     private final Map<String, Long> lastLostAt = new HashMap<>();
-    private final Set<SimulatedProcess> servedAll = new HashSet<>();
+    private final Set<SimulatedProcess> servedUnrestricted = new HashSet<>();
     private Epoch epoch = Epoch.of(new FleetView(Map.of()));
-    private long stepAt;
-    private long epochAt;
+    private long stepBeganAt;
+    private long epochBeganAt;
     private long overloadedSince = -1;
     private long fullOutageAt = -1;
     private boolean fullOutageExpected;
@@ -72,44 +72,44 @@
     private boolean zoneOutageExpected;
 
     int epochs;
-    int stepsTakenBack;
+    int stepsReverted;
     long longestRecoveryMs;
 
-    RecoverySimulation(long seed, Parts parts) {
-        this.parts = parts;
-        fleet = new FleetSimulation(seed, parts);
-        fleet.extra = this;
-        long first = 14_000L + fleet.rng.nextInt(12_000);
-        fleet.after(first, () -> losePower(null));
+    RecoverySimulation(long seed, Modules modules) {
+        this.modules = modules;
+        fleet = new FleetSimulation(seed, modules);
+        fleet.extension = this;
+        long firstOutageAt = 14_000L + fleet.rng.nextInt(12_000);
+        fleet.after(firstOutageAt, () -> cutPower(null));
         if (fleet.rng.nextInt(2) == 0) {
             fleet.after(
-                    first + 1_500 + fleet.rng.nextInt(9_000),
-                    () -> losePower(fleet.rng.nextInt(3) == 0 ? "a" : null));
+                    firstOutageAt + 1_500 + fleet.rng.nextInt(9_000),
+                    () -> cutPower(fleet.rng.nextInt(3) == 0 ? "a" : null));
         }
     }
 
     /** Plays to the end. */
-    RecoverySimulation play() {
-        fleet.playTo(BEFORE_MANUAL_STARTS);
+    RecoverySimulation runToEnd() {
+        fleet.runUntil(BEFORE_MANUAL_STARTS);
         fleet.check(
-                epoch.ended() || epochAt > 38_000 || epoch.step() > 1,
+                epoch.ended() || epochBeganAt > 38_000 || epoch.step() > 1,
                 "no step before all are back: " + epoch);
-        fleet.playTo(END);
+        fleet.runUntil(END);
         fleet.check(epoch.ended(), "never ended: " + epoch);
         fleet.check(
-                epochAt >= fullOutageAt || !fullOutageExpected,
+                epochBeganAt >= fullOutageAt || !fullOutageExpected,
                 "everything was lost at " + fullOutageAt + ", and no epoch begun since: " + epoch);
         fleet.check(
-                epochAt >= zoneOutageAt || !zoneOutageExpected,
+                epochBeganAt >= zoneOutageAt || !zoneOutageExpected,
                 "a zone was lost at " + zoneOutageAt + ", and no epoch begun since: " + epoch);
         fleet.processes.values().stream()
                 .filter(process -> process.alive && process.serving)
-                .filter(process -> !process.paused && !process.cut)
-                .forEach(this::checkServesAll);
+                .filter(process -> !process.paused && !process.partitioned)
+                .forEach(this::checkServesUnrestricted);
         return this;
     }
 
-    private void checkServesAll(SimulatedProcess process) {
+    private void checkServesUnrestricted(SimulatedProcess process) {
         BrokerRecoveryStatus status = statuses.get(process);
         fleet.check(
                 status.admittedShare() == 1,
@@ -126,13 +126,13 @@
     }
 
     /** Power is lost, of a zone or, where that is null, of all. */
-    private void losePower(String zone) {
+    private void cutPower(String zone) {
         long restartWithinMs = 1L + fleet.rng.nextInt(6_000);
         // A member between two processes in the log, as after another outage just before, is not
         // seen to be lost again.
         boolean allPresent = membersOf(zone).stream().allMatch(this::isPresent);
-        int neverOneOf = fleet.rng.nextInt(3) == 0 ? 6 : 0;
-        for (SimulatedProcess process : fleet.losePower(zone, restartWithinMs, neverOneOf)) {
+        int staysDownOneIn = fleet.rng.nextInt(3) == 0 ? 6 : 0;
+        for (SimulatedProcess process : fleet.cutPower(zone, restartWithinMs, staysDownOneIn)) {
             outageBeforeStart.put(process.name, fleet.now);
             lastLostAt.put(process.name, fleet.now);
         }
@@ -172,47 +172,51 @@
     // ---- processes ----
 
     @Override
-    public void started(SimulatedProcess process) {
-        statuses.put(process, parts.recoveryStatus(process.self.zone()));
+    public void onStarted(SimulatedProcess process) {
+        statuses.put(process, modules.recoveryStatus(process.member.zone()));
         counts.put(process, new RequestCounts());
         startedAfterOutage.put(process, outageBeforeStart.getOrDefault(process.name, -1L));
         outageBeforeStart.remove(process.name);
     }
 
     @Override
-    public void tick(SimulatedProcess process) {
+    public void onTick(SimulatedProcess process) {
         BrokerRecoveryStatus status = statuses.get(process);
         if (status == null || !process.serving) {
             return;
         }
         update(process, status);
-        if (status.stage() == BrokerRecoveryStatus.Stage.SERVING && servedAll.add(process)) {
-            checkMayServeAll(process);
+        if (status.stage() == BrokerRecoveryStatus.Stage.SERVING
+                && servedUnrestricted.add(process)) {
+            checkMayServeUnrestricted(process);
         }
         fleet.check(
-                !servedAll.contains(process) || status.admittedShare() == 1,
+                !servedUnrestricted.contains(process) || status.admittedShare() == 1,
                 process.boot + " served all and is at " + status.admittedShare());
         countRequests(process, status.admittedShare());
     }
 
     private void update(SimulatedProcess process, BrokerRecoveryStatus status) {
-        Member member = process.own.members().get(process.name);
+        Member member = process.appliedView.members().get(process.name);
         boolean isRegistered = member != null && member.boot().equals(process.boot);
         double previousShare = status.admittedShare();
         status.update(
-                process.own,
+                process.appliedView,
                 isRegistered ? member : null,
                 new BrokerRecoveryStatus.Inputs(
-                        !process.own.members().isEmpty(), false, process.judged, true));
+                        !process.appliedView.members().isEmpty(),
+                        false,
+                        process.startClassified,
+                        true));
         if (status.admittedShare() != previousShare) {
             fleet.digest.add(fleet.now + " " + process.boot + " admits " + status.admittedShare());
         }
     }
 
     /** A process that restarted in a full outage serves all only after that recovery. */
-    private void checkMayServeAll(SimulatedProcess process) {
+    private void checkMayServeUnrestricted(SimulatedProcess process) {
         boolean restarted = fullOutageAt >= 0 && startedAfterOutage.get(process) >= fullOutageAt;
-        boolean recovered = epoch.ended() && epoch.number() > 0 && stepAt >= fullOutageAt;
+        boolean recovered = epoch.ended() && epoch.number() > 0 && stepBeganAt >= fullOutageAt;
         fleet.check(
                 !restarted || recovered || !allWerePresent || !isFullOutage(),
                 process.boot + " served all in the middle of a recovery: " + epoch);
@@ -258,7 +262,7 @@
     // ---- epochs ----
 
     @Override
-    public void committed() {
+    public void onCommitted() {
         Epoch next = Epoch.of(fleet.latest);
         if (next.version() == epoch.version()) {
             return;
@@ -266,16 +270,16 @@
         if (next.number() != epoch.number()) {
             epochs++;
             checkNewEpoch(next);
-            epochAt = fleet.now;
+            epochBeganAt = fleet.now;
         } else if (!next.ended() && next.step() != epoch.step()) {
-            stepsTakenBack += next.step() < epoch.step() ? 1 : 0;
+            stepsReverted += next.step() < epoch.step() ? 1 : 0;
             checkStep(next);
         } else if (next.ended()) {
             fleet.check(epoch.step() == RAMP.steps() && !epoch.ended(), "ended from " + epoch);
             longestRecoveryMs =
                     Math.max(longestRecoveryMs, fullOutageAt < 0 ? 0 : fleet.now - fullOutageAt);
         }
-        stepAt = fleet.now;
+        stepBeganAt = fleet.now;
         epoch = next;
     }
 
@@ -284,21 +288,23 @@
                 Math.abs(next.step() - epoch.step()) == 1,
                 "from step " + epoch.step() + " to " + next.step());
         fleet.check(
-                fleet.now - stepAt >= RAMP.dwellMs() * 0.85,
-                "step " + epoch.step() + " stood for " + (fleet.now - stepAt) + " ms");
+                fleet.now - stepBeganAt >= RAMP.dwellMs() * 0.85,
+                "step " + epoch.step() + " stood for " + (fleet.now - stepBeganAt) + " ms");
     }
 
     private void checkNewEpoch(Epoch next) {
         fleet.check(
                 next.number() == epoch.number() + 1 && next.step() == 1 && !next.ended(),
                 "epoch " + epoch + " then " + next);
-        boolean isFleet = next.kind() == Epoch.Kind.FLEET;
-        long members = membersOf(isFleet ? null : next.zone()).size();
+        boolean isFleetEpoch = next.kind() == Epoch.Kind.FLEET;
+        long members = membersOf(isFleetEpoch ? null : next.zone()).size();
         long earliest = fleet.now - 30_000 - 12_000;
         long lost =
-                fleet.processesEver().stream()
+                fleet.allProcesses().stream()
                         .filter(process -> !process.alive && process.diedAt >= earliest)
-                        .filter(process -> isFleet || process.self.zone().equals(next.zone()))
+                        .filter(
+                                process ->
+                                        isFleetEpoch || process.member.zone().equals(next.zone()))
                         .map(process -> process.name)
                         .distinct()
                         .count();
@@ -309,11 +315,11 @@
                 "a release runs on into epoch " + next);
         boolean lostAgain =
                 lost > 0
-                        && fleet.processesEver().stream()
+                        && fleet.allProcesses().stream()
                                 .anyMatch(
                                         process ->
                                                 !process.alive
-                                                        && process.diedAt >= epochAt - 4_000);
+                                                        && process.diedAt >= epochBeganAt - 4_000);
         fleet.check(epoch.ended() || lostAgain, "a second epoch without a second outage: " + next);
     }
 }
--- a/src/test/java/reeldeal/fleet/RecoverySimulationTest.java
+++ b/src/test/java/reeldeal/fleet/RecoverySimulationTest.java
@@ -16,27 +16,27 @@
     /** What a set of seeds covers. */
     private static final class Coverage {
         private int epochs;
-        private int stepsTakenBack;
+        private int stepsReverted;
         private long longestRecoveryMs;
 
         private void add(RecoverySimulation simulation) {
             epochs += simulation.epochs;
-            stepsTakenBack += simulation.stepsTakenBack;
+            stepsReverted += simulation.stepsReverted;
             longestRecoveryMs = Math.max(longestRecoveryMs, simulation.longestRecoveryMs);
         }
     }
 
-    private static RecoverySimulation play(long seed, RecoverySimulation.Parts parts) {
-        return new RecoverySimulation(seed, parts).play();
+    private static RecoverySimulation runSeed(long seed, RecoverySimulation.Modules modules) {
+        return new RecoverySimulation(seed, modules).runToEnd();
     }
 
-    private static Coverage playIntact(long from, long to) {
+    private static Coverage runIntact(long from, long to) {
         Coverage coverage = new Coverage();
-        SeededRuns.hold(
+        SeededRuns.requireAllToHold(
                 from,
                 to,
-                seed -> new RecoverySimulation(seed, new RecoverySimulation.Parts()),
-                RecoverySimulation::play,
+                seed -> new RecoverySimulation(seed, new RecoverySimulation.Modules()),
+                RecoverySimulation::runToEnd,
                 simulation -> simulation.fleet.trace(),
                 coverage::add);
         return coverage;
@@ -44,20 +44,20 @@
 
     @Test
     public void invariantsHoldForAFixedSetOfSeeds() {
-        Coverage coverage = playIntact(1, SEEDS);
+        Coverage coverage = runIntact(1, SEEDS);
         assertTrue(
                 "epochs and steps taken back are met: "
                         + coverage.epochs
                         + " "
-                        + coverage.stepsTakenBack,
-                coverage.epochs > SEEDS && coverage.stepsTakenBack > 0);
+                        + coverage.stepsReverted,
+                coverage.epochs > SEEDS && coverage.stepsReverted > 0);
     }
 
     @Test
     public void aFixedSetOfSeedsGivesTheRecordedCommitsAndShares() {
         EventDigest all = new EventDigest();
         for (long seed = 1; seed <= DIGEST_SEEDS; seed++) {
-            RecoverySimulation simulation = play(seed, new RecoverySimulation.Parts());
+            RecoverySimulation simulation = runSeed(seed, new RecoverySimulation.Modules());
             all.add(seed + " " + simulation.fleet.digest.hex());
         }
         assertEquals("recorded on 9332643", "4bb20306bf6357b3d7f4c0c3", all.hex());
@@ -67,11 +67,12 @@
     public void eachBrokenRuleIsFound() {
         BrokenRecoveryModules.all()
                 .forEach(
-                        (rule, parts) ->
+                        (rule, modules) ->
                                 assertNotNull(
                                         "not found: " + rule,
                                         SeededRuns.find(
-                                                seed -> play(seed, parts), MAX_SEEDS_TO_FIND)));
+                                                seed -> runSeed(seed, modules),
+                                                MAX_SEEDS_TO_FIND)));
         assertEquals(14, BrokenRecoveryModules.all().size());
     }
 
@@ -81,17 +82,17 @@
      */
     public static void main(String[] args) {
         if (args[0].equals("broken")) {
-            SeededRuns.table(
+            SeededRuns.printTable(
                     BrokenRecoveryModules.all(),
-                    parts -> seed -> play(seed, parts),
+                    modules -> seed -> runSeed(seed, modules),
                     Integer.parseInt(args[1]));
             return;
         }
-        Coverage coverage = playIntact(Long.parseLong(args[1]), Long.parseLong(args[2]));
+        Coverage coverage = runIntact(Long.parseLong(args[1]), Long.parseLong(args[2]));
         System.out.println(
                 coverage.epochs
                         + " epochs, "
-                        + coverage.stepsTakenBack
+                        + coverage.stepsReverted
                         + " steps taken back, the longest recovery "
                         + coverage.longestRecoveryMs
                         + " ms");
--- a/src/test/java/reeldeal/fleet/SeededRuns.java
+++ b/src/test/java/reeldeal/fleet/SeededRuns.java
@@ -19,17 +19,17 @@
     private SeededRuns() {}
 
     /** The first seed with which a rule does not hold; null where all hold. */
-    static Finding find(LongFunction<?> play, int maxSeed) {
-        return find(play, 1, maxSeed);
+    static Finding find(LongFunction<?> run, int maxSeed) {
+        return find(run, 1, maxSeed);
     }
 
     /** The same from another seed than the first. */
-    static Finding find(LongFunction<?> play, int firstSeed, int maxSeed) {
+    static Finding find(LongFunction<?> run, int firstSeed, int maxSeed) {
         for (long seed = firstSeed; seed <= maxSeed; seed += BATCH) {
             Finding finding =
                     LongStream.range(seed, Math.min(seed + BATCH, maxSeed + 1L))
                             .parallel()
-                            .mapToObj(candidate -> playOne(play, candidate))
+                            .mapToObj(candidate -> runSeed(run, candidate))
                             .filter(Objects::nonNull)
                             .findFirst()
                             .orElse(null);
@@ -40,9 +40,9 @@
         return null;
     }
 
-    private static Finding playOne(LongFunction<?> play, long seed) {
+    private static Finding runSeed(LongFunction<?> run, long seed) {
         try {
-            Object unused = play.apply(seed);
+            Object unused = run.apply(seed);
             return null;
         } catch (Violation e) {
             return new Finding(seed, e.getMessage());
@@ -50,26 +50,26 @@
     }
 
     /** Plays seeds with which all rules have to hold. */
-    static <S> void hold(
+    static <S> void requireAllToHold(
             long from,
             long to,
             LongFunction<S> create,
-            Consumer<S> play,
+            Consumer<S> run,
             Function<S, List<String>> trace,
             Consumer<S> collect) {
         for (long seed = from; seed <= to; seed += BATCH) {
             LongStream.range(seed, Math.min(seed + BATCH, to + 1))
                     .parallel()
-                    .mapToObj(each -> playToEnd(each, create.apply(each), play, trace))
+                    .mapToObj(eachSeed -> runOrFail(eachSeed, create.apply(eachSeed), run, trace))
                     .toList()
                     .forEach(collect);
         }
     }
 
-    private static <S> S playToEnd(
-            long seed, S simulation, Consumer<S> play, Function<S, List<String>> trace) {
+    private static <S> S runOrFail(
+            long seed, S simulation, Consumer<S> run, Function<S, List<String>> trace) {
         try {
-            play.accept(simulation);
+            run.accept(simulation);
             return simulation;
         } catch (RuntimeException e) {
             String lastEvents = String.join("\n", trace.apply(simulation));
@@ -78,10 +78,11 @@
     }
 
     /** Prints after how many seeds each broken rule is found, as rows of a table. */
-    static <P> void table(Map<String, P> broken, Function<P, LongFunction<?>> play, int maxSeed) {
+    static <P> void printTable(
+            Map<String, P> broken, Function<P, LongFunction<?>> run, int maxSeed) {
         broken.forEach(
-                (rule, parts) -> {
-                    Finding finding = find(play.apply(parts), maxSeed);
+                (rule, modules) -> {
+                    Finding finding = find(run.apply(modules), maxSeed);
                     String found =
                             finding == null
                                     ? "not found |"
--- a/src/test/java/reeldeal/fleet/SimulatedElection.java
+++ b/src/test/java/reeldeal/fleet/SimulatedElection.java
@@ -41,46 +41,48 @@
 
     /** A node that believes to lead, most often the true leader; null where there is none. */
     SimulatedLeader drawLeader() {
-        List<SimulatedLeader> believing =
-                nodes.stream().filter(SimulatedLeader::believesToLead).toList();
-        if (believing.isEmpty()) {
+        List<SimulatedLeader> actingLeaders =
+                nodes.stream().filter(SimulatedLeader::actsAsLeader).toList();
+        if (actingLeaders.isEmpty()) {
             return null;
         }
-        boolean isAny = fleet.rng.nextInt(10) == 0 || !hasLeader();
-        return isAny ? believing.get(fleet.rng.nextInt(believing.size())) : nodes.get(leader);
+        boolean drawsAny = fleet.rng.nextInt(10) == 0 || !hasLeader();
+        return drawsAny
+                ? actingLeaders.get(fleet.rng.nextInt(actingLeaders.size()))
+                : nodes.get(leader);
     }
 
     /** The leader loses its office, and learns that later; another is elected after a while. */
     void elect() {
         if (hasLeader()) {
             SimulatedLeader former = nodes.get(leader);
-            former.partition(fleet.rng.nextBoolean());
+            former.setPartitioned(fleet.rng.nextBoolean());
             fleet.after(
                     fleet.rng.nextInt(2_500),
                     () -> {
                         if (!isLeader(former.id)) {
-                            former.end();
+                            former.endLeadership();
                         }
-                        former.partition(false);
+                        former.setPartitioned(false);
                     });
         }
         long leaderlessMs = fleet.rng.nextInt(6) == 0 ? 11_000 : fleet.rng.nextInt(1_000);
         leader = NOBODY;
-        fleet.after(leaderlessMs, () -> begin(leaderlessMs));
+        fleet.after(leaderlessMs, () -> beginTerm(leaderlessMs));
     }
 
-    private void begin(long leaderlessMs) {
+    private void beginTerm(long leaderlessMs) {
         if (!hasLeader()) {
             leader = fleet.rng.nextInt(NODES);
             leaderSince = fleet.now;
-            nodes.get(leader).begin(leaderlessMs);
-            fleet.note("leads " + leader);
+            nodes.get(leader).beginLeadership(leaderlessMs);
+            fleet.addToTrace("leads " + leader);
         }
     }
 
     /** Ends all partitions. */
     void heal() {
-        nodes.forEach(node -> node.partition(false));
+        nodes.forEach(node -> node.setPartitioned(false));
         if (!hasLeader()) {
             elect();
         }
--- a/src/test/java/reeldeal/fleet/SimulatedFaults.java
+++ b/src/test/java/reeldeal/fleet/SimulatedFaults.java
@@ -10,15 +10,15 @@
     private final FleetSimulation fleet;
 
     /** How often a fault happens, of 12. */
-    private final int frequency;
+    private final int faultsInTwelve;
 
-    SimulatedFaults(FleetSimulation fleet, int frequency) {
+    SimulatedFaults(FleetSimulation fleet, int faultsInTwelve) {
         this.fleet = fleet;
-        this.frequency = frequency;
+        this.faultsInTwelve = faultsInTwelve;
     }
 
     /** One fault, or none, and the next after a while. */
-    void next() {
+    void injectNext() {
         if (fleet.healed) {
             return;
         }
@@ -26,36 +26,36 @@
                 fleet.processes.values().stream().filter(process -> process.alive).toList();
         SimulatedProcess process =
                 alive.isEmpty() ? null : alive.get(fleet.rng.nextInt(alive.size()));
-        int fault = fleet.rng.nextInt(12) < frequency ? fleet.rng.nextInt(KINDS) : NO_FAULT;
+        int fault = fleet.rng.nextInt(12) < faultsInTwelve ? fleet.rng.nextInt(KINDS) : NO_FAULT;
         switch (fault) {
             case 4, 5 -> fleet.election.elect();
             case 6 -> killSearcher();
             case 7 -> terminateOrChangePolicy(process);
             default -> {
                 if (process != null) {
-                    hit(process, fault);
+                    injectProcessFault(process, fault);
                 }
             }
         }
-        fleet.after(200 + fleet.rng.nextInt(1_500), this::next);
+        fleet.after(200 + fleet.rng.nextInt(1_500), this::injectNext);
     }
 
-    private void hit(SimulatedProcess process, int fault) {
+    private void injectProcessFault(SimulatedProcess process, int fault) {
         switch (fault) {
             case 0 -> {
-                fleet.note("kill " + process.boot);
+                fleet.addToTrace("kill " + process.boot);
                 process.kill();
                 fleet.after(500 + fleet.rng.nextInt(6_000), () -> fleet.startIfDead(process.name));
             }
             case 1, 2 -> {
-                fleet.note("pause " + process.boot);
+                fleet.addToTrace("pause " + process.boot);
                 process.paused = true;
                 fleet.after(200 + fleet.rng.nextInt(8_000), () -> process.paused = false);
             }
             case 3 -> {
-                fleet.note("cut " + process.boot);
-                process.cut = true;
-                fleet.after(200 + fleet.rng.nextInt(8_000), () -> process.cut = false);
+                fleet.addToTrace("cut " + process.boot);
+                process.partitioned = true;
+                fleet.after(200 + fleet.rng.nextInt(8_000), () -> process.partitioned = false);
             }
             default -> {}
         }
@@ -65,15 +65,15 @@
         SimulatedSearcher searcher =
                 fleet.searchers.get("s" + fleet.rng.nextInt(FleetSimulation.SEARCHERS));
         if (searcher.up) {
-            fleet.note("kill " + searcher.name);
+            fleet.addToTrace("kill " + searcher.name);
             searcher.restart(500 + fleet.rng.nextInt(4_000));
         }
     }
 
     private void terminateOrChangePolicy(SimulatedProcess process) {
         if (process != null && fleet.rng.nextInt(3) == 0) {
-            fleet.note("terminate " + process.boot);
-            process.run(() -> process.self.terminate(process.clock()));
+            fleet.addToTrace("terminate " + process.boot);
+            process.run(() -> process.member.terminate(process.clock()));
         } else {
             FormAttributes policy =
                     new FormAttributes()
--- a/src/test/java/reeldeal/fleet/SimulatedLeader.java
+++ b/src/test/java/reeldeal/fleet/SimulatedLeader.java
@@ -18,8 +18,8 @@
     final int id;
     private final FleetController controller;
     private final double clockRate;
-    private boolean believes;
-    private boolean cut;
+    private boolean actsAsLeader;
+    private boolean partitioned;
 
     /** Identifies its last leadership. */
     private long leadership = -2;
@@ -28,14 +28,14 @@
         this.fleet = fleet;
         this.id = id;
         clockRate = fleet.drawClockRate();
-        DisruptionBudget budget = fleet.parts.disruptionBudget();
+        DisruptionBudget budget = fleet.modules.disruptionBudget();
         controller =
                 new FleetController(
                         budget,
-                        fleet.parts.rolloutController(budget),
-                        fleet.parts.leaseTable(),
-                        fleet.parts.outageClassifier(),
-                        fleet.parts.recoveryController());
+                        fleet.modules.rolloutController(budget),
+                        fleet.modules.leaseTable(),
+                        fleet.modules.outageClassifier(),
+                        fleet.modules.recoveryController());
     }
 
     /** Begins its timer. */
@@ -47,54 +47,54 @@
         return (long) (fleet.now * clockRate);
     }
 
-    boolean believesToLead() {
-        return believes;
+    boolean actsAsLeader() {
+        return actsAsLeader;
     }
 
-    void partition(boolean isPartitioned) {
-        cut = isPartitioned;
+    void setPartitioned(boolean isPartitioned) {
+        partitioned = isPartitioned;
     }
 
     /** It is elected, after nobody led for a time. */
-    void begin(long leaderlessMs) {
-        believes = true;
-        cut = false;
+    void beginLeadership(long leaderlessMs) {
+        actsAsLeader = true;
+        partitioned = false;
         leadership = fleet.now * 10 + id;
         controller.beginLeadership(clock(), leaderlessMs);
     }
 
     /** It learns that it does not lead. */
-    void end() {
-        believes = false;
+    void endLeadership() {
+        actsAsLeader = false;
         controller.endLeadership();
     }
 
     private void tick() {
-        if (!cut) {
+        if (!partitioned) {
             controller.onFleetChanged(clock(), fleet.latest);
             controller.setSearchers(endpointList(), LAYOUT);
         }
-        ConditionalWrite write = believes ? controller.nextWrite(clock()) : null;
+        ConditionalWrite write = actsAsLeader ? controller.nextWrite(clock()) : null;
         if (write != null) {
             long term = fleet.election.term();
             fleet.submit(
                     write,
-                    cut || !fleet.election.isLeader(id),
+                    partitioned || !fleet.election.isLeader(id),
                     () -> fleet.election.isLeader(id) && fleet.election.term() == term,
                     committed -> controller.onWriteEnded());
         }
-        fleet.after(fleet.calm ? 10 : 100 + fleet.rng.nextInt(50), this::tick);
+        fleet.after(fleet.faultFree ? 10 : 100 + fleet.rng.nextInt(50), this::tick);
     }
 
     /** Its list, the older the greater its id. */
     private Map<String, ObservedSearcher> endpointList() {
-        int lists = fleet.endpointLists.size();
-        return lists == 0 ? null : fleet.endpointLists.get(Math.max(0, lists - 1 - id));
+        int listCount = fleet.endpointLists.size();
+        return listCount == 0 ? null : fleet.endpointLists.get(Math.max(0, listCount - 1 - id));
     }
 
     /** A member's heartbeat; it is answered after a confirmation of the leadership. */
     void onHeartbeat(SimulatedProcess member, LocalMember.SendHeartbeat heartbeat) {
-        if (!believes) {
+        if (!actsAsLeader) {
             return;
         }
         long receivedAt = fleet.now;
@@ -104,10 +104,10 @@
                         member.name,
                         heartbeat.incarnation(),
                         heartbeat.appliedVersion(),
-                        fleet.extra == null ? NO_COUNTS : fleet.extra.counts(member),
+                        fleet.extension == null ? NO_COUNTS : fleet.extension.counts(member),
                         Set.of());
-        long answering = leadership;
-        if (isRenewed && member.answeredBy == answering) {
+        long currentLeadership = leadership;
+        if (isRenewed && member.lastAnsweredLeadership == currentLeadership) {
             controller.onHeartbeatAnswered(member.name);
         }
         boolean outageClassified = controller.hasClassifiedOutage();
@@ -117,8 +117,8 @@
                     boolean isConfirmed =
                             fleet.election.isLeader(id) && fleet.election.term() <= receivedAt;
                     if (isRenewed
-                            && (isConfirmed || !fleet.parts.confirmsLeadership())
-                            && !member.cut
+                            && (isConfirmed || !fleet.modules.confirmsLeadership())
+                            && !member.partitioned
                             && fleet.rng.nextInt(20) > 0) {
                         fleet.after(
                                 fleet.drawDelay(),
@@ -127,7 +127,7 @@
                                                 () ->
                                                         member.onAnswer(
                                                                 heartbeat,
-                                                                answering,
+                                                                currentLeadership,
                                                                 outageClassified)));
                     }
                 });
