--- a/src/test/java/reeldeal/fleet/SimulatedOperator.java
+++ b/src/test/java/reeldeal/fleet/SimulatedOperator.java
@@ -17,7 +17,7 @@
     private final FleetSimulation fleet;
     private final Kind kind;
     private boolean everRolledBack;
-    private int plans;
+    private int planCount;
 
     /** When the release was started. */
     long startedAt;
@@ -29,7 +29,7 @@
 
     /** How often a release may restart one member: there and back. */
     int maxRestarts() {
-        return (everRolledBack ? 2 : 1) + plans - 1;
+        return (everRolledBack ? 2 : 1) + planCount - 1;
     }
 
     /** Plans and starts a release once all brokers and searchers are known. */
@@ -41,15 +41,15 @@
                         : List.copyOf(fleet.searchers.keySet());
         boolean allKnown =
                 latest.searchers().size() >= fleet.searchers.size()
-                        && (kind == Kind.SEARCHER || members.size() >= fleet.size);
+                        && (kind == Kind.SEARCHER || members.size() >= fleet.brokerCount);
         if (!allKnown || !latest.members().values().stream().allMatch(Member::isServing)) {
             fleet.after(500, this::plan);
             return;
         }
-        plans++;
+        planCount++;
         Release release =
                 new Release(
-                        "r" + plans,
+                        "r" + planCount,
                         kind,
                         "config",
                         "v1",
@@ -59,11 +59,11 @@
                         500,
                         20_000,
                         0);
-        List<Integer> waves = fleet.calm ? List.of(members.size()) : List.of(1, 2, 4);
+        List<Integer> waves = fleet.faultFree ? List.of(members.size()) : List.of(1, 2, 4);
         fleet.commit(RolloutOrders.plan(latest, release, members, waves));
         changeProgress(Progress.RUNNING);
         startedAt = fleet.now;
-        if (!fleet.calm) {
+        if (!fleet.faultFree) {
             fleet.after(500 + fleet.rng.nextInt(20_000), this::interfere);
         }
     }
@@ -86,7 +86,7 @@
                     () -> {
                         fleet.commit(order);
                         everRolledBack |= fleet.latest.release().rollingBack();
-                        fleet.note("operator, release at " + decidedAt);
+                        fleet.addToTrace("operator, release at " + decidedAt);
                     });
         }
         if (!fleet.healed) {
@@ -96,7 +96,7 @@
 
     private ConditionalWrite drawOrder(Release release) {
         if (!release.rollingBack() && fleet.rng.nextInt(4) == 0) {
-            return fleet.parts.rollBack(fleet.latest);
+            return fleet.modules.rollBack(fleet.latest);
         } else if (release.isRunning()) {
             Progress progress = fleet.rng.nextBoolean() ? Progress.HALTED : Progress.PAUSED;
             return RolloutOrders.changeProgress(fleet.latest, progress, REASON);
@@ -139,8 +139,8 @@
         fleet.processes.keySet().forEach(fleet::startIfDead);
         Release release = fleet.latest.release();
         if (release != null && release.progress() == Progress.DONE) {
-            if (isAllBack()) {
-                fleet.end = release.rollingBack() ? "back" : "done";
+            if (haveAllReturned()) {
+                fleet.outcome = release.rollingBack() ? "back" : "done";
                 return;
             }
         } else if (release != null && !release.isRunning()) {
@@ -149,7 +149,7 @@
         fleet.after(4_000, this::finish);
     }
 
-    private boolean isAllBack() {
+    private boolean haveAllReturned() {
         return fleet.latest.permits(Kind.BROKER).isEmpty()
                 && fleet.latest.permits(Kind.SEARCHER).isEmpty()
                 && fleet.latest.members().values().stream().allMatch(Member::isServing);
@@ -158,15 +158,15 @@
     private void resumeOrRollBack(Release halted) {
         boolean hasWrongVersion = halted.reason().contains(WRONG_VERSION);
         if (hasWrongVersion && !halted.rollingBack()) {
-            fleet.commit(fleet.parts.rollBack(fleet.latest));
+            fleet.commit(fleet.modules.rollBack(fleet.latest));
             everRolledBack = true;
             return;
         }
         if (hasWrongVersion) {
             // It is mended by hand.
-            SimulatedProcess wrong = fleet.processes.get(halted.reason().split(" ")[0]);
-            wrong.die();
-            fleet.startIfDead(wrong.name);
+            SimulatedProcess wrongProcess = fleet.processes.get(halted.reason().split(" ")[0]);
+            wrongProcess.markDead();
+            fleet.startIfDead(wrongProcess.name);
         }
         changeProgress(Progress.RUNNING);
     }
--- a/src/test/java/reeldeal/fleet/SimulatedProcess.java
+++ b/src/test/java/reeldeal/fleet/SimulatedProcess.java
@@ -14,40 +14,40 @@
     final String name;
     final String boot;
     final String config;
-    final LocalMember self;
+    final LocalMember member;
     private final double clockRate;
     private final long clockOffset;
 
     boolean alive = true;
     long diedAt = -1;
     boolean paused;
-    boolean cut;
+    boolean partitioned;
     boolean draining;
     boolean serving;
 
     /** Whether a leader has told it that it is certain what was lost. */
-    boolean judged;
+    boolean startClassified;
 
     /** The leadership of the last answer that it had. */
-    long answeredBy = -1;
+    long lastAnsweredLeadership = -1;
 
     /** Why it ends, null while it does not. */
-    String exiting;
+    String exitReason;
 
     /** The version up to which it has applied the log, and the fleet at that version. */
-    long seen;
+    long appliedVersion;
 
-    FleetView own = new FleetView(Map.of());
+    FleetView appliedView = new FleetView(Map.of());
 
     SimulatedProcess(FleetSimulation fleet, String name) {
         this.fleet = fleet;
         this.name = name;
         clockRate = fleet.drawClockRate();
         clockOffset = fleet.rng.nextInt(1_000_000);
-        boot = name + "#" + fleet.nextBoot();
+        boot = name + "#" + fleet.nextBootNumber();
         config = fleet.drawConfig(name);
-        self =
-                fleet.parts.localMember(
+        member =
+                fleet.modules.localMember(
                         new LocalMember.Identity(
                                 name,
                                 boot,
@@ -57,28 +57,28 @@
                                 config),
                         new LocalMember.Timing(
                                 FleetSimulation.TERM_MS, HEARTBEAT_MS, PERMIT_TIMEOUT_MS, RETRY_MS),
-                        fleet.parts.disruptionBudget());
+                        fleet.modules.disruptionBudget());
         fleet.after(50 + fleet.rng.nextInt(400), () -> run(this::serve));
         tick();
     }
 
     private void serve() {
         serving = true;
-        if (fleet.extra != null) {
-            fleet.extra.started(this);
+        if (fleet.extension != null) {
+            fleet.extension.onStarted(this);
         }
         fleet.invariants.onServing(this);
-        self.onReady(clock());
+        member.onReady(clock());
     }
 
-    void die() {
+    void markDead() {
         alive = false;
         diedAt = fleet.now;
     }
 
     /** Kills it; nothing of it serves any more. */
     void kill() {
-        die();
+        markDead();
         serving = false;
     }
 
@@ -88,12 +88,12 @@
     }
 
     boolean holdsLease() {
-        return self.holdsLease(clock());
+        return member.holdsLease(clock());
     }
 
     /** Whether it drains or has drained by an order. */
-    boolean isOrderlyOut() {
-        return draining && (exiting == null || !exiting.contains("unplanned"));
+    boolean isOutByOrder() {
+        return draining && (exitReason == null || !exitReason.contains("unplanned"));
     }
 
     /** Runs an action in this process; a paused one runs it once it resumes. */
@@ -111,27 +111,27 @@
     private void tick() {
         run(
                 () -> {
-                    if (cut) {
-                        self.tick(clock());
+                    if (partitioned) {
+                        member.tick(clock());
                     } else {
-                        seen = fleet.version;
-                        own = fleet.latest;
-                        self.onFleetChanged(clock(), own, seen, true);
+                        appliedVersion = fleet.version;
+                        appliedView = fleet.latest;
+                        member.onFleetChanged(clock(), appliedView, appliedVersion, true);
                     }
-                    if (fleet.extra != null) {
-                        fleet.extra.tick(this);
+                    if (fleet.extension != null) {
+                        fleet.extension.onTick(this);
                     }
                     fleet.after(80 + fleet.rng.nextInt(40), this::tick);
                 });
     }
 
     private void executeActions() {
-        for (LocalMember.Action action : self.drainActions()) {
+        for (LocalMember.Action action : member.drainActions()) {
             if (action instanceof LocalMember.Propose propose) {
                 fleet.submit(
                         propose.write(),
-                        cut,
-                        committed -> run(() -> self.writeEnded(clock(), committed)));
+                        partitioned,
+                        committed -> run(() -> member.writeEnded(clock(), committed)));
             } else if (action instanceof LocalMember.SendHeartbeat heartbeat) {
                 send(heartbeat);
             } else if (action instanceof LocalMember.Drain) {
@@ -149,7 +149,7 @@
 
     private void send(LocalMember.SendHeartbeat heartbeat) {
         // A leader is drawn twice: the recorded digests depend on the number of draws.
-        if (!cut && fleet.election.drawLeader() != null) {
+        if (!partitioned && fleet.election.drawLeader() != null) {
             SimulatedLeader leader = fleet.election.drawLeader();
             fleet.after(fleet.drawDelay(), () -> leader.onHeartbeat(this, heartbeat));
         }
@@ -157,19 +157,19 @@
 
     /** The leader answered a heartbeat. */
     void onAnswer(LocalMember.SendHeartbeat heartbeat, long leadership, boolean outageClassified) {
-        answeredBy = leadership;
-        judged |= outageClassified && heartbeat.incarnation() == self.incarnation();
-        self.heartbeatAnswered(clock(), heartbeat.incarnation(), heartbeat.sentAtMs());
+        lastAnsweredLeadership = leadership;
+        startClassified |= outageClassified && heartbeat.incarnation() == member.incarnation();
+        member.heartbeatAnswered(clock(), heartbeat.incarnation(), heartbeat.sentAtMs());
     }
 
     private void exit(String reason) {
-        exiting = reason;
+        exitReason = reason;
         if (reason.startsWith("release")) {
             fleet.invariants.onRestart(name, fleet.operator.maxRestarts());
         }
-        ConditionalWrite deregistration = self.deregistration();
+        ConditionalWrite deregistration = member.deregistration();
         if (deregistration != null && fleet.rng.nextInt(5) > 0) {
-            fleet.submit(deregistration, cut, committed -> {});
+            fleet.submit(deregistration, partitioned, committed -> {});
         }
         fleet.after(100 + fleet.rng.nextInt(800), this::kill);
         fleet.after(1_000 + fleet.rng.nextInt(2_000), () -> fleet.startIfDead(name));
--- a/src/test/java/reeldeal/fleet/TakeoverSimulation.java
+++ b/src/test/java/reeldeal/fleet/TakeoverSimulation.java
@@ -22,7 +22,7 @@
  * requests in flight, clients that retry at other brokers, searchers that drop repeats of a key for
  * a while. Checked against what searchers truly ran and clients were truly answered.
  */
-final class TakeoverSimulation implements FleetSimulation.Extra {
+final class TakeoverSimulation implements FleetSimulation.Extension {
     static final TakeoverPolicy.Window WINDOW = new TakeoverPolicy.Window(5_500, 300, 400);
     static final InFlightRequests.Bounds BOUNDS = new InFlightRequests.Bounds(20, 100, 1_500, 300);
     static final long CLIENT_TIMEOUT_MS = 8_000;
@@ -31,7 +31,7 @@
     private static final int MAX_ATTEMPTS = 3;
 
     /** The modules, intact or broken on purpose. */
-    static class Parts {
+    static class Modules {
         TakeoverPolicy takeoverPolicy() {
             return new TakeoverPolicy();
         }
@@ -49,17 +49,17 @@
     private final class Broker {
         private final InFlightRequests requests;
         private final GroupCommit groupCommit = new GroupCommit(16, 60_000, 2);
-        private Map<String, RequestRecord> copy = Map.of();
+        private Map<String, RequestRecord> recordsCopy = Map.of();
 
         Broker(String name) {
-            requests = parts.inFlightRequests(name, key -> copy.get(key));
+            requests = modules.inFlightRequests(name, key -> recordsCopy.get(key));
         }
 
         /** Applies all records that have changed since the last call. */
         void applyRecords(long now) {
             Set<String> changed = new TreeSet<>();
-            Map<String, RequestRecord> before = copy;
-            copy = records;
+            Map<String, RequestRecord> before = recordsCopy;
+            recordsCopy = records;
             records.forEach(
                     (key, record) -> {
                         RequestRecord known = before.get(key);
@@ -73,11 +73,11 @@
     }
 
     final FleetSimulation fleet;
-    private final Parts parts;
+    private final Modules modules;
     private final Map<SimulatedProcess, Broker> brokers = new HashMap<>();
     private final Map<SimulatedProcess, Long> wallClockErrors = new HashMap<>();
-    private final Map<Long, String> keysOfClients = new HashMap<>();
-    private long nextClient;
+    private final Map<Long, String> keyByClient = new HashMap<>();
+    private long nextClientId;
 
     /** What is true, whatever any broker believes. */
     private Map<String, RequestRecord> records = new TreeMap<>();
@@ -85,7 +85,7 @@
     private final Set<String> sentKeys = new TreeSet<>();
     private final Map<String, Integer> runsAtSearchers = new TreeMap<>();
     private final Map<String, Long> deduplicatedSince = new HashMap<>();
-    private final Map<String, String> answers = new TreeMap<>();
+    private final Map<String, String> answerByKey = new TreeMap<>();
 
     int answeredDone;
     int answeredUnknown;
@@ -93,10 +93,10 @@
     int claims;
     int repeatedRuns;
 
-    TakeoverSimulation(long seed, Parts parts) {
-        this.parts = parts;
-        fleet = new FleetSimulation(seed, new FleetSimulation.Parts());
-        fleet.extra = this;
+    TakeoverSimulation(long seed, Modules modules) {
+        this.modules = modules;
+        fleet = new FleetSimulation(seed, new FleetSimulation.Modules());
+        fleet.extension = this;
         for (int i = 0; i < CLIENTS; i++) {
             String key = "k" + i;
             fleet.after(
@@ -106,9 +106,9 @@
     }
 
     /** Plays to the end, and for as long as any request may be in flight. */
-    TakeoverSimulation play() {
-        fleet.play();
-        fleet.playTo(Math.max(fleet.now, 42_000) + 25_000);
+    TakeoverSimulation runToEnd() {
+        fleet.runToEnd();
+        fleet.runUntil(Math.max(fleet.now, 42_000) + 25_000);
         records.values().forEach(record -> fleet.check(!record.isOpen(), "left open: " + record));
         return this;
     }
@@ -129,14 +129,14 @@
                         .filter(process -> process.alive && process.serving)
                         .filter(brokers::containsKey)
                         .toList();
-        boolean isDone = answers.containsKey(key) && fleet.rng.nextInt(3) > 0;
+        boolean isDone = answerByKey.containsKey(key) && fleet.rng.nextInt(3) > 0;
         if (isDone || fleet.now >= deadline) {
             return;
         }
         if (!serving.isEmpty()) {
             SimulatedProcess process = serving.get(fleet.rng.nextInt(serving.size()));
-            long client = nextClient++;
-            keysOfClients.put(client, key);
+            long client = nextClientId++;
+            keyByClient.put(client, key);
             process.run(() -> submit(process, client, key, deadline));
         }
         fleet.after(1_200 + fleet.rng.nextInt(800), () -> sendAsClient(key, deadline));
@@ -173,7 +173,7 @@
         fleet.check(
                 records.get(key) != null && records.get(key).state() == reply.state(),
                 key + " was answered " + answer + " before it was recorded");
-        String before = answers.put(key, answer);
+        String before = answerByKey.put(key, answer);
         fleet.check(
                 before == null || before.equals(answer),
                 key + " was answered " + before + " and " + answer);
@@ -182,24 +182,24 @@
     // ---- brokers ----
 
     @Override
-    public void started(SimulatedProcess process) {
+    public void onStarted(SimulatedProcess process) {
         brokers.put(process, new Broker(process.name));
     }
 
     @Override
-    public void tick(SimulatedProcess process) {
+    public void onTick(SimulatedProcess process) {
         Broker broker = brokers.get(process);
         if (broker == null) {
             return;
         }
-        if (process.cut) {
+        if (process.partitioned) {
             broker.requests.tick(wallClock(process));
         } else {
-            Member member = process.own.members().get(process.name);
+            Member member = process.appliedView.members().get(process.name);
             boolean isRegistered = member != null && member.boot().equals(process.boot);
             broker.applyRecords(wallClock(process));
             broker.requests.onFleetChanged(
-                    wallClock(process), process.own, isRegistered ? member : null);
+                    wallClock(process), process.appliedView, isRegistered ? member : null);
         }
         performActions(process, broker);
     }
@@ -213,13 +213,13 @@
                 repeatedRuns += run.record().runs() > 1 ? 1 : 0;
                 send(process, broker.requests, run.record(), 0);
             } else if (action instanceof RequestAction.Reply reply) {
-                answer(keysOfClients.get(reply.client()), reply);
+                answer(keyByClient.get(reply.client()), reply);
             }
         }
         for (GroupCommit.Batch batch : broker.groupCommit.dueBatches()) {
             fleet.submit(
                     batch.write(),
-                    process.cut,
+                    process.partitioned,
                     committed -> process.run(() -> batchEnded(process, batch, committed)));
         }
     }
@@ -241,14 +241,14 @@
         if (!requests.owns(key)) {
             return;
         }
-        if (parts.checksLease() && !process.self.holdsLease(process.clock())) {
+        if (modules.checksLease() && !process.member.holdsLease(process.clock())) {
             fleet.after(150, () -> process.run(() -> send(process, requests, record, attempt)));
             return;
         }
         TakeoverPolicy.Verdict verdict =
                 attempt == 0 && record.runs() == 1
                         ? TakeoverPolicy.Verdict.RUN
-                        : parts.takeoverPolicy().verdict(record, wallClock(process), WINDOW);
+                        : modules.takeoverPolicy().verdict(record, wallClock(process), WINDOW);
         boolean isAdmitted = attempt > 0 || fleet.rng.nextInt(12) > 0;
         if (!isAdmitted) {
             requests.runEnded(wallClock(process), key, RunOutcome.UNSENT, "unsent");
@@ -258,10 +258,11 @@
             requests.runEnded(wallClock(process), key, RunOutcome.FAILED, "failed");
             return;
         }
-        RequestRecord truth = records.get(key);
+        RequestRecord trueRecord = records.get(key);
         fleet.check(
-                truth.owner().equals(process.name) && truth.incarnation() == record.incarnation(),
-                process.boot + " sends " + key + ", which is " + truth.owner() + "'s");
+                trueRecord.owner().equals(process.name)
+                        && trueRecord.incarnation() == record.incarnation(),
+                process.boot + " sends " + key + ", which is " + trueRecord.owner() + "'s");
         sentKeys.add(key);
         if (fleet.rng.nextInt(15) > 0) {
             fleet.after(1 + fleet.rng.nextInt(150), () -> runAtSearcher(process, requests, key));
@@ -299,21 +300,21 @@
     // ---- the store ----
 
     @Override
-    public void committed() {
-        Map<String, RequestRecord> fresh = new TreeMap<>();
+    public void onCommitted() {
+        Map<String, RequestRecord> current = new TreeMap<>();
         fleet.state
                 .valuesUnder(RequestRecord.ROOT)
                 .forEach(
                         (storeKey, value) -> {
                             RequestRecord record = read(storeKey, value);
-                            fresh.put(record.key(), record);
+                            current.put(record.key(), record);
                         });
         for (String key : records.keySet()) {
             fleet.check(
-                    fresh.containsKey(key) || !sentKeys.contains(key),
+                    current.containsKey(key) || !sentKeys.contains(key),
                     "the record of " + key + " was lost");
         }
-        records = fresh;
+        records = current;
     }
 
     /** The record that is known already, or a new one, which is checked. */
--- a/src/test/java/reeldeal/fleet/TakeoverSimulationTest.java
+++ b/src/test/java/reeldeal/fleet/TakeoverSimulationTest.java
@@ -44,17 +44,17 @@
         }
     }
 
-    private static TakeoverSimulation play(long seed, TakeoverSimulation.Parts parts) {
-        return new TakeoverSimulation(seed, parts).play();
+    private static TakeoverSimulation runSeed(long seed, TakeoverSimulation.Modules modules) {
+        return new TakeoverSimulation(seed, modules).runToEnd();
     }
 
-    private static Coverage playIntact(long from, long to) {
+    private static Coverage runIntact(long from, long to) {
         Coverage coverage = new Coverage();
-        SeededRuns.hold(
+        SeededRuns.requireAllToHold(
                 from,
                 to,
-                seed -> new TakeoverSimulation(seed, new TakeoverSimulation.Parts()),
-                TakeoverSimulation::play,
+                seed -> new TakeoverSimulation(seed, new TakeoverSimulation.Modules()),
+                TakeoverSimulation::runToEnd,
                 simulation -> simulation.fleet.trace(),
                 coverage::add);
         return coverage;
@@ -62,7 +62,7 @@
 
     @Test
     public void keyedRequestsRunOnceAndEndOnceForAFixedSetOfSeeds() {
-        Coverage coverage = playIntact(1, SEEDS);
+        Coverage coverage = runIntact(1, SEEDS);
         assertTrue(
                 coverage.toString(),
                 coverage.answeredDone > 20 * SEEDS
@@ -74,7 +74,7 @@
     public void aFixedSetOfSeedsGivesTheRecordedCommitsSendsAndAnswers() {
         EventDigest all = new EventDigest();
         for (long seed = 1; seed <= DIGEST_SEEDS; seed++) {
-            TakeoverSimulation simulation = play(seed, new TakeoverSimulation.Parts());
+            TakeoverSimulation simulation = runSeed(seed, new TakeoverSimulation.Modules());
             all.add(seed + " " + simulation.fleet.digest.hex());
         }
         assertEquals("recorded on 9332643", "a89f16a30484583bdf6cecd7", all.hex());
@@ -84,11 +84,12 @@
     public void eachBrokenRuleIsFound() {
         BrokenTakeoverModules.all()
                 .forEach(
-                        (rule, parts) ->
+                        (rule, modules) ->
                                 assertNotNull(
                                         "not found: " + rule,
                                         SeededRuns.find(
-                                                seed -> play(seed, parts), MAX_SEEDS_TO_FIND)));
+                                                seed -> runSeed(seed, modules),
+                                                MAX_SEEDS_TO_FIND)));
         assertEquals(13, BrokenTakeoverModules.all().size());
     }
 
@@ -98,14 +99,14 @@
      */
     public static void main(String[] args) {
         if (args[0].equals("broken")) {
-            SeededRuns.table(
+            SeededRuns.printTable(
                     BrokenTakeoverModules.all(),
-                    parts -> seed -> play(seed, parts),
+                    modules -> seed -> runSeed(seed, modules),
                     Integer.parseInt(args[1]));
             return;
         }
         long from = System.nanoTime();
-        Coverage coverage = playIntact(Long.parseLong(args[1]), Long.parseLong(args[2]));
+        Coverage coverage = runIntact(Long.parseLong(args[1]), Long.parseLong(args[2]));
         System.out.println(coverage + ", in " + (System.nanoTime() - from) / 1_000_000 + " ms");
     }
 }
--- a/src/test/java/reeldeal/fleet/disruption/DisruptionBudgetTest.java
+++ b/src/test/java/reeldeal/fleet/disruption/DisruptionBudgetTest.java
@@ -14,7 +14,7 @@
 import reeldeal.fleet.FleetView.Kind;
 import reeldeal.fleet.FleetView.State;
 
-/** Permits to go out, the limits that they keep to, and evidence of returns. */
+/** Tests the grants of permits, the limits on them, and the evidence that a holder has returned. */
 public class DisruptionBudgetTest {
     private static final DisruptionBudget.ShardLayout NO_LAYOUT =
             new DisruptionBudget.ShardLayout(0, 0, 0);
@@ -59,14 +59,14 @@
         DisruptionBudget.Observations observations =
                 new DisruptionBudget.Observations(null, NO_LAYOUT, Set.of("a", "b", "c"), 1_000);
         assertEquals(
-                "a votes in the store, and 1 of 3 voters would be left, 2 are needed",
+                "a is a voter of the store, and 1 of 3 voters would remain, 2 required",
                 budget.grant(fleet, observations, Kind.BROKER, "a", "operator", "")
                         .rejectionReason());
         assertNotNull(budget.grant(fleet, observations, Kind.BROKER, "d", "operator", "").write());
     }
 
     @Test
-    public void aGrantExpectsAllThatItWasDecidedFrom() {
+    public void aGrantExpectsAllVersionsItWasBasedOn() {
         ConditionalWrite write =
                 budget.grant(brokers("").view(), observed(), Kind.BROKER, "a", "operator", "why")
                         .write();
@@ -110,13 +110,13 @@
         DisruptionBudget.Observations observations =
                 observed(listed("s0", 0, 1_000, true), listed("s1", 1, 1_000, true));
         assertEquals(
-                "shard 1 would have 0 warm searchers, 1 wanted",
+                "shard 1 would have 0 warm searchers, 1 required",
                 budget.grant(fleet, observations, Kind.SEARCHER, "s1", "operator", "")
                         .rejectionReason());
     }
 
     @Test
-    public void aPolicyThatWasTightenedIsNoViolationWhileAllAreOutUnderPermits() {
+    public void aTightenedPolicyIsNotViolatedWhileAllAreOutUnderPermits() {
         FleetView permitted = brokers("brokers_out=0").permit(Kind.BROKER, "a", "a1").view();
         assertNull(budget.limits().violation(permitted, observed()));
         FleetView lapsed = brokers("brokers_out=0").broker("d", "y", State.LAPSED).view();
@@ -127,13 +127,13 @@
     public void aBrokerIsBackOnceANewerProcessServes() {
         FleetView fleet = brokers("").permit(Kind.BROKER, "a", "a0").view();
         assertNull(
-                "it served before the permit",
-                budget.evidence().of(fleet, observed(), permit(fleet, "a")));
+                "a state from before the permit is no evidence",
+                budget.evidence().findEvidence(fleet, observed(), permit(fleet, "a")));
         FleetView restarted =
                 brokers("").permit(Kind.BROKER, "a", "a0").broker("a", "x", State.SERVING).view();
         assertEquals(
                 "a newer process serves, incarnation 18",
-                budget.evidence().of(restarted, observed(), permit(restarted, "a")));
+                budget.evidence().findEvidence(restarted, observed(), permit(restarted, "a")));
     }
 
     private static FleetView.Permit permit(FleetView fleet, String broker) {
@@ -145,14 +145,17 @@
         FleetView fleet =
                 new FleetValues().searcher("s", 0).permit(Kind.SEARCHER, "s", "1000").view();
         FleetView.Permit permit = fleet.permits(Kind.SEARCHER).get("s");
-        assertNull(budget.evidence().of(fleet, observed(listed("s", 0, 2_000, false)), permit));
+        assertNull(
+                budget.evidence()
+                        .findEvidence(fleet, observed(listed("s", 0, 2_000, false)), permit));
         assertEquals(
                 "a newer process is listed and warm",
-                budget.evidence().of(fleet, observed(listed("s", 0, 2_000, true)), permit));
+                budget.evidence()
+                        .findEvidence(fleet, observed(listed("s", 0, 2_000, true)), permit));
     }
 
     @Test
-    public void aSearcherThatIsListedNoMoreHasAnUnplannedPermit() {
+    public void aSearcherThatIsNoLongerListedGetsAnUnplannedPermit() {
         FleetView fleet = new FleetValues().searcher("s", 0).view();
         List<ConditionalWrite> writes = budget.pendingWrites(fleet, observed());
         assertEquals(1, writes.size());
--- a/src/test/java/reeldeal/fleet/membership/ClockMedianTest.java
+++ b/src/test/java/reeldeal/fleet/membership/ClockMedianTest.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.junit.Test;
 
-/** The fleet's clock, from the clocks of its members; {@code a} leads. */
+/** Tests the fleet's clock as the median of its members' clocks; member {@code a} leads. */
 public class ClockMedianTest {
     private final ClockMedian clocks = new ClockMedian();
 
@@ -19,7 +19,7 @@
     }
 
     @Test
-    public void aLeaderWhoseClockIsWrongTakesTheMembers() {
+    public void aLeaderWhoseClockIsWrongTakesTheMembersClock() {
         clocks.recordOffset("b", 600_000, 0);
         clocks.recordOffset("c", 600_030, 0);
         clocks.recordOffset("d", 599_990, 0);
@@ -27,11 +27,11 @@
     }
 
     @Test
-    public void oneClockThatIsFarOffChangesLittle() {
+    public void oneOutlierClockDoesNotMoveTheMedian() {
         clocks.recordOffset("b", 600_000, 0);
         clocks.recordOffset("c", 600_030, 0);
         clocks.recordOffset("d", 599_990, 0);
-        clocks.recordOffset("a", 5, 0); // the leader's own heartbeat does not count twice
+        clocks.recordOffset("a", 5, 0); // the leader's heartbeat to itself must not count twice
         clocks.recordOffset("e", -900_000, 0);
         assertEquals(599_990, clocks.medianOffsetMs("a"));
     }
@@ -48,7 +48,7 @@
     }
 
     @Test
-    public void membersThatAreGoneAreForgotten() {
+    public void clocksOfRemovedMembersAreForgotten() {
         clocks.recordOffset("b", 600_000, 0);
         clocks.recordOffset("c", 600_000, 0);
         clocks.retainMembers(Set.of("a", "b"));
--- a/src/test/java/reeldeal/fleet/membership/LeaseTableTest.java
+++ b/src/test/java/reeldeal/fleet/membership/LeaseTableTest.java
@@ -10,7 +10,7 @@
 import reeldeal.fleet.FleetView;
 import reeldeal.fleet.FleetView.State;
 
-/** The leader's side of leases. */
+/** Tests when the leader renews and ends leases. */
 public class LeaseTableTest {
     private static final long TERM_MS = 3_000;
     private final LeaseTable leases = new LeaseTable(TERM_MS);
@@ -80,6 +80,6 @@
         lease.renew(10, 1_000);
         assertTrue(lease.isValid(10, 3_699));
         assertFalse(lease.isValid(10, 3_700));
-        assertFalse("of another incarnation", lease.isValid(11, 1_000));
+        assertFalse("the lease is not valid for another incarnation", lease.isValid(11, 1_000));
     }
 }
--- a/src/test/java/reeldeal/fleet/rollout/RolloutControllerTest.java
+++ b/src/test/java/reeldeal/fleet/rollout/RolloutControllerTest.java
@@ -16,7 +16,7 @@
 import reeldeal.fleet.FleetView.Step;
 import reeldeal.fleet.disruption.DisruptionBudget;
 
-/** The next writes of a release, by what is stored and observed. */
+/** Tests the next writes of a release for given stored states and observations. */
 public class RolloutControllerTest {
     private final RolloutController controller = new RolloutController(new DisruptionBudget());
     private boolean acknowledged = true;
@@ -56,8 +56,8 @@
         return controller.nextWrites(values.view(), observations, new Observed());
     }
 
-    /** The reason of the only write. */
-    private String next(FleetValues values) {
+    /** Returns the reason of the next write, which must be the only one. */
+    private String onlyReason(FleetValues values) {
         List<ConditionalWrite> writes = writes(values);
         assertEquals(writes.toString(), 1, writes.size());
         return writes.get(0).reason();
@@ -66,7 +66,7 @@
     @Test
     public void aWaitingMemberDrainsUnderAPermit() {
         ConditionalWrite write = writes(release(State.SERVING, Stage.WAITING, "")).get(0);
-        assertEquals("release r1: a has its permit, and drains", write.reason());
+        assertEquals("release r1: a has a permit and drains", write.reason());
         assertEquals(
                 "mark=a1 by=release+r1", write.changes().get(FleetView.drainKey(Kind.BROKER, "a")));
         assertTrue(write.changes().containsKey(FleetView.permitKey(Kind.BROKER, "a")));
@@ -74,22 +74,22 @@
     }
 
     @Test
-    public void aDrainedMemberRestartsOnceAllHaveSeenItsDrain() {
+    public void aDrainedMemberRestartsOnceAllHaveAppliedItsDrain() {
         FleetValues draining =
                 release(State.DRAINING, Stage.DRAIN, "a1").permit(Kind.BROKER, "a", "a1");
         acknowledged = false;
         assertEquals(List.of(), writes(draining));
         acknowledged = true;
         ConditionalWrite restart = writes(draining).get(0);
-        assertEquals("release r1: a is drained, and restarts", restart.reason());
+        assertEquals("release r1: a is drained and restarts", restart.reason());
         assertEquals("c2", restart.changes().get(FleetView.TARGET + "a"));
     }
 
     @Test
     public void aMemberThatCrashedWhileItDrainedStartsOver() {
         assertEquals(
-                "release r1: a came back from the drain by itself",
-                next(release(State.SERVING, Stage.DRAIN, "a0")));
+                "release r1: a crashed during its drain and waits again",
+                onlyReason(release(State.SERVING, Stage.DRAIN, "a0")));
     }
 
     @Test
@@ -103,14 +103,14 @@
         stageMs = 4_999;
         assertEquals(List.of(), writes(back));
         stageMs = 5_000;
-        assertEquals("release r1: a has settled", next(back));
+        assertEquals("release r1: a has settled", onlyReason(back));
     }
 
     @Test
     public void aBrokerThatRestartedWithAnotherVersionHaltsTheRelease() {
         assertEquals(
                 "release r1 halted: a came back with config c1, not c2",
-                next(release(State.SERVING, Stage.BACK, "a1")));
+                onlyReason(release(State.SERVING, Stage.BACK, "a1")));
     }
 
     @Test
@@ -118,7 +118,8 @@
         stageMs = 60_001;
         assertEquals(
                 "release r1 halted: a has been at drain for over 60000 ms",
-                next(release(State.DRAINING, Stage.DRAIN, "a1").permit(Kind.BROKER, "a", "a1")));
+                onlyReason(
+                        release(State.DRAINING, Stage.DRAIN, "a1").permit(Kind.BROKER, "a", "a1")));
     }
 
     @Test
@@ -126,18 +127,18 @@
         leaderlessMs = HaltRules.MAX_LEADERLESS_MS;
         assertEquals(
                 "release r1 halted: no majority was in reach for 10 s",
-                next(release(State.SERVING, Stage.WAITING, "")));
+                onlyReason(release(State.SERVING, Stage.WAITING, "")));
     }
 
     @Test
     public void aReleaseIsDoneOnceAllMembersHaveFinished() {
         assertEquals(
                 "release r1 done: all members have c2",
-                next(new FleetValues().release().step("a", Stage.UNTOUCHED, "")));
+                onlyReason(new FleetValues().release().step("a", Stage.UNTOUCHED, "")));
     }
 
     @Test
-    public void aRollbackTakesDrainsBackAndReturnsSettledMembers() {
+    public void aRollbackCancelsDrainsAndReturnsSettledMembers() {
         FleetView fleet =
                 new FleetValues()
                         .release()
--- a/src/test/java/reeldeal/fleet/rollout/RolloutHealthTest.java
+++ b/src/test/java/reeldeal/fleet/rollout/RolloutHealthTest.java
@@ -7,30 +7,33 @@
 import java.util.Set;
 import org.junit.Test;
 
-/** When the members that a release has changed count as worse than the others. */
+/** Tests when the members that a release has changed count as worse than the others. */
 public class RolloutHealthTest {
     private static final Set<String> CHANGED = Set.of("a");
     private static final Set<String> OTHERS = Set.of("b");
 
-    /** The first regression where a fifth of the changed member's answers are late for a time. */
-    private static String firstRegression(int seconds, int badFrom, int badTo, int perSecond) {
+    /**
+     * Returns the first regression that is found if a fifth of the changed member's answers are
+     * late from {@code lateFrom} to {@code lateTo}, in seconds.
+     */
+    private static String firstRegression(int seconds, int lateFrom, int lateTo, int perSecond) {
         RolloutHealth health = new RolloutHealth();
         String regression = null;
-        long bad = 0;
-        for (int s = 0; s <= seconds; s++) {
-            bad += s >= badFrom && s < badTo ? perSecond / 5 : 0;
+        long lateCount = 0;
+        for (int second = 0; second <= seconds; second++) {
+            lateCount += second >= lateFrom && second < lateTo ? perSecond / 5 : 0;
             health.record(
                     "a",
                     "a1",
-                    s * 1_000L,
-                    new RolloutHealth.Counts((long) s * perSecond, bad, 0, 0, 0));
+                    second * 1_000L,
+                    new RolloutHealth.Counts((long) second * perSecond, lateCount, 0, 0, 0));
             health.record(
                     "b",
                     "b1",
-                    s * 1_000L,
-                    new RolloutHealth.Counts((long) s * perSecond, s / 10, 0, 0, 0));
+                    second * 1_000L,
+                    new RolloutHealth.Counts((long) second * perSecond, second / 10, 0, 0, 0));
             if (regression == null) {
-                regression = health.regression(CHANGED, OTHERS, s * 1_000L);
+                regression = health.regression(CHANGED, OTHERS, second * 1_000L);
             }
         }
         return regression;
@@ -53,22 +56,30 @@
     @Test
     public void tooFewEventsAreNoRegression() {
         assertNull(firstRegression(10, 0, 10, 5));
-        assertNotNull("later there are enough", firstRegression(60, 0, 60, 10));
+        assertNotNull("200 events are reached at a later second", firstRegression(60, 0, 60, 10));
     }
 
     @Test
     public void theCountsOfARestartedMemberBeginAtZero() {
         RolloutHealth health = new RolloutHealth();
-        for (int s = 0; s < 30; s++) {
+        for (int second = 0; second < 30; second++) {
             health.record(
-                    "a", "a1", s * 1_000L, new RolloutHealth.Counts(s * 50L, s * 50L, 0, 0, 0));
-            health.record("b", "b1", s * 1_000L, new RolloutHealth.Counts(s * 50L, 0, 0, 0, 0));
+                    "a",
+                    "a1",
+                    second * 1_000L,
+                    new RolloutHealth.Counts(second * 50L, second * 50L, 0, 0, 0));
+            health.record(
+                    "b", "b1", second * 1_000L, new RolloutHealth.Counts(second * 50L, 0, 0, 0, 0));
         }
-        for (int s = 30; s < 60; s++) {
+        for (int second = 30; second < 60; second++) {
+            health.record(
+                    "a",
+                    "a2",
+                    second * 1_000L,
+                    new RolloutHealth.Counts((second - 30) * 50L, 0, 0, 0, 0));
             health.record(
-                    "a", "a2", s * 1_000L, new RolloutHealth.Counts((s - 30) * 50L, 0, 0, 0, 0));
-            health.record("b", "b1", s * 1_000L, new RolloutHealth.Counts(s * 50L, 0, 0, 0, 0));
-            assertNull(health.regression(CHANGED, OTHERS, s * 1_000L));
+                    "b", "b1", second * 1_000L, new RolloutHealth.Counts(second * 50L, 0, 0, 0, 0));
+            assertNull(health.regression(CHANGED, OTHERS, second * 1_000L));
         }
     }
 }
