--- a/src/test/java/reeldeal/fleet/BrokenFleetModules.java
+++ b/src/test/java/reeldeal/fleet/BrokenFleetModules.java
@@ -22,9 +22,9 @@
 import reeldeal.fleet.rollout.RolloutController.MemberObservations;
 import reeldeal.fleet.rollout.StepRules;
 
-/** The fleet's modules, each broken in one rule; the simulation must notice every one. */
+/** Variants of the fleet modules, each with one broken rule that the simulation must detect. */
 final class BrokenFleetModules {
-    /** A broken rule that few seeds show. */
+    /** The name of a broken rule that only few seeds detect. */
     static final String UNCONFIRMED_LEADER = "heartbeats are answered by an unconfirmed leader";
 
     private interface LocalMemberFactory {
@@ -34,33 +34,36 @@
 
     private BrokenFleetModules() {}
 
-    /** Sets of modules by what is broken in them. */
+    /** Returns the module sets by the description of their broken rule. */
     static Map<String, FleetSimulation.Modules> all() {
         Map<String, FleetSimulation.Modules> broken = new LinkedHashMap<>();
-        broken.put("brokers out are not counted", budget(brokersNotCounted()));
+        broken.put("brokers that are out are not counted", budget(brokersNotCounted()));
         broken.put("grants are not serialised", budget(new UnserializedBudget()));
-        broken.put("a permit is released once its holder has lapsed", budget(lapsedHolderIsBack()));
+        broken.put(
+                "a permit is released once its holder's lease has lapsed",
+                budget(lapsedHolderIsBack()));
         broken.put(
                 "a permit is released by a registration, before the broker serves",
                 budget(registeredHolderIsBack()));
         broken.put(
                 "a searcher counts as back while it is warming up", budget(coldSearcherIsBack()));
         broken.put(
-                "a searcher whose restart is ordered counts as back without one",
+                "a searcher whose restart is ordered counts as back without a restart",
                 budget(listedSearcherIsBack()));
-        broken.put("a new leader ends leases that it never heard of", earlyLeaseEnds());
+        broken.put("the leader ends leases before a whole term has passed", earlyLeaseEnds());
         broken.put("the holder allows for no clock skew", localMember(LeaseWithoutSkewMember::new));
         broken.put(UNCONFIRMED_LEADER, unconfirmedLeader());
         broken.put(
-                "a restart is followed by whatever process has the name",
+                "a restart order is executed by any process with the member's name",
                 localMember(RestartOfAnyProcess::new));
         broken.put(
-                "a broker drains before the log says that it does", localMember(EarlyDrain::new));
+                "a broker drains before its state in the log is DRAINING",
+                localMember(EarlyDrain::new));
         broken.put("steps do not expect the release's version", steps(UnfencedSteps::new));
         broken.put(
-                "a member restarts before all have seen its drain",
+                "a member restarts before all brokers have applied its drain",
                 steps(UnacknowledgedDrain::new));
-        broken.put("wrong versions halt nothing", wrongVersionsIgnored());
+        broken.put("a wrong version does not halt the release", wrongVersionsIgnored());
         broken.put("a rollback leaves out settled members", incompleteRollback());
         return broken;
     }
--- a/src/test/java/reeldeal/fleet/BrokenRecoveryModules.java
+++ b/src/test/java/reeldeal/fleet/BrokenRecoveryModules.java
@@ -11,41 +11,47 @@
 import reeldeal.fleet.recovery.RecoveryController;
 import reeldeal.fleet.recovery.RecoveryRamp;
 
-/** The modules of the recovery, each broken in one rule; the simulation must notice every one. */
+/** Variants of the recovery modules, each with one broken rule that the simulation must detect. */
 final class BrokenRecoveryModules {
     private static final RecoveryRamp RAMP = RecoverySimulation.RAMP;
 
     private BrokenRecoveryModules() {}
 
-    /** Sets of modules by what is broken in them. */
+    /** Returns the module sets by the description of their broken rule. */
     static Map<String, RecoverySimulation.Modules> all() {
         Map<String, RecoverySimulation.Modules> broken = new LinkedHashMap<>();
-        broken.put("an uncertain outage counts as none", classifier(UncertainIsNoOutage::new));
-        broken.put("an uncertain outage counts as one", classifier(UncertainIsOutage::new));
+        broken.put("an uncertain outage counts as no outage", classifier(UncertainIsNoOutage::new));
+        broken.put("an uncertain outage counts as an outage", classifier(UncertainIsOutage::new));
         broken.put(
-                "members heard before the first restart count as alive",
+                "heartbeats from before the first restart count as signs of life",
                 classifier(EarlierHeartbeatsCount::new));
-        broken.put("any two crashes are a full outage", classifier(AnyTwoCrashes::new));
+        broken.put("any two crashes count as a full outage", classifier(AnyTwoCrashes::new));
         broken.put("a late restart counts as another loss", classifier(AllLossesAreNew::new));
         broken.put(
-                "a second outage in a recovery counts as none",
+                "a second outage during a recovery is ignored",
                 classifier(OnlyFirstLossesAreNew::new));
         broken.put(
                 "an epoch's write does not expect the previous one",
                 controller(UnfencedController::new));
-        broken.put("a release is not halted", controller(ReleaseGoesOn::new));
+        broken.put("a recovery does not halt the release", controller(ReleaseGoesOn::new));
         broken.put(
                 "a recovery advances while another outage is possible",
                 controller(AdvancesWhileUncertain::new));
-        broken.put("a step is taken immediately", controller(AdvancesImmediately::new));
         broken.put(
-                "a step is taken however late answers are, and none is taken back",
+                "a recovery advances without the minimum time at a step",
+                controller(AdvancesImmediately::new));
+        broken.put(
+                "a recovery advances however late answers are, and reverts no step",
                 controller(() -> new RecoveryController(rampWithoutObjective())));
-        broken.put("no step before all members are back", controller(AwaitsAllMembers::new));
         broken.put(
-                "a broker does not await the classification of its start",
+                "a recovery does not advance before all members are back",
+                controller(AwaitsAllMembers::new));
+        broken.put(
+                "a broker does not wait until its start is classified",
                 status(AssumesClassification::new));
-        broken.put("a recovery restricts brokers that served on", status(ForgetsServing::new));
+        broken.put(
+                "a recovery restricts brokers that continued to serve",
+                status(ForgetsServing::new));
         return broken;
     }
 
--- a/src/test/java/reeldeal/fleet/BrokenTakeoverModules.java
+++ b/src/test/java/reeldeal/fleet/BrokenTakeoverModules.java
@@ -14,7 +14,7 @@
 import reeldeal.fleet.takeover.RequestRecord;
 import reeldeal.fleet.takeover.TakeoverPolicy;
 
-/** The modules of the takeover, each broken in one rule; the simulation must notice every one. */
+/** Variants of the takeover modules, each with one broken rule that the simulation must detect. */
 final class BrokenTakeoverModules {
     private static final TakeoverPolicy.Window WINDOW = TakeoverSimulation.WINDOW;
 
@@ -24,20 +24,24 @@
 
     private BrokenTakeoverModules() {}
 
-    /** Sets of modules by what is broken in them. */
+    /** Returns the module sets by the description of their broken rule. */
     static Map<String, TakeoverSimulation.Modules> all() {
         Map<String, TakeoverSimulation.Modules> broken = new LinkedHashMap<>();
-        broken.put("requests are taken over by time", policy(new TakeoverByTime()));
+        broken.put(
+                "requests are taken over because of their timeout", policy(new TakeoverByTime()));
         broken.put("the deduplication window is ignored", policy(new WindowIgnored()));
-        broken.put("a claim does not expect the record", policy(new UnfencedClaim()));
-        broken.put("a claim does not expect its owner's end", policy(new EarlyClaim()));
-        broken.put("no broker checks its lease before it sends", leaseNotChecked());
-        broken.put("a second record is made under a key", writes(new UnfencedBegin()));
-        broken.put("an outcome is written whoever owns the record", writes(new UnfencedEnd()));
+        broken.put(
+                "a claim does not expect the version of the record", policy(new UnfencedClaim()));
+        broken.put("a claim does not expect that the owner has ended", policy(new EarlyClaim()));
+        broken.put("brokers do not check their lease before they send", leaseNotChecked());
+        broken.put("a second record is written for the same key", writes(new UnfencedBegin()));
+        broken.put(
+                "an outcome is written even if another broker owns the record",
+                writes(new UnfencedEnd()));
         broken.put(
                 "an owner's second incarnation counts as the first",
                 policy(new IncarnationIgnored()));
-        broken.put("the window counts twice as long", policy(new DoubledWindow()));
+        broken.put("the deduplication window counts as twice as long", policy(new DoubledWindow()));
         broken.put(
                 "a failed request is restarted whenever its client retries",
                 policy(new AlwaysRepeatable()));
@@ -45,7 +49,8 @@
                 "a request that may have run is withdrawn as unsent",
                 requests(FailedIsUnsent::new));
         broken.put(
-                "a restarted request counts its window from then", writes(new WindowFromRestart()));
+                "the deduplication window of a restarted request begins at the restart",
+                writes(new WindowFromRestart()));
         broken.put(
                 "a client is answered before the outcome is recorded", requests(EarlyReplies::new));
         return broken;
--- a/src/test/java/reeldeal/fleet/FleetCodecTest.java
+++ b/src/test/java/reeldeal/fleet/FleetCodecTest.java
@@ -7,7 +7,7 @@
 import reeldeal.fleet.FleetView.Kind;
 import reeldeal.fleet.FleetView.State;
 
-/** The stored form of the fleet's values. */
+/** Tests the encoding and decoding of the fleet's stored values. */
 public class FleetCodecTest {
 
     @Test
--- a/src/test/java/reeldeal/fleet/FleetInvariants.java
+++ b/src/test/java/reeldeal/fleet/FleetInvariants.java
@@ -14,7 +14,7 @@
 import reeldeal.fleet.FleetView.State;
 import reeldeal.fleet.FleetView.Step;
 
-/** The rules that hold between the log and the true state of the simulated fleet. */
+/** Checks the invariants between the log and the true state of the simulated fleet. */
 final class FleetInvariants {
     private final FleetSimulation fleet;
     private final Map<String, Set<String>> processesThatServed = new HashMap<>();
@@ -25,25 +25,29 @@
         this.fleet = fleet;
     }
 
-    /** A process begins to serve. */
+    /** Records that a process begins to serve. */
     void onServing(SimulatedProcess process) {
         processesThatServed
                 .computeIfAbsent(process.name, name -> new HashSet<>())
                 .add(process.boot);
     }
 
-    /** A member is restarted by a release. */
+    /** Records a restart of a member by a release, and checks how often it was restarted. */
     void onRestart(String name, int maxRestarts) {
         int count = restarts.merge(name, 1, Integer::sum);
-        fleet.check(count <= maxRestarts, name + " was restarted " + count + " times");
+        fleet.check(
+                count <= maxRestarts,
+                name + " was restarted " + count + " times, at most " + maxRestarts + " expected");
     }
 
-    /** Whether the log has ever had a process in the state DRAINING. */
+    /**
+     * Returns whether the log has ever had a process in the given state; only DRAINING is tracked.
+     */
     boolean hasReported(SimulatedProcess process, State state) {
         return state == State.DRAINING && processesThatDrained.contains(process.boot);
     }
 
-    /** A write has been committed. */
+    /** Checks the changes of a committed write. */
     void checkCommit(FleetView before, FleetView after) {
         for (Member member : after.members().values()) {
             if (member.state() == State.DRAINING) {
@@ -72,7 +76,7 @@
                         && process.boot.equals(member.boot());
         fleet.check(
                 !mayHoldLease || !process.holdsLease(),
-                member.name() + " holds its lease while the leader ends it");
+                member.name() + " holds its lease although the leader ended it");
     }
 
     private void checkReleasedPermits(FleetView before, FleetView after) {
@@ -99,10 +103,12 @@
                         .orElseThrow();
         fleet.check(
                 newerServed || !holder.draining,
-                "the permit of " + permit.name() + " was released without evidence of its return");
+                "the permit of broker "
+                        + permit.name()
+                        + " was released without evidence of its return");
         fleet.check(
                 newerServed || holder.exitReason == null || !holder.alive,
-                "the permit of " + permit.name() + " was released while it ends");
+                "the permit of broker " + permit.name() + " was released while its process exits");
     }
 
     private void checkSearcherReturned(Permit permit) {
@@ -113,7 +119,7 @@
                 "the permit of searcher " + permit.name() + " was released before its restart");
         fleet.check(
                 !restarted || searcher.isWarm() || !searcher.up,
-                permit.name() + " counts as back while it is warming up");
+                "searcher " + permit.name() + " counts as back while it is warming up");
     }
 
     // ---- grants ----
@@ -122,7 +128,7 @@
         Set<String> granted = new TreeSet<>(after.permits(kind).keySet());
         granted.removeAll(before.permits(kind).keySet());
         granted.removeIf(name -> !after.permits(kind).get(name).planned());
-        fleet.check(granted.size() <= 1, "two grants in one write");
+        fleet.check(granted.size() <= 1, "one write grants several permits: " + granted);
         if (granted.isEmpty()) {
             return;
         }
@@ -135,7 +141,7 @@
         fleet.check(
                 out <= allowed,
                 out
-                        + " out after a grant to "
+                        + " members out after a grant to "
                         + granted
                         + ", "
                         + allowed
@@ -158,7 +164,10 @@
                 .toList();
     }
 
-    /** The brokers that are out by an order or are about to be, whether they live or not. */
+    /**
+     * Returns how many brokers are out by order or about to be, whether their process is alive or
+     * not.
+     */
     private long brokersOut(Set<String> granted) {
         Set<String> out = new TreeSet<>(granted);
         List<SimulatedProcess> all = fleet.allProcesses();
@@ -197,7 +206,7 @@
             fleet.check(
                     before.release().isRunning(),
                     step.name()
-                            + " goes to "
+                            + " advances to "
                             + step.stage()
                             + " while the release is "
                             + before.release().progress());
@@ -213,11 +222,11 @@
             boolean maySend = process.alive && !process.paused && process.holdsLease();
             fleet.check(
                     !maySend || process.appliedVersion >= drainVersion,
-                    step.name() + " restarts while " + process.name + " has not seen its drain");
+                    step.name() + " restarts while " + process.name + " has not applied its drain");
         }
     }
 
-    /** All brokers that live run what the release says once it is done. */
+    /** Checks that all live brokers run the version of the release once it is done. */
     private void checkCompletion(FleetView before, FleetView after) {
         FleetView.Release release = after.release();
         if (release == null
@@ -232,7 +241,12 @@
             SimulatedProcess process = fleet.processes.get(step.name());
             fleet.check(
                     !process.alive || process.config.equals(expected),
-                    "done, and " + process.name + " runs " + process.config + ", not " + expected);
+                    "the release is done, but "
+                            + process.name
+                            + " runs "
+                            + process.config
+                            + ", not "
+                            + expected);
         }
     }
 }
--- a/src/test/java/reeldeal/fleet/FleetSimulation.java
+++ b/src/test/java/reeldeal/fleet/FleetSimulation.java
@@ -26,11 +26,12 @@
 import reeldeal.testing.EventDigest;
 
 /**
- * A fleet in virtual time from one seed: processes that are killed, paused, partitioned and
- * restarted, each with its own clock; leaders that change, and some that do not know it yet; writes
- * that are lost, late, duplicated or of unknown outcome; searchers whose list lags; operators who
- * halt, roll back and tighten the policy. After each commit and each action the true state is
- * checked, not what any node believes.
+ * Simulates a fleet in virtual time from one seed: processes that are killed, paused, partitioned
+ * and restarted, each with its own clock; changes of the leader, including deposed leaders that
+ * have not noticed it yet; writes that are lost, late, duplicated or of unknown outcome; searchers
+ * whose list lags; operators who halt and roll back releases and tighten the policy. After each
+ * commit and each action the invariants are checked against the true state, not against the view of
+ * any node.
  */
 final class FleetSimulation {
     static final long TERM_MS = 3_000;
@@ -42,7 +43,7 @@
     private static final long LATEST_END = 400_000;
     private static final int TRACE_LENGTH = 60;
 
-    /** The modules, intact or broken on purpose. */
+    /** The modules under test, which subclasses replace with broken ones. */
     static class Modules {
         DisruptionBudget disruptionBudget() {
             return new DisruptionBudget();
@@ -61,7 +62,7 @@
             return new LocalMember(identity, timing, budget);
         }
 
-        /** Null for a fleet without a recovery plan, as is the next. */
+        /** Returns null, as does {@link #recoveryController}, for a fleet without recovery. */
         OutageClassifier outageClassifier() {
             return null;
         }
@@ -70,7 +71,10 @@
             return null;
         }
 
-        /** Whether a leader answers heartbeats only once a majority has confirmed that it leads. */
+        /**
+         * Returns whether a leader answers heartbeats only after a majority has confirmed that it
+         * leads.
+         */
         boolean confirmsLeadership() {
             return true;
         }
@@ -80,7 +84,7 @@
         }
     }
 
-    /** A rule that did not hold. */
+    /** Reports an invariant that was violated. */
     static final class Violation extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -89,7 +93,7 @@
         }
     }
 
-    /** What else the processes do, such as their keyed requests. */
+    /** Additional behaviour of the processes, such as keyed requests. */
     interface Extension {
         void onStarted(SimulatedProcess process);
 
@@ -97,7 +101,7 @@
 
         void onCommitted();
 
-        /** What a process has counted, as its heartbeats say. */
+        /** Returns the counters of a process that its heartbeats contain. */
         default RolloutHealth.Counts counts(SimulatedProcess process) {
             return new RolloutHealth.Counts(0, 0, 0, 0, 0);
         }
@@ -124,24 +128,24 @@
     private long eventCount;
     private int bootCount;
 
-    /** Whether one process may still start with a wrong configuration. */
+    /** Whether one process may yet start with a wrong configuration. */
     private boolean wrongConfigPending;
 
-    /** The store, its version, and the fleet in it. */
+    /** The contents of the store; its version and the fleet's view of it follow. */
     final KeyValueState state = new KeyValueState();
 
     long version;
     FleetView latest = new FleetView(Map.of());
     int commits;
 
-    /** Of every write that was committed, with the time of the commit. */
+    /** The digest of all committed writes, each with the time of its commit. */
     final EventDigest digest = new EventDigest();
 
     long now;
     boolean healed;
     Extension extension;
 
-    /** How the release ended, "" before. */
+    /** How the release ended, "done" or "back"; "" while it has not. */
     String outcome = "";
 
     FleetSimulation(long seed, Modules modules) {
@@ -149,8 +153,9 @@
     }
 
     /**
-     * A fleet of so many brokers without faults, of which {@code maxOut} may be out at a time; with
-     * 0 of them there is no release. With 0 brokers their number and the faults are drawn.
+     * Creates a fleet of a given number of brokers without faults, of which {@code maxOut} may be
+     * out at a time; if that is 0, there is no release. If {@code brokers} is 0, the number of
+     * brokers and the faults are drawn at random.
      */
     FleetSimulation(long seed, Modules modules, int brokers, int maxOut) {
         this.modules = modules;
@@ -191,7 +196,7 @@
                 .with("apart_ms", faultFree ? 0 : rng.nextInt(3) * 300);
     }
 
-    // ---- time ----
+    // ---- virtual time ----
 
     void after(long delayMs, Runnable action) {
         events.add(new Event(now + delayMs, eventCount++, action));
@@ -203,11 +208,14 @@
         event.action().run();
     }
 
-    /** Plays to the end, which must come: nothing may stay out or unfinished once all is healed. */
+    /**
+     * Runs until the release has ended, and checks that it does: once all faults have ended, no
+     * member may stay out and the release must finish.
+     */
     void runToEnd() {
         while (!events.isEmpty() && outcome.isEmpty()) {
             runNextEvent();
-            check(now < LATEST_END, "no end: " + describeRelease());
+            check(now < LATEST_END, "not finished at " + now + " ms: " + describeRelease());
         }
     }
 
@@ -222,7 +230,7 @@
                 + latest.permits(Kind.SEARCHER).keySet();
     }
 
-    /** Plays until a time. */
+    /** Runs all events up to a time. */
     void runUntil(long time) {
         while (!events.isEmpty() && events.peek().atMs() <= time) {
             runNextEvent();
@@ -233,19 +241,19 @@
         return latest.release() != null && latest.release().progress() == Progress.DONE;
     }
 
-    // ---- draws ----
+    // ---- random values ----
 
-    /** The rate of a steady clock, 0.95 to 1.05. */
+    /** Returns the rate of a steady clock, 0.95 to 1.05. */
     double drawClockRate() {
         return 0.95 + rng.nextInt(1_000) / 10_000.0;
     }
 
-    /** How long a message takes, ms. */
+    /** Returns the delay of a message, ms. */
     long drawDelay() {
         return rng.nextInt(25) == 0 && !faultFree ? rng.nextInt(2_500) : 1 + rng.nextInt(20);
     }
 
-    /** The configuration with which a process starts; one process may take a wrong one. */
+    /** Returns the configuration with which a process starts; one process may get a wrong one. */
     String drawConfig(String name) {
         String target = latest.get(FleetView.TARGET + name);
         boolean isWrong = wrongConfigPending && rng.nextInt(4) == 0 && target != null;
@@ -272,19 +280,19 @@
         trace.add(now + " " + line);
     }
 
-    /** The last events. */
+    /** Returns the last lines of the trace. */
     List<String> trace() {
         return trace.subList(Math.max(0, trace.size() - TRACE_LENGTH), trace.size());
     }
 
     // ---- processes and searchers ----
 
-    /** Every process that there ever was, the oldest first. */
+    /** Returns all processes that were ever started, the oldest first. */
     List<SimulatedProcess> allProcesses() {
         return allProcesses;
     }
 
-    /** Starts a new process where none of that name lives. */
+    /** Starts a new process of a broker if the broker has no live process. */
     void startIfDead(String name) {
         SimulatedProcess current = processes.get(name);
         if (current == null || !current.alive) {
@@ -303,7 +311,7 @@
         after(LIST_INTERVAL_MS, this::listSearchers);
     }
 
-    /** The searchers' capacity, of 1 for all warm. */
+    /** Returns the average capacity of the searchers, 1 if all are warm. */
     double capacity(long warmUpMs, double coldCapacity) {
         return searchers.values().stream()
                 .mapToDouble(searcher -> searcher.capacity(warmUpMs, coldCapacity))
@@ -312,12 +320,14 @@
     }
 
     /**
-     * Power is lost, of a zone or, where that is null, of all. Processes restart one after another,
-     * one of {@code neverOneOf} of them never unless that is 0; so do searchers, without a warm-up.
+     * Simulates a power outage of a zone, or of everything if the zone is null. The killed
+     * processes restart one after another, except that each stays down with a probability of one in
+     * {@code staysDownOneIn} (never if that is 0). In an outage of everything the searchers restart
+     * too.
      */
     List<SimulatedProcess> cutPower(String zone, long restartWithinMs, int staysDownOneIn) {
         List<SimulatedProcess> killed = new ArrayList<>();
-        // Sometimes one broker has a battery.
+        // In some full outages one broker keeps running on a battery.
         String batteryBacked = zone == null && rng.nextInt(3) == 0 ? "b0" : "";
         for (SimulatedProcess process : List.copyOf(processes.values())) {
             boolean inZone = zone == null || process.member.zone().equals(zone);
@@ -332,8 +342,8 @@
             }
         }
         addToTrace(
-                "power is lost: "
-                        + (zone == null ? "all" : zone)
+                "power outage of "
+                        + (zone == null ? "everything" : "zone " + zone)
                         + ", "
                         + killed.size()
                         + " processes");
@@ -347,7 +357,7 @@
         return killed;
     }
 
-    /** Ends all faults; the operators then see to the end of the release. */
+    /** Ends all faults; the operator then brings the release to its end. */
     private void heal() {
         healed = true;
         for (SimulatedProcess process : processes.values()) {
@@ -360,12 +370,15 @@
 
     // ---- the store ----
 
-    /** A write on its way; {@code ended} is told whether it is known to be committed. */
+    /**
+     * Submits a write; {@code onEnd} receives false if the write was lost or its outcome is
+     * unknown.
+     */
     void submit(ConditionalWrite write, boolean partitioned, Consumer<Boolean> onEnd) {
         submit(write, partitioned, () -> true, onEnd);
     }
 
-    /** A leader's write is in the log before the next leader begins, or never. */
+    /** Submits a write of a leader, which is committed before the next leader begins, or never. */
     void submit(
             ConditionalWrite write,
             boolean partitioned,
@@ -387,7 +400,7 @@
         after(isOutcomeKnown ? 30 : 1_500, () -> onEnd.accept(isOutcomeKnown));
     }
 
-    /** Applies a write where its expectations hold, and checks what it has changed. */
+    /** Applies a write if its preconditions hold, and checks the invariants on its changes. */
     void commit(ConditionalWrite write) {
         if (!apply(write)) {
             return;
--- a/src/test/java/reeldeal/fleet/FleetSimulationCommand.java
+++ b/src/test/java/reeldeal/fleet/FleetSimulationCommand.java
@@ -4,9 +4,10 @@
 import java.util.Map;
 
 /**
- * The fleet's simulation by hand: {@code run FROM TO} plays seeds, {@code broken MAX} prints after
- * how many seeds each broken rule is found, {@code trace SEED RULE} prints the last events of a
- * seed with the broken rules whose names contain RULE, {@code figures} prints commits and times.
+ * Runs the fleet simulation from the command line: {@code run FROM TO} runs a range of seeds,
+ * {@code broken MAX} prints the first seed that detects each broken rule, {@code trace SEED RULE}
+ * prints the last events of a seed with the broken rules whose names contain RULE, and {@code
+ * figures} prints numbers of commits and release times.
  */
 final class FleetSimulationCommand {
     private FleetSimulationCommand() {}
@@ -31,14 +32,17 @@
         }
     }
 
-    /** Plays one seed to its end. */
+    /** Runs one seed to its end. */
     static FleetSimulation runSeed(long seed, FleetSimulation.Modules modules) {
         FleetSimulation simulation = new FleetSimulation(seed, modules);
         simulation.runToEnd();
         return simulation;
     }
 
-    /** Plays seeds with intact modules, which all have to hold; how many releases ended how. */
+    /**
+     * Runs seeds with intact modules, for which all invariants must hold; returns the number of
+     * releases by outcome.
+     */
     static Map<String, Integer> runIntact(long from, long to) {
         Map<String, Integer> outcomes = new HashMap<>();
         SeededRuns.requireAllToHold(
@@ -100,9 +104,9 @@
         System.out.println(
                 "release of "
                         + members
-                        + " with "
+                        + " members with at most "
                         + maxOut
-                        + " out at most: "
+                        + " out: "
                         + (simulation.now - simulation.operator.startedAt)
                         + " ms");
     }
--- a/src/test/java/reeldeal/fleet/FleetSimulationTest.java
+++ b/src/test/java/reeldeal/fleet/FleetSimulationTest.java
@@ -8,13 +8,16 @@
 import org.junit.Test;
 import reeldeal.testing.EventDigest;
 
-/** Leases, permits and releases in the simulation: intact, and with each rule broken. */
+/**
+ * Tests leases, permits and releases in the simulation, with intact modules and with each rule
+ * broken.
+ */
 public class FleetSimulationTest {
     private static final int SEEDS = 60;
     private static final int DIGEST_SEEDS = 40;
     private static final int MAX_SEEDS_TO_FIND = 600;
 
-    /** Where the search begins for a broken rule that few seeds show. */
+    /** The first seed to try for a broken rule that only few seeds detect. */
     private static final Map<String, Integer> FIRST_SEEDS =
             Map.of(BrokenFleetModules.UNCONFIRMED_LEADER, 481);
 
@@ -22,7 +25,7 @@
     public void invariantsHoldForAFixedSetOfSeeds() {
         Map<String, Integer> outcomes = FleetSimulationCommand.runIntact(1, SEEDS);
         assertTrue(
-                "releases end both ways: " + outcomes,
+                "expected both completed and rolled back releases, found " + outcomes,
                 outcomes.get("done") > SEEDS / 8 && outcomes.get("back") > SEEDS / 8);
     }
 
@@ -43,7 +46,7 @@
                 .forEach(
                         (rule, modules) ->
                                 assertNotNull(
-                                        "not found: " + rule,
+                                        "no seed detects the broken rule: " + rule,
                                         SeededRuns.find(
                                                 seed ->
                                                         FleetSimulationCommand.runSeed(
--- a/src/test/java/reeldeal/fleet/FleetValues.java
+++ b/src/test/java/reeldeal/fleet/FleetValues.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A builder of stored fleets for tests; versions count up from 10 with each value. */
+/** Builds stored fleet states for tests. The versions of the values count up from 10. */
 public final class FleetValues {
     private final Map<String, FleetView.Value> values = new TreeMap<>();
     private long version = 10;
@@ -14,7 +14,7 @@
         return this;
     }
 
-    /** Adds a broker of a zone in a state, its process called NAME1. */
+    /** Adds a broker of a zone in a state, with a process whose boot is the name followed by 1. */
     public FleetValues broker(String name, String zone, FleetView.State state) {
         long incarnation = version;
         with(
@@ -24,7 +24,7 @@
         return with(FleetView.STATE + name, FleetCodec.encodeState(incarnation, state, ""));
     }
 
-    /** Adds a searcher of a cell that was listed, started at 1,000 ms. */
+    /** Adds a listed searcher of a cell whose process started at 1,000 ms. */
     public FleetValues searcher(String name, int cell) {
         return with(
                 FleetView.SEARCHER + name,
@@ -38,7 +38,7 @@
                 FleetCodec.encodePermit(mark, "operator", true, ""));
     }
 
-    /** Adds a running release of the brokers' configuration to version c2. */
+    /** Adds a running release of broker configuration c2. */
     public FleetValues release() {
         return with(
                 FleetView.RELEASE,
@@ -56,14 +56,14 @@
                                 0)));
     }
 
-    /** Adds a broker's step of the release in the first wave, from version c1. */
+    /** Adds the step of a broker in the first wave of the release, previously at version c1. */
     public FleetValues step(String name, FleetView.Stage stage, String mark) {
         return with(
                 FleetView.STEP + name,
                 FleetCodec.encode(new FleetView.Step(name, 1, false, stage, mark, "c1", 0)));
     }
 
-    /** The fleet as it was built so far. */
+    /** Returns a view of the values added so far. */
     public FleetView view() {
         return new FleetView(new TreeMap<>(values));
     }
--- a/src/test/java/reeldeal/fleet/RecoverySimulation.java
+++ b/src/test/java/reeldeal/fleet/RecoverySimulation.java
@@ -15,22 +15,26 @@
 import reeldeal.fleet.rollout.RolloutHealth;
 
 /**
- * Power outages in the fleet's simulation, of everything and of a zone, one after another, with all
- * its other faults. Checked against what was truly lost: an epoch for each outage and none without,
- * each step once and in order, no broker that restarted in an outage serves all before the last
- * step, no broker that served on is restricted, all serve in bounded time, releases halt.
+ * Simulates successive power outages of everything or of a zone, in addition to the other faults of
+ * the fleet simulation. Checked against the true losses: each outage begins a recovery epoch and
+ * nothing else does; the steps are taken once and in order; no broker that restarted in an outage
+ * serves without restriction before the last step; no broker that continued to serve is restricted;
+ * all brokers serve without restriction in bounded time; releases are halted.
  */
 final class RecoverySimulation implements FleetSimulation.Extension {
     static final RecoveryRamp RAMP = RecoveryRamp.DEFAULT;
     private static final long WARM_UP_MS = 15_000;
     private static final double COLD_CAPACITY = 0.2;
 
-    /** Just before brokers that stay down are started by hand; all faults are healed by then. */
+    /**
+     * The time just before the operator starts the brokers that stay down; all other faults have
+     * ended by then.
+     */
     private static final long BEFORE_MANUAL_STARTS = 47_900;
 
     private static final long END = 130_000;
 
-    /** The modules, intact or broken on purpose. */
+    /** The modules under test, which subclasses replace with broken ones. */
     static class Modules extends FleetSimulation.Modules {
         @Override
         OutageClassifier outageClassifier() {
@@ -47,7 +51,7 @@
         }
     }
 
-    /** What one process has counted. */
+    /** The request counters of one process. */
     private static final class RequestCounts {
         long requests;
         long late;
@@ -88,20 +92,20 @@
         }
     }
 
-    /** Plays to the end. */
+    /** Runs to the end, and checks that all recoveries are complete and all brokers serve. */
     RecoverySimulation runToEnd() {
         fleet.runUntil(BEFORE_MANUAL_STARTS);
         fleet.check(
                 epoch.ended() || epochBeganAt > 38_000 || epoch.step() > 1,
-                "no step before all are back: " + epoch);
+                "the recovery did not advance before all brokers were back: " + epoch);
         fleet.runUntil(END);
-        fleet.check(epoch.ended(), "never ended: " + epoch);
+        fleet.check(epoch.ended(), "the recovery has not ended at " + END + " ms: " + epoch);
         fleet.check(
                 epochBeganAt >= fullOutageAt || !fullOutageExpected,
-                "everything was lost at " + fullOutageAt + ", and no epoch begun since: " + epoch);
+                "full outage at " + fullOutageAt + ", but no epoch has begun since: " + epoch);
         fleet.check(
                 epochBeganAt >= zoneOutageAt || !zoneOutageExpected,
-                "a zone was lost at " + zoneOutageAt + ", and no epoch begun since: " + epoch);
+                "zone outage at " + zoneOutageAt + ", but no epoch has begun since: " + epoch);
         fleet.processes.values().stream()
                 .filter(process -> process.alive && process.serving)
                 .filter(process -> !process.paused && !process.partitioned)
@@ -113,7 +117,7 @@
         BrokerRecoveryStatus status = statuses.get(process);
         fleet.check(
                 status.admittedShare() == 1,
-                process.boot + " does not serve all: " + status.describe());
+                process.boot + " still restricts its load: " + status.describe());
     }
 
     // ---- outages ----
@@ -125,11 +129,11 @@
                 .toList();
     }
 
-    /** Power is lost, of a zone or, where that is null, of all. */
+    /** Simulates a power outage of a zone, or of everything if the zone is null. */
     private void cutPower(String zone) {
         long restartWithinMs = 1L + fleet.rng.nextInt(6_000);
-        // A member between two processes in the log, as after another outage just before, is not
-        // seen to be lost again.
+        // A member whose new process has not registered yet, for example just after another
+        // outage, is not detected as lost again.
         boolean allPresent = membersOf(zone).stream().allMatch(this::isPresent);
         int staysDownOneIn = fleet.rng.nextInt(3) == 0 ? 6 : 0;
         for (SimulatedProcess process : fleet.cutPower(zone, restartWithinMs, staysDownOneIn)) {
@@ -157,7 +161,9 @@
         return member.hasLease() && process != null && process.boot.equals(member.boot());
     }
 
-    /** Whether so many were lost that it counts as a full outage, whoever stays down. */
+    /**
+     * Returns whether enough members were lost for a full outage, including members that stay down.
+     */
     private boolean isFullOutage() {
         List<Member> known = membersOf(null);
         long lost =
@@ -165,7 +171,7 @@
                         .filter(member -> lastLostAt.containsKey(member.name()))
                         .filter(member -> lostAt(member) >= fullOutageAt)
                         .count();
-        // One may have been between two of its processes, unseen by the log.
+        // One member may have been between two of its processes, which the log does not show.
         return known.size() >= 2 && lost - 1 > RAMP.outageShare() * known.size();
     }
 
@@ -192,7 +198,9 @@
         }
         fleet.check(
                 !servedUnrestricted.contains(process) || status.admittedShare() == 1,
-                process.boot + " served all and is at " + status.admittedShare());
+                process.boot
+                        + " served without restriction before, and now admits "
+                        + status.admittedShare());
         countRequests(process, status.admittedShare());
     }
 
@@ -213,13 +221,16 @@
         }
     }
 
-    /** A process that restarted in a full outage serves all only after that recovery. */
+    /**
+     * Checks that a process that restarted in a full outage serves without restriction only after
+     * the recovery from it.
+     */
     private void checkMayServeUnrestricted(SimulatedProcess process) {
         boolean restarted = fullOutageAt >= 0 && startedAfterOutage.get(process) >= fullOutageAt;
         boolean recovered = epoch.ended() && epoch.number() > 0 && stepBeganAt >= fullOutageAt;
         fleet.check(
                 !restarted || recovered || !allWerePresent || !isFullOutage(),
-                process.boot + " served all in the middle of a recovery: " + epoch);
+                process.boot + " serves without restriction during a recovery: " + epoch);
     }
 
     private void countRequests(SimulatedProcess process, double share) {
@@ -240,7 +251,7 @@
         checkOverload(admitted, capacity);
     }
 
-    /** A step that admits more than the searchers can serve has to be taken back. */
+    /** Checks that a step that admits more than the searchers can serve is reverted. */
     private void checkOverload(double admitted, double capacity) {
         boolean isOverloaded = !epoch.ended() && epoch.step() > 2 && admitted > capacity * 1.8;
         if (!isOverloaded) {
@@ -250,7 +261,12 @@
         }
         fleet.check(
                 overloadedSince < 0 || fleet.now - overloadedSince < 6_000,
-                "step " + epoch.step() + " was not taken back: " + admitted + " of " + capacity);
+                "step "
+                        + epoch.step()
+                        + " was not reverted: admitted "
+                        + admitted
+                        + " with capacity "
+                        + capacity);
     }
 
     @Override
@@ -275,7 +291,9 @@
             stepsReverted += next.step() < epoch.step() ? 1 : 0;
             checkStep(next);
         } else if (next.ended()) {
-            fleet.check(epoch.step() == RAMP.steps() && !epoch.ended(), "ended from " + epoch);
+            fleet.check(
+                    epoch.step() == RAMP.steps() && !epoch.ended(),
+                    "the epoch ended before its last step: " + epoch);
             longestRecoveryMs =
                     Math.max(longestRecoveryMs, fullOutageAt < 0 ? 0 : fleet.now - fullOutageAt);
         }
@@ -286,16 +304,16 @@
     private void checkStep(Epoch next) {
         fleet.check(
                 Math.abs(next.step() - epoch.step()) == 1,
-                "from step " + epoch.step() + " to " + next.step());
+                "expected adjacent steps, found " + epoch.step() + " and " + next.step());
         fleet.check(
                 fleet.now - stepBeganAt >= RAMP.dwellMs() * 0.85,
-                "step " + epoch.step() + " stood for " + (fleet.now - stepBeganAt) + " ms");
+                "step " + epoch.step() + " lasted only " + (fleet.now - stepBeganAt) + " ms");
     }
 
     private void checkNewEpoch(Epoch next) {
         fleet.check(
                 next.number() == epoch.number() + 1 && next.step() == 1 && !next.ended(),
-                "epoch " + epoch + " then " + next);
+                "epoch " + epoch + " is followed by " + next);
         boolean isFleetEpoch = next.kind() == Epoch.Kind.FLEET;
         long members = membersOf(isFleetEpoch ? null : next.zone()).size();
         long earliest = fleet.now - 30_000 - 12_000;
@@ -309,10 +327,11 @@
                         .distinct()
                         .count();
         fleet.check(
-                lost * 2 > members, "epoch " + next + " with " + lost + " of " + members + " lost");
+                lost * 2 > members,
+                "epoch " + next + " with only " + lost + " of " + members + " members lost");
         fleet.check(
                 fleet.latest.release() == null || !fleet.latest.release().isRunning(),
-                "a release runs on into epoch " + next);
+                "a release still runs in epoch " + next);
         boolean lostAgain =
                 lost > 0
                         && fleet.allProcesses().stream()
@@ -320,6 +339,8 @@
                                         process ->
                                                 !process.alive
                                                         && process.diedAt >= epochBeganAt - 4_000);
-        fleet.check(epoch.ended() || lostAgain, "a second epoch without a second outage: " + next);
+        fleet.check(
+                epoch.ended() || lostAgain,
+                "new epoch during a recovery, without another outage: " + next);
     }
 }
--- a/src/test/java/reeldeal/fleet/RecoverySimulationTest.java
+++ b/src/test/java/reeldeal/fleet/RecoverySimulationTest.java
@@ -7,13 +7,16 @@
 import org.junit.Test;
 import reeldeal.testing.EventDigest;
 
-/** Recoveries from power outages in the simulation: intact, and with each rule broken. */
+/**
+ * Tests recoveries from power outages in the simulation, with intact modules and with each rule
+ * broken.
+ */
 public class RecoverySimulationTest {
     private static final int SEEDS = 40;
     private static final int DIGEST_SEEDS = 20;
     private static final int MAX_SEEDS_TO_FIND = 120;
 
-    /** What a set of seeds covers. */
+    /** The events that occurred in a set of seeds. */
     private static final class Coverage {
         private int epochs;
         private int stepsReverted;
@@ -46,7 +49,7 @@
     public void invariantsHoldForAFixedSetOfSeeds() {
         Coverage coverage = runIntact(1, SEEDS);
         assertTrue(
-                "epochs and steps taken back are met: "
+                "expected epochs and reverted steps, found "
                         + coverage.epochs
                         + " "
                         + coverage.stepsReverted,
@@ -69,7 +72,7 @@
                 .forEach(
                         (rule, modules) ->
                                 assertNotNull(
-                                        "not found: " + rule,
+                                        "no seed detects the broken rule: " + rule,
                                         SeededRuns.find(
                                                 seed -> runSeed(seed, modules),
                                                 MAX_SEEDS_TO_FIND)));
@@ -77,8 +80,8 @@
     }
 
     /**
-     * By hand: {@code run FROM TO} plays seeds, {@code broken MAX} prints after how many seeds each
-     * broken rule is found.
+     * Runs the simulation from the command line: {@code run FROM TO} runs a range of seeds, {@code
+     * broken MAX} prints the first seed that detects each broken rule.
      */
     public static void main(String[] args) {
         if (args[0].equals("broken")) {
@@ -93,7 +96,7 @@
                 coverage.epochs
                         + " epochs, "
                         + coverage.stepsReverted
-                        + " steps taken back, the longest recovery "
+                        + " reverted steps, longest recovery "
                         + coverage.longestRecoveryMs
                         + " ms");
     }
--- a/src/test/java/reeldeal/fleet/SeededRuns.java
+++ b/src/test/java/reeldeal/fleet/SeededRuns.java
@@ -9,21 +9,24 @@
 import java.util.stream.LongStream;
 import reeldeal.fleet.FleetSimulation.Violation;
 
-/** Plays simulations by their seeds, some of them in parallel, each with state of its own. */
+/**
+ * Runs simulations for ranges of seeds, in parallel batches; no state is shared between
+ * simulations.
+ */
 final class SeededRuns {
     private static final int BATCH = 16;
 
-    /** A seed with which a rule does not hold, and which. */
+    /** A seed for which a rule does not hold, and the rule. */
     record Finding(long seed, String rule) {}
 
     private SeededRuns() {}
 
-    /** The first seed with which a rule does not hold; null where all hold. */
+    /** Returns the first seed for which a rule does not hold, or null if all rules hold. */
     static Finding find(LongFunction<?> run, int maxSeed) {
         return find(run, 1, maxSeed);
     }
 
-    /** The same from another seed than the first. */
+    /** Returns the first seed from {@code firstSeed} on for which a rule does not hold, or null. */
     static Finding find(LongFunction<?> run, int firstSeed, int maxSeed) {
         for (long seed = firstSeed; seed <= maxSeed; seed += BATCH) {
             Finding finding =
@@ -49,7 +52,7 @@
         }
     }
 
-    /** Plays seeds with which all rules have to hold. */
+    /** Runs a range of seeds, and fails with a trace if a rule does not hold for one of them. */
     static <S> void requireAllToHold(
             long from,
             long to,
@@ -77,7 +80,7 @@
         }
     }
 
-    /** Prints after how many seeds each broken rule is found, as rows of a table. */
+    /** Prints the first seed that detects each broken rule, as rows of a Markdown table. */
     static <P> void printTable(
             Map<String, P> broken, Function<P, LongFunction<?>> run, int maxSeed) {
         broken.forEach(
--- a/src/test/java/reeldeal/fleet/SimulatedElection.java
+++ b/src/test/java/reeldeal/fleet/SimulatedElection.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Who truly leads the store, and who believes so. */
+/**
+ * Simulates the election of the store's leader, including nodes that act as leader after they were
+ * deposed.
+ */
 final class SimulatedElection {
     private static final int NODES = 3;
     private static final int NOBODY = -1;
@@ -34,12 +37,12 @@
         return leader == id;
     }
 
-    /** When the present leader was elected, which identifies its term. */
+    /** Returns when the current leader was elected, which identifies its term. */
     long term() {
         return leaderSince;
     }
 
-    /** A node that believes to lead, most often the true leader; null where there is none. */
+    /** Returns a node that acts as leader, usually the true leader; null if there is none. */
     SimulatedLeader drawLeader() {
         List<SimulatedLeader> actingLeaders =
                 nodes.stream().filter(SimulatedLeader::actsAsLeader).toList();
@@ -52,7 +55,10 @@
                 : nodes.get(leader);
     }
 
-    /** The leader loses its office, and learns that later; another is elected after a while. */
+    /**
+     * Deposes the leader, which notices that only after a delay, and elects another one after a
+     * while.
+     */
     void elect() {
         if (hasLeader()) {
             SimulatedLeader former = nodes.get(leader);
@@ -76,7 +82,7 @@
             leader = fleet.rng.nextInt(NODES);
             leaderSince = fleet.now;
             nodes.get(leader).beginLeadership(leaderlessMs);
-            fleet.addToTrace("leads " + leader);
+            fleet.addToTrace("node " + leader + " leads");
         }
     }
 
--- a/src/test/java/reeldeal/fleet/SimulatedFaults.java
+++ b/src/test/java/reeldeal/fleet/SimulatedFaults.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 
-/** Faults that happen by chance until all are healed. */
+/** Injects random faults until the simulation ends all faults. */
 final class SimulatedFaults {
     private static final int KINDS = 8;
     private static final int NO_FAULT = 9;
 
     private final FleetSimulation fleet;
 
-    /** How often a fault happens, of 12. */
+    /** How many of 12 attempts inject a fault. */
     private final int faultsInTwelve;
 
     SimulatedFaults(FleetSimulation fleet, int faultsInTwelve) {
@@ -17,7 +17,7 @@
         this.faultsInTwelve = faultsInTwelve;
     }
 
-    /** One fault, or none, and the next after a while. */
+    /** Injects one fault or none, and schedules the next attempt. */
     void injectNext() {
         if (fleet.healed) {
             return;
@@ -53,7 +53,7 @@
                 fleet.after(200 + fleet.rng.nextInt(8_000), () -> process.paused = false);
             }
             case 3 -> {
-                fleet.addToTrace("cut " + process.boot);
+                fleet.addToTrace("partition " + process.boot);
                 process.partitioned = true;
                 fleet.after(200 + fleet.rng.nextInt(8_000), () -> process.partitioned = false);
             }
--- a/src/test/java/reeldeal/fleet/SimulatedLeader.java
+++ b/src/test/java/reeldeal/fleet/SimulatedLeader.java
@@ -8,7 +8,7 @@
 import reeldeal.fleet.membership.LocalMember;
 import reeldeal.fleet.rollout.RolloutHealth;
 
-/** A node that can lead the store; it may believe that it leads when another does. */
+/** A node that can lead the store; it may still act as leader when another node already leads. */
 final class SimulatedLeader {
     private static final DisruptionBudget.ShardLayout LAYOUT =
             new DisruptionBudget.ShardLayout(4, 4, 2);
@@ -21,7 +21,7 @@
     private boolean actsAsLeader;
     private boolean partitioned;
 
-    /** Identifies its last leadership. */
+    /** The identifier of its last leadership. */
     private long leadership = -2;
 
     SimulatedLeader(FleetSimulation fleet, int id) {
@@ -38,7 +38,7 @@
                         fleet.modules.recoveryController());
     }
 
-    /** Begins its timer. */
+    /** Starts its timer. */
     void start() {
         tick();
     }
@@ -55,7 +55,7 @@
         partitioned = isPartitioned;
     }
 
-    /** It is elected, after nobody led for a time. */
+    /** Makes this node the leader, after a time without one. */
     void beginLeadership(long leaderlessMs) {
         actsAsLeader = true;
         partitioned = false;
@@ -63,7 +63,7 @@
         controller.beginLeadership(clock(), leaderlessMs);
     }
 
-    /** It learns that it does not lead. */
+    /** Ends the leadership of this node, once it notices that it was deposed. */
     void endLeadership() {
         actsAsLeader = false;
         controller.endLeadership();
@@ -86,13 +86,13 @@
         fleet.after(fleet.faultFree ? 10 : 100 + fleet.rng.nextInt(50), this::tick);
     }
 
-    /** Its list, the older the greater its id. */
+    /** Returns its endpoint list, which is older for nodes with a greater ID. */
     private Map<String, ObservedSearcher> endpointList() {
         int listCount = fleet.endpointLists.size();
         return listCount == 0 ? null : fleet.endpointLists.get(Math.max(0, listCount - 1 - id));
     }
 
-    /** A member's heartbeat; it is answered after a confirmation of the leadership. */
+    /** Handles the heartbeat of a member, which is answered after the leadership was confirmed. */
     void onHeartbeat(SimulatedProcess member, LocalMember.SendHeartbeat heartbeat) {
         if (!actsAsLeader) {
             return;
--- a/src/test/java/reeldeal/fleet/SimulatedOperator.java
+++ b/src/test/java/reeldeal/fleet/SimulatedOperator.java
@@ -9,7 +9,7 @@
 import reeldeal.fleet.FleetView.Step;
 import reeldeal.fleet.rollout.RolloutOrders;
 
-/** Operators: they plan a release, interfere with it, and see to its end. */
+/** Simulates the operator, who plans a release, interferes with it and brings it to its end. */
 final class SimulatedOperator {
     private static final String REASON = "operator";
     private static final String WRONG_VERSION = "came back with";
@@ -27,12 +27,12 @@
         this.kind = kind;
     }
 
-    /** How often a release may restart one member: there and back. */
+    /** Returns how often a release may restart one member: once, and once more in a rollback. */
     int maxRestarts() {
         return (everRolledBack ? 2 : 1) + planCount - 1;
     }
 
-    /** Plans and starts a release once all brokers and searchers are known. */
+    /** Plans and starts a release once all brokers serve and all searchers are known. */
     void plan() {
         FleetView latest = fleet.latest;
         List<String> members =
@@ -72,7 +72,7 @@
         fleet.commit(RolloutOrders.changeProgress(fleet.latest, progress, REASON));
     }
 
-    /** An order that is decided on what was read a moment before. */
+    /** Submits a random order that is based on an earlier view of the fleet. */
     private void interfere() {
         Release release = fleet.latest.release();
         if (release.progress() == Progress.DONE && release.rollingBack()) {
@@ -86,7 +86,7 @@
                     () -> {
                         fleet.commit(order);
                         everRolledBack |= fleet.latest.release().rollingBack();
-                        fleet.addToTrace("operator, release at " + decidedAt);
+                        fleet.addToTrace("operator order, based on release version " + decidedAt);
                     });
         }
         if (!fleet.healed) {
@@ -134,7 +134,7 @@
                 });
     }
 
-    /** Resumes what has halted, or rolls it back, until the release is done and all are back. */
+    /** Resumes or rolls back a halted release, until it is done and all members have returned. */
     void finish() {
         fleet.processes.keySet().forEach(fleet::startIfDead);
         Release release = fleet.latest.release();
@@ -163,7 +163,7 @@
             return;
         }
         if (hasWrongVersion) {
-            // It is mended by hand.
+            // The operator restarts the process, so that it starts with the right configuration.
             SimulatedProcess wrongProcess = fleet.processes.get(halted.reason().split(" ")[0]);
             wrongProcess.markDead();
             fleet.startIfDead(wrongProcess.name);
--- a/src/test/java/reeldeal/fleet/SimulatedProcess.java
+++ b/src/test/java/reeldeal/fleet/SimulatedProcess.java
@@ -4,7 +4,7 @@
 import reeldeal.fleet.FleetView.State;
 import reeldeal.fleet.membership.LocalMember;
 
-/** A broker's process, with a steady clock of its own; it may be killed, paused or partitioned. */
+/** A broker process with its own steady clock; it can be killed, paused or partitioned. */
 final class SimulatedProcess {
     private static final long HEARTBEAT_MS = 500;
     private static final long PERMIT_TIMEOUT_MS = 2_000;
@@ -25,16 +25,19 @@
     boolean draining;
     boolean serving;
 
-    /** Whether a leader has told it that it is certain what was lost. */
+    /**
+     * Whether a leader has confirmed that it classified the outage before the start of this
+     * process.
+     */
     boolean startClassified;
 
-    /** The leadership of the last answer that it had. */
+    /** The leadership that sent the last answer this process received. */
     long lastAnsweredLeadership = -1;
 
-    /** Why it ends, null while it does not. */
+    /** Why this process exits, null while it does not. */
     String exitReason;
 
-    /** The version up to which it has applied the log, and the fleet at that version. */
+    /** The version up to which it has applied the log; its view of the fleet follows. */
     long appliedVersion;
 
     FleetView appliedView = new FleetView(Map.of());
@@ -76,13 +79,13 @@
         diedAt = fleet.now;
     }
 
-    /** Kills it; nothing of it serves any more. */
+    /** Kills the process, which then no longer serves. */
     void kill() {
         markDead();
         serving = false;
     }
 
-    /** Its steady clock, ms. */
+    /** Returns the time of its steady clock, ms. */
     long clock() {
         return clockOffset + (long) (fleet.now * clockRate);
     }
@@ -91,12 +94,12 @@
         return member.holdsLease(clock());
     }
 
-    /** Whether it drains or has drained by an order. */
+    /** Returns whether it drains or has drained by an order, including an exit with a permit. */
     boolean isOutByOrder() {
         return draining && (exitReason == null || !exitReason.contains("unplanned"));
     }
 
-    /** Runs an action in this process; a paused one runs it once it resumes. */
+    /** Runs an action in this process, after it resumes if it is paused. */
     void run(Runnable action) {
         if (!alive) {
             return;
@@ -138,7 +141,7 @@
                 draining = true;
                 fleet.check(
                         fleet.invariants.hasReported(this, State.DRAINING),
-                        name + " drains while the log holds it for serving");
+                        name + " drains before its state in the log is DRAINING");
             } else if (action instanceof LocalMember.Serve) {
                 draining = false;
             } else if (action instanceof LocalMember.Exit exit) {
@@ -148,14 +151,14 @@
     }
 
     private void send(LocalMember.SendHeartbeat heartbeat) {
-        // A leader is drawn twice: the recorded digests depend on the number of draws.
+        // A leader is drawn twice, because the recorded digests depend on the number of draws.
         if (!partitioned && fleet.election.drawLeader() != null) {
             SimulatedLeader leader = fleet.election.drawLeader();
             fleet.after(fleet.drawDelay(), () -> leader.onHeartbeat(this, heartbeat));
         }
     }
 
-    /** The leader answered a heartbeat. */
+    /** Handles the leader's answer to a heartbeat. */
     void onAnswer(LocalMember.SendHeartbeat heartbeat, long leadership, boolean outageClassified) {
         lastAnsweredLeadership = leadership;
         startClassified |= outageClassified && heartbeat.incarnation() == member.incarnation();
--- a/src/test/java/reeldeal/fleet/SimulatedSearcher.java
+++ b/src/test/java/reeldeal/fleet/SimulatedSearcher.java
@@ -2,7 +2,7 @@
 
 import reeldeal.fleet.disruption.ObservedSearcher;
 
-/** A searcher that may be restarted. */
+/** A searcher that can be restarted. */
 final class SimulatedSearcher {
     static final long WARM_UP_MS = 1_500;
     private static final int CELLS = 4;
@@ -24,7 +24,10 @@
         cell = index % CELLS;
     }
 
-    /** Stops it, and starts it again after a time; one that is stopped meanwhile starts later. */
+    /**
+     * Stops the searcher and starts it again after a delay. If it is stopped again meanwhile, only
+     * the later restart counts.
+     */
     void restart(long downMs) {
         up = false;
         int restart = ++restarts;
@@ -47,7 +50,9 @@
         return uptimeMs() >= WARM_UP_MS;
     }
 
-    /** Its capacity, from {@code coldCapacity} at its start to 1. */
+    /**
+     * Returns its capacity, which rises from {@code coldCapacity} at its start to 1; 0 while down.
+     */
     double capacity(long warmUpMs, double coldCapacity) {
         return up ? Math.min(1, coldCapacity + (1 - coldCapacity) * uptimeMs() / warmUpMs) : 0;
     }
--- a/src/test/java/reeldeal/fleet/TakeoverSimulation.java
+++ b/src/test/java/reeldeal/fleet/TakeoverSimulation.java
@@ -18,9 +18,10 @@
 import reeldeal.store.KeyValueState;
 
 /**
- * Keyed requests in the fleet's simulation: brokers that are killed, paused and partitioned with
- * requests in flight, clients that retry at other brokers, searchers that drop repeats of a key for
- * a while. Checked against what searchers truly ran and clients were truly answered.
+ * Simulates keyed requests in the fleet simulation: brokers that are killed, paused and partitioned
+ * with requests in flight, clients that retry at other brokers, and searchers that deduplicate
+ * repeats of a key for a while. Checked against the runs at the searchers and the answers that
+ * clients received.
  */
 final class TakeoverSimulation implements FleetSimulation.Extension {
     static final TakeoverPolicy.Window WINDOW = new TakeoverPolicy.Window(5_500, 300, 400);
@@ -30,7 +31,7 @@
     private static final int CLIENTS = 60;
     private static final int MAX_ATTEMPTS = 3;
 
-    /** The modules, intact or broken on purpose. */
+    /** The modules under test, which subclasses replace with broken ones. */
     static class Modules {
         TakeoverPolicy takeoverPolicy() {
             return new TakeoverPolicy();
@@ -45,7 +46,7 @@
         }
     }
 
-    /** A broker's requests, its copy of the records, and its writes. */
+    /** The requests of one broker, its copy of the records, and its pending writes. */
     private final class Broker {
         private final InFlightRequests requests;
         private final GroupCommit groupCommit = new GroupCommit(16, 60_000, 2);
@@ -55,7 +56,7 @@
             requests = modules.inFlightRequests(name, key -> recordsCopy.get(key));
         }
 
-        /** Applies all records that have changed since the last call. */
+        /** Passes all records that have changed since the last call to the requests. */
         void applyRecords(long now) {
             Set<String> changed = new TreeSet<>();
             Map<String, RequestRecord> before = recordsCopy;
@@ -79,7 +80,7 @@
     private final Map<Long, String> keyByClient = new HashMap<>();
     private long nextClientId;
 
-    /** What is true, whatever any broker believes. */
+    /** The committed records, which may be newer than the copies of the brokers. */
     private Map<String, RequestRecord> records = new TreeMap<>();
 
     private final Set<String> sentKeys = new TreeSet<>();
@@ -105,11 +106,16 @@
         }
     }
 
-    /** Plays to the end, and for as long as any request may be in flight. */
+    /** Runs to the end, and on until no request can be in flight any more. */
     TakeoverSimulation runToEnd() {
         fleet.runToEnd();
         fleet.runUntil(Math.max(fleet.now, 42_000) + 25_000);
-        records.values().forEach(record -> fleet.check(!record.isOpen(), "left open: " + record));
+        records.values()
+                .forEach(
+                        record ->
+                                fleet.check(
+                                        !record.isOpen(),
+                                        "the record is still open at the end: " + record));
         return this;
     }
 
@@ -122,7 +128,10 @@
 
     // ---- clients ----
 
-    /** Sends to one broker, and to another after a while, until it is answered or gives up. */
+    /**
+     * Sends a request to a random broker, and repeats that after a while until it is answered or
+     * its deadline has passed.
+     */
     private void sendAsClient(String key, long deadline) {
         List<SimulatedProcess> serving =
                 fleet.processes.values().stream()
@@ -163,7 +172,7 @@
             RequestRecord record = records.get(key);
             fleet.check(
                     !reply.outcome().equals("unsent") || record == null || record.isOpen(),
-                    key + " was answered unsent, and is " + record);
+                    key + " was answered as unsent, but its record is " + record);
             return; // its client retries
         }
         boolean isDone = reply.state() == RequestRecord.State.DONE;
@@ -231,7 +240,7 @@
                 .forEach(key -> broker.requests.writeEnded(wallClock(process), key, committed));
     }
 
-    /** One attempt; the broker checks its lease and its copy of the record before it. */
+    /** Makes one attempt, before which the broker checks its lease and its copy of the record. */
     private void send(
             SimulatedProcess process,
             InFlightRequests requests,
@@ -262,7 +271,7 @@
         fleet.check(
                 trueRecord.owner().equals(process.name)
                         && trueRecord.incarnation() == record.incarnation(),
-                process.boot + " sends " + key + ", which is " + trueRecord.owner() + "'s");
+                process.boot + " sends " + key + ", which " + trueRecord.owner() + " owns");
         sentKeys.add(key);
         if (fleet.rng.nextInt(15) > 0) {
             fleet.after(1 + fleet.rng.nextInt(150), () -> runAtSearcher(process, requests, key));
@@ -281,7 +290,7 @@
             runsAtSearchers.merge(key, 1, Integer::sum);
             fleet.check(
                     runsAtSearchers.get(key) == 1,
-                    key + " ran " + runsAtSearchers.get(key) + " times");
+                    key + " ran " + runsAtSearchers.get(key) + " times, expected once");
         }
         if (fleet.rng.nextInt(8) > 0) {
             fleet.after(
@@ -317,7 +326,9 @@
         records = current;
     }
 
-    /** The record that is known already, or a new one, which is checked. */
+    /**
+     * Returns the record that is already known at this version, or decodes and checks the new one.
+     */
     private RequestRecord read(String storeKey, KeyValueState.Value value) {
         RequestRecord known = records.get(RequestRecord.clientKey(storeKey));
         if (known != null && known.version() == value.version()) {
@@ -337,9 +348,13 @@
         fleet.check(
                 !isFinal
                         || before.toAttributes().toString().equals(after.toAttributes().toString()),
-                after.key() + " was " + before + " and is " + after);
+                "the final record of " + after.key() + " changed from " + before + " to " + after);
         fleet.check(
                 before.firstSentAtMs() == after.firstSentAtMs(),
-                after.key() + " forgot when it began");
+                after.key()
+                        + " was first sent at "
+                        + before.firstSentAtMs()
+                        + ", but its record now has "
+                        + after.firstSentAtMs());
     }
 }
--- a/src/test/java/reeldeal/fleet/TakeoverSimulationTest.java
+++ b/src/test/java/reeldeal/fleet/TakeoverSimulationTest.java
@@ -7,13 +7,13 @@
 import org.junit.Test;
 import reeldeal.testing.EventDigest;
 
-/** Keyed requests in the simulation: with intact modules, and with each rule broken. */
+/** Tests keyed requests in the simulation, with intact modules and with each rule broken. */
 public class TakeoverSimulationTest {
     private static final int SEEDS = 25;
     private static final int DIGEST_SEEDS = 20;
     private static final int MAX_SEEDS_TO_FIND = 300;
 
-    /** What a set of seeds covers. */
+    /** The events that occurred in a set of seeds. */
     private static final class Coverage {
         private int answeredDone;
         private int answeredUnknown;
@@ -31,7 +31,7 @@
 
         @Override
         public String toString() {
-            return "answered with an outcome "
+            return "answered done "
                     + answeredDone
                     + ", claims "
                     + claims
@@ -39,7 +39,7 @@
                     + answeredUnknown
                     + ", answered failed "
                     + answeredFailed
-                    + ", run again "
+                    + ", repeated runs "
                     + repeatedRuns;
         }
     }
@@ -86,7 +86,7 @@
                 .forEach(
                         (rule, modules) ->
                                 assertNotNull(
-                                        "not found: " + rule,
+                                        "no seed detects the broken rule: " + rule,
                                         SeededRuns.find(
                                                 seed -> runSeed(seed, modules),
                                                 MAX_SEEDS_TO_FIND)));
@@ -94,8 +94,8 @@
     }
 
     /**
-     * By hand: {@code run FROM TO} plays seeds, {@code broken MAX} prints after how many seeds each
-     * broken rule is found.
+     * Runs the simulation from the command line: {@code run FROM TO} runs a range of seeds, {@code
+     * broken MAX} prints the first seed that detects each broken rule.
      */
     public static void main(String[] args) {
         if (args[0].equals("broken")) {
