--- a/src/main/java/reeldeal/fleet/DisruptionPolicy.java
+++ b/src/main/java/reeldeal/fleet/DisruptionPolicy.java
@@ -84,7 +84,7 @@
                 ? null
                 : "policy "
                         + key
-                        + ": expected a number or a percentage from 0% to 100%, found "
+                        + ": expected a number or a share from 0% to 100%, found "
                         + value;
     }
 
--- a/src/main/java/reeldeal/fleet/rollout/HaltRules.java
+++ b/src/main/java/reeldeal/fleet/rollout/HaltRules.java
@@ -12,7 +12,7 @@
 
 /** The rules that halt a running release until an operator resumes it or rolls it back. */
 public class HaltRules {
-    /** The time without a leader, ms, from which on a release is not continued automatically. */
+    /** A release halts if there was no leader for at least this time, ms. */
     public static final long MAX_LEADERLESS_MS = 10_000;
 
     private final BudgetLimits limits;
@@ -73,11 +73,11 @@
         String expected = step.rollingBack() ? step.previousVersion() : release.targetVersion();
         // A broker that was already restarting when the rollback was ordered may run the new
         // version.
-        boolean tookNewVersion =
+        boolean restartedBeforeRollback =
                 step.rollingBack()
                         && step.stage() == Stage.BACK
                         && actual.equals(release.targetVersion());
-        if (actual.equals(expected) || tookNewVersion) {
+        if (actual.equals(expected) || restartedBeforeRollback) {
             return null;
         }
         return step.name()
--- a/src/main/java/reeldeal/fleet/rollout/RolloutController.java
+++ b/src/main/java/reeldeal/fleet/rollout/RolloutController.java
@@ -65,7 +65,7 @@
                 || release.progress() == Progress.PLANNED) {
             return List.of();
         }
-        List<ConditionalWrite> returns = completedReturns(fleet, observations);
+        List<ConditionalWrite> returns = returnWrites(fleet, observations);
         if (!release.isRunning() || !returns.isEmpty()) {
             return returns;
         }
@@ -73,11 +73,11 @@
         if (haltReason != null) {
             return List.of(RolloutOrders.changeProgress(fleet, Progress.HALTED, haltReason));
         }
-        List<ConditionalWrite> steps = advancedSteps(fleet, memberObservations);
+        List<ConditionalWrite> steps = stepWrites(fleet, memberObservations);
         return steps.isEmpty() ? startOrComplete(fleet, observations) : steps;
     }
 
-    private List<ConditionalWrite> completedReturns(
+    private List<ConditionalWrite> returnWrites(
             FleetView fleet, DisruptionBudget.Observations observations) {
         List<ConditionalWrite> writes = new ArrayList<>();
         for (Step step : fleet.steps().values()) {
@@ -89,7 +89,7 @@
         return writes;
     }
 
-    private List<ConditionalWrite> advancedSteps(
+    private List<ConditionalWrite> stepWrites(
             FleetView fleet, MemberObservations memberObservations) {
         List<ConditionalWrite> writes = new ArrayList<>();
         for (Step step : fleet.steps().values()) {
--- a/src/main/java/reeldeal/fleet/rollout/StepRules.java
+++ b/src/main/java/reeldeal/fleet/rollout/StepRules.java
@@ -127,7 +127,7 @@
             return stepWrite(
                             release,
                             step.withStage(Stage.WAITING, ""),
-                            "crashed during its drain and waits again")
+                            "restarted during its drain and waits again")
                     .expect(drainKey, fleet.version(drainKey))
                     .put(drainKey, null);
         }
@@ -198,7 +198,7 @@
             return stepWrite(
                     release,
                     step.withStage(Stage.BACK, currentMark(fleet, step)),
-                    "crashed before it had settled and runs a new process");
+                    "restarted again before it had settled");
         }
         boolean isServing =
                 release.kind() == Kind.SEARCHER
@@ -229,8 +229,8 @@
         }
         int currentWave = unfinished.get(0).wave();
         for (Step step : unfinished) {
-            if (step.wave() == currentWave && mayStart(fleet, step)) {
-                ConditionalWrite write = start(fleet, observations, step);
+            if (step.wave() == currentWave && mayStartDrain(fleet, step)) {
+                ConditionalWrite write = startDrain(fleet, observations, step);
                 if (write != null) {
                     return write;
                 }
@@ -239,7 +239,7 @@
         return null;
     }
 
-    private static boolean mayStart(FleetView fleet, Step step) {
+    private static boolean mayStartDrain(FleetView fleet, Step step) {
         if (step.stage() != Stage.WAITING) {
             return false;
         }
@@ -247,7 +247,7 @@
         return fleet.release().kind() == Kind.SEARCHER || (member != null && member.isServing());
     }
 
-    private ConditionalWrite start(
+    private ConditionalWrite startDrain(
             FleetView fleet, DisruptionBudget.Observations observations, Step step) {
         Release release = fleet.release();
         String requestedBy = "release " + release.id();
--- a/src/test/java/reeldeal/fleet/FleetCodecTest.java
+++ b/src/test/java/reeldeal/fleet/FleetCodecTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    public void aPermitIsReadByItsKind() {
+    public void permitsAreDecodedByKind() {
         FleetView fleet = new FleetValues().permit(Kind.SEARCHER, "s", "1000").view();
         assertEquals("1000", fleet.permits(Kind.SEARCHER).get("s").processMark());
         assertFalse(fleet.permits(Kind.BROKER).containsKey("s"));
--- a/src/test/java/reeldeal/fleet/FleetSimulation.java
+++ b/src/test/java/reeldeal/fleet/FleetSimulation.java
@@ -39,8 +39,8 @@
     static final String FIRST_CONFIG = "v0";
     private static final String WRONG_CONFIG = "wrong";
     private static final long LIST_INTERVAL_MS = 200;
-    private static final long HEAL_AT = 40_000;
-    private static final long LATEST_END = 400_000;
+    private static final long FAULTS_END_AT = 40_000;
+    private static final long DEADLINE = 400_000;
     private static final int TRACE_LENGTH = 60;
 
     /** The modules under test, which subclasses replace with broken ones. */
@@ -131,18 +131,23 @@
     /** Whether one process may yet start with a wrong configuration. */
     private boolean wrongConfigPending;
 
-    /** The contents of the store; its version and the fleet's view of it follow. */
+    /** The contents of the store. */
     final KeyValueState state = new KeyValueState();
 
+    /** The version of the last write that reached the store. */
     long version;
-    FleetView latest = new FleetView(Map.of());
+
+    /** The view of the fleet after the last commit. */
+    FleetView latestView = new FleetView(Map.of());
+
+    /** The number of committed writes. */
     int commits;
 
     /** The digest of all committed writes, each with the time of its commit. */
     final EventDigest digest = new EventDigest();
 
     long now;
-    boolean healed;
+    boolean faultsEnded;
     Extension extension;
 
     /** How the release ended, "done" or "back"; "" while it has not. */
@@ -185,7 +190,7 @@
             after(4_000, operator::plan);
         }
         after(5_000 + rng.nextInt(2_000), faults::injectNext);
-        after(HEAL_AT, this::heal);
+        after(FAULTS_END_AT, this::endFaults);
     }
 
     private FormAttributes drawPolicy(String maxOut) {
@@ -215,19 +220,19 @@
     void runToEnd() {
         while (!events.isEmpty() && outcome.isEmpty()) {
             runNextEvent();
-            check(now < LATEST_END, "not finished at " + now + " ms: " + describeRelease());
+            check(now < DEADLINE, "not finished at " + now + " ms: " + describeRelease());
         }
     }
 
     private String describeRelease() {
         String release =
-                latest.release() == null
+                latestView.release() == null
                         ? "no release"
-                        : latest.release() + " " + latest.steps().values();
+                        : latestView.release() + " " + latestView.steps().values();
         return release
                 + ", out "
-                + latest.permits(Kind.BROKER).keySet()
-                + latest.permits(Kind.SEARCHER).keySet();
+                + latestView.permits(Kind.BROKER).keySet()
+                + latestView.permits(Kind.SEARCHER).keySet();
     }
 
     /** Runs all events up to a time. */
@@ -238,7 +243,7 @@
     }
 
     boolean isReleaseDone() {
-        return latest.release() != null && latest.release().progress() == Progress.DONE;
+        return latestView.release() != null && latestView.release().progress() == Progress.DONE;
     }
 
     // ---- random values ----
@@ -255,7 +260,7 @@
 
     /** Returns the configuration with which a process starts; one process may get a wrong one. */
     String drawConfig(String name) {
-        String target = latest.get(FleetView.TARGET + name);
+        String target = latestView.get(FleetView.TARGET + name);
         boolean isWrong = wrongConfigPending && rng.nextInt(4) == 0 && target != null;
         if (isWrong) {
             wrongConfigPending = false;
@@ -358,13 +363,13 @@
     }
 
     /** Ends all faults; the operator then brings the release to its end. */
-    private void heal() {
-        healed = true;
+    private void endFaults() {
+        faultsEnded = true;
         for (SimulatedProcess process : processes.values()) {
             process.paused = false;
             process.partitioned = false;
         }
-        election.heal();
+        election.endPartitions();
         after(8_000, operator::finish);
     }
 
@@ -415,9 +420,9 @@
                         + " "
                         + new TreeMap<>(write.changes()));
         addToTrace(write.reason());
-        FleetView before = latest;
-        latest = readFleet();
-        invariants.checkCommit(before, latest);
+        FleetView before = latestView;
+        latestView = readFleet();
+        invariants.checkCommit(before, latestView);
         operator.restartSearchers(before);
         if (extension != null) {
             extension.onCommitted();
--- a/src/test/java/reeldeal/fleet/RecoverySimulation.java
+++ b/src/test/java/reeldeal/fleet/RecoverySimulation.java
@@ -32,7 +32,7 @@
      */
     private static final long BEFORE_MANUAL_STARTS = 47_900;
 
-    private static final long END = 130_000;
+    private static final long END_AT = 130_000;
 
     /** The modules under test, which subclasses replace with broken ones. */
     static class Modules extends FleetSimulation.Modules {
@@ -98,8 +98,8 @@
         fleet.check(
                 epoch.ended() || epochBeganAt > 38_000 || epoch.step() > 1,
                 "the recovery did not advance before all brokers were back: " + epoch);
-        fleet.runUntil(END);
-        fleet.check(epoch.ended(), "the recovery has not ended at " + END + " ms: " + epoch);
+        fleet.runUntil(END_AT);
+        fleet.check(epoch.ended(), "the recovery has not ended at " + END_AT + " ms: " + epoch);
         fleet.check(
                 epochBeganAt >= fullOutageAt || !fullOutageExpected,
                 "full outage at " + fullOutageAt + ", but no epoch has begun since: " + epoch);
@@ -123,7 +123,7 @@
     // ---- outages ----
 
     private List<Member> membersOf(String zone) {
-        return fleet.latest.members().values().stream()
+        return fleet.latestView.members().values().stream()
                 .filter(member -> zone == null || member.zone().equals(zone))
                 .filter(member -> member.state() != State.GONE)
                 .toList();
@@ -279,7 +279,7 @@
 
     @Override
     public void onCommitted() {
-        Epoch next = Epoch.of(fleet.latest);
+        Epoch next = Epoch.of(fleet.latestView);
         if (next.version() == epoch.version()) {
             return;
         }
@@ -330,7 +330,7 @@
                 lost * 2 > members,
                 "epoch " + next + " with only " + lost + " of " + members + " members lost");
         fleet.check(
-                fleet.latest.release() == null || !fleet.latest.release().isRunning(),
+                fleet.latestView.release() == null || !fleet.latestView.release().isRunning(),
                 "a release still runs in epoch " + next);
         boolean lostAgain =
                 lost > 0
--- a/src/test/java/reeldeal/fleet/RecoverySimulationTest.java
+++ b/src/test/java/reeldeal/fleet/RecoverySimulationTest.java
@@ -51,8 +51,9 @@
         assertTrue(
                 "expected epochs and reverted steps, found "
                         + coverage.epochs
-                        + " "
-                        + coverage.stepsReverted,
+                        + " epochs and "
+                        + coverage.stepsReverted
+                        + " reverted steps",
                 coverage.epochs > SEEDS && coverage.stepsReverted > 0);
     }
 
--- a/src/test/java/reeldeal/fleet/SimulatedElection.java
+++ b/src/test/java/reeldeal/fleet/SimulatedElection.java
@@ -87,7 +87,7 @@
     }
 
     /** Ends all partitions. */
-    void heal() {
+    void endPartitions() {
         nodes.forEach(node -> node.setPartitioned(false));
         if (!hasLeader()) {
             elect();
--- a/src/test/java/reeldeal/fleet/SimulatedFaults.java
+++ b/src/test/java/reeldeal/fleet/SimulatedFaults.java
@@ -19,7 +19,7 @@
 
     /** Injects one fault or none, and schedules the next attempt. */
     void injectNext() {
-        if (fleet.healed) {
+        if (fleet.faultsEnded) {
             return;
         }
         List<SimulatedProcess> alive =
--- a/src/test/java/reeldeal/fleet/SimulatedLeader.java
+++ b/src/test/java/reeldeal/fleet/SimulatedLeader.java
@@ -71,7 +71,7 @@
 
     private void tick() {
         if (!partitioned) {
-            controller.onFleetChanged(clock(), fleet.latest);
+            controller.onFleetChanged(clock(), fleet.latestView);
             controller.setSearchers(endpointList(), LAYOUT);
         }
         ConditionalWrite write = actsAsLeader ? controller.nextWrite(clock()) : null;
--- a/src/test/java/reeldeal/fleet/SimulatedOperator.java
+++ b/src/test/java/reeldeal/fleet/SimulatedOperator.java
@@ -34,7 +34,7 @@
 
     /** Plans and starts a release once all brokers serve and all searchers are known. */
     void plan() {
-        FleetView latest = fleet.latest;
+        FleetView latest = fleet.latestView;
         List<String> members =
                 kind == Kind.BROKER
                         ? List.copyOf(latest.members().keySet())
@@ -69,47 +69,47 @@
     }
 
     private void changeProgress(Progress progress) {
-        fleet.commit(RolloutOrders.changeProgress(fleet.latest, progress, REASON));
+        fleet.commit(RolloutOrders.changeProgress(fleet.latestView, progress, REASON));
     }
 
     /** Submits a random order that is based on an earlier view of the fleet. */
     private void interfere() {
-        Release release = fleet.latest.release();
+        Release release = fleet.latestView.release();
         if (release.progress() == Progress.DONE && release.rollingBack()) {
             return;
         }
         ConditionalWrite order = drawOrder(release);
         if (order != null) {
-            long decidedAt = fleet.latest.version(FleetView.RELEASE);
+            long decidedAt = fleet.latestView.version(FleetView.RELEASE);
             fleet.after(
                     fleet.drawDelay(),
                     () -> {
                         fleet.commit(order);
-                        everRolledBack |= fleet.latest.release().rollingBack();
+                        everRolledBack |= fleet.latestView.release().rollingBack();
                         fleet.addToTrace("operator order, based on release version " + decidedAt);
                     });
         }
-        if (!fleet.healed) {
+        if (!fleet.faultsEnded) {
             fleet.after(1_000 + fleet.rng.nextInt(8_000), this::interfere);
         }
     }
 
     private ConditionalWrite drawOrder(Release release) {
         if (!release.rollingBack() && fleet.rng.nextInt(4) == 0) {
-            return fleet.modules.rollBack(fleet.latest);
+            return fleet.modules.rollBack(fleet.latestView);
         } else if (release.isRunning()) {
             Progress progress = fleet.rng.nextBoolean() ? Progress.HALTED : Progress.PAUSED;
-            return RolloutOrders.changeProgress(fleet.latest, progress, REASON);
+            return RolloutOrders.changeProgress(fleet.latestView, progress, REASON);
         } else if (release.progress() != Progress.DONE) {
-            return RolloutOrders.changeProgress(fleet.latest, Progress.RUNNING, REASON);
+            return RolloutOrders.changeProgress(fleet.latestView, Progress.RUNNING, REASON);
         }
         return null;
     }
 
     /** Restarts the searchers whose restart the release has just ordered. */
     void restartSearchers(FleetView before) {
-        Release release = fleet.latest.release();
-        for (Step step : fleet.latest.steps().values()) {
+        Release release = fleet.latestView.release();
+        for (Step step : fleet.latestView.steps().values()) {
             Step previous = before.steps().get(step.name());
             boolean isOrdered =
                     previous != null
@@ -137,7 +137,7 @@
     /** Resumes or rolls back a halted release, until it is done and all members have returned. */
     void finish() {
         fleet.processes.keySet().forEach(fleet::startIfDead);
-        Release release = fleet.latest.release();
+        Release release = fleet.latestView.release();
         if (release != null && release.progress() == Progress.DONE) {
             if (haveAllReturned()) {
                 fleet.outcome = release.rollingBack() ? "back" : "done";
@@ -150,15 +150,15 @@
     }
 
     private boolean haveAllReturned() {
-        return fleet.latest.permits(Kind.BROKER).isEmpty()
-                && fleet.latest.permits(Kind.SEARCHER).isEmpty()
-                && fleet.latest.members().values().stream().allMatch(Member::isServing);
+        return fleet.latestView.permits(Kind.BROKER).isEmpty()
+                && fleet.latestView.permits(Kind.SEARCHER).isEmpty()
+                && fleet.latestView.members().values().stream().allMatch(Member::isServing);
     }
 
     private void resumeOrRollBack(Release halted) {
         boolean hasWrongVersion = halted.reason().contains(WRONG_VERSION);
         if (hasWrongVersion && !halted.rollingBack()) {
-            fleet.commit(fleet.modules.rollBack(fleet.latest));
+            fleet.commit(fleet.modules.rollBack(fleet.latestView));
             everRolledBack = true;
             return;
         }
--- a/src/test/java/reeldeal/fleet/SimulatedProcess.java
+++ b/src/test/java/reeldeal/fleet/SimulatedProcess.java
@@ -37,9 +37,10 @@
     /** Why this process exits, null while it does not. */
     String exitReason;
 
-    /** The version up to which it has applied the log; its view of the fleet follows. */
+    /** The version up to which it has applied the log. */
     long appliedVersion;
 
+    /** Its view of the fleet at that version. */
     FleetView appliedView = new FleetView(Map.of());
 
     SimulatedProcess(FleetSimulation fleet, String name) {
@@ -118,7 +119,7 @@
                         member.tick(clock());
                     } else {
                         appliedVersion = fleet.version;
-                        appliedView = fleet.latest;
+                        appliedView = fleet.latestView;
                         member.onFleetChanged(clock(), appliedView, appliedVersion, true);
                     }
                     if (fleet.extension != null) {
--- a/src/test/java/reeldeal/fleet/membership/ClockMedianTest.java
+++ b/src/test/java/reeldeal/fleet/membership/ClockMedianTest.java
@@ -12,7 +12,7 @@
     private final ClockMedian clocks = new ClockMedian();
 
     @Test
-    public void aLeaderAloneOrWithOneMemberHasItsOwnClock() {
+    public void aLeaderAloneOrWithOneMemberUsesItsOwnClock() {
         assertEquals(0, clocks.medianOffsetMs("a"));
         clocks.recordOffset("b", 600_000, 0);
         assertEquals(0, clocks.medianOffsetMs("a"));
--- a/src/test/java/reeldeal/fleet/rollout/RolloutControllerTest.java
+++ b/src/test/java/reeldeal/fleet/rollout/RolloutControllerTest.java
@@ -88,12 +88,12 @@
     @Test
     public void aMemberThatCrashedWhileItDrainedStartsOver() {
         assertEquals(
-                "release r1: a crashed during its drain and waits again",
+                "release r1: a restarted during its drain and waits again",
                 onlyReason(release(State.SERVING, Stage.DRAIN, "a0")));
     }
 
     @Test
-    public void aMemberSettlesAfterItsTime() {
+    public void aMemberSettlesAfterTheSettleTime() {
         FleetValues back =
                 new FleetValues()
                         .with(FleetView.BOOT + "a", "boot=a2 config=c2")
