--- a/src/test/java/reeldeal/fleet/BrokenRecoveryModules.java
+++ b/src/test/java/reeldeal/fleet/BrokenRecoveryModules.java
@@ -11,48 +11,54 @@
 import reeldeal.fleet.recovery.RecoveryController;
 import reeldeal.fleet.recovery.RecoveryRamp;
 
-/** The modules of the recovery, each broken in one rule; the simulation must notice every one. */
+/** Variants of the recovery modules, each with one broken rule that the simulation must detect. */
 final class BrokenRecoveryModules {
     private static final RecoveryRamp RAMP = RecoverySimulation.RAMP;
 
     private BrokenRecoveryModules() {}
 
-    /** Sets of modules by what is broken in them. */
-    static Map<String, RecoverySimulation.Parts> all() {
-        Map<String, RecoverySimulation.Parts> broken = new LinkedHashMap<>();
-        broken.put("an uncertain outage counts as none", classifier(UncertainIsNoOutage::new));
-        broken.put("an uncertain outage counts as one", classifier(UncertainIsOutage::new));
+    /** Returns the module sets by the description of their broken rule. */
+    static Map<String, RecoverySimulation.Modules> all() {
+        Map<String, RecoverySimulation.Modules> broken = new LinkedHashMap<>();
+        broken.put("an uncertain outage counts as no outage", classifier(UncertainIsNoOutage::new));
+        broken.put("an uncertain outage counts as an outage", classifier(UncertainIsOutage::new));
         broken.put(
-                "members heard before the first restart count as alive",
+                "heartbeats from before the first restart count as signs of life",
                 classifier(EarlierHeartbeatsCount::new));
-        broken.put("any two crashes are a full outage", classifier(AnyTwoCrashes::new));
+        broken.put("any two crashes count as a full outage", classifier(AnyTwoCrashes::new));
         broken.put("a late restart counts as another loss", classifier(AllLossesAreNew::new));
         broken.put(
-                "a second outage in a recovery counts as none",
+                "a second outage during a recovery is ignored",
                 classifier(OnlyFirstLossesAreNew::new));
         broken.put(
                 "an epoch's write does not expect the previous one",
                 controller(UnfencedController::new));
-        broken.put("a release is not halted", controller(ReleaseGoesOn::new));
+        broken.put("a recovery does not halt the release", controller(ReleaseGoesOn::new));
         broken.put(
                 "a recovery advances while another outage is possible",
                 controller(AdvancesWhileUncertain::new));
-        broken.put("a step is taken immediately", controller(AdvancesImmediately::new));
         broken.put(
-                "a step is taken however late answers are, and none is taken back",
+                "a recovery advances without the minimum time at a step",
+                controller(AdvancesImmediately::new));
+        broken.put(
+                "a recovery advances however late answers are, and reverts no step",
                 controller(() -> new RecoveryController(rampWithoutObjective())));
-        broken.put("no step before all members are back", controller(AwaitsAllMembers::new));
         broken.put(
-                "a broker does not await the classification of its start",
+                "a recovery does not advance before all members are back",
+                controller(AwaitsAllMembers::new));
+        broken.put(
+                "a broker does not wait until its start is classified",
                 status(AssumesClassification::new));
-        broken.put("a recovery restricts brokers that served on", status(ForgetsServing::new));
+        broken.put(
+                "a recovery restricts brokers that continued to serve",
+                status(ForgetsServing::new));
         return broken;
     }
 
     // ---- classification ----
 
-    private static RecoverySimulation.Parts classifier(Supplier<OutageClassifier> factory) {
-        return new RecoverySimulation.Parts() {
+    private static RecoverySimulation.Modules classifier(Supplier<OutageClassifier> factory) {
+        return new RecoverySimulation.Modules() {
             @Override
             OutageClassifier outageClassifier() {
                 return factory.get();
@@ -151,8 +157,8 @@
 
     // ---- steps ----
 
-    private static RecoverySimulation.Parts controller(Supplier<RecoveryController> factory) {
-        return new RecoverySimulation.Parts() {
+    private static RecoverySimulation.Modules controller(Supplier<RecoveryController> factory) {
+        return new RecoverySimulation.Modules() {
             @Override
             RecoveryController recoveryController() {
                 return factory.get();
@@ -240,8 +246,9 @@
 
     // ---- brokers ----
 
-    private static RecoverySimulation.Parts status(Function<String, BrokerRecoveryStatus> factory) {
-        return new RecoverySimulation.Parts() {
+    private static RecoverySimulation.Modules status(
+            Function<String, BrokerRecoveryStatus> factory) {
+        return new RecoverySimulation.Modules() {
             @Override
             BrokerRecoveryStatus recoveryStatus(String zone) {
                 return factory.apply(zone);
@@ -255,14 +262,14 @@
         }
 
         @Override
-        public boolean update(FleetView fleet, Member me, Inputs inputs) {
+        public boolean update(FleetView fleet, Member self, Inputs inputs) {
             return super.update(
                     fleet,
-                    me,
+                    self,
                     new Inputs(
                             inputs.groupHeard(),
                             inputs.servingStale(),
-                            me != null,
+                            self != null,
                             inputs.searchersListed()));
         }
     }
@@ -278,9 +285,9 @@
         }
 
         @Override
-        public boolean update(FleetView fleet, Member me, Inputs inputs) {
+        public boolean update(FleetView fleet, Member self, Inputs inputs) {
             current = new BrokerRecoveryStatus(RAMP, zone);
-            return current.update(fleet, me, inputs);
+            return current.update(fleet, self, inputs);
         }
 
         @Override
--- a/src/test/java/reeldeal/fleet/FleetCodecTest.java
+++ b/src/test/java/reeldeal/fleet/FleetCodecTest.java
@@ -7,7 +7,7 @@
 import reeldeal.fleet.FleetView.Kind;
 import reeldeal.fleet.FleetView.State;
 
-/** The stored form of the fleet's values. */
+/** Tests the encoding and decoding of the fleet's stored values. */
 public class FleetCodecTest {
 
     @Test
@@ -39,21 +39,21 @@
     }
 
     @Test
-    public void aPermitIsReadByItsKind() {
+    public void permitsAreDecodedByKind() {
         FleetView fleet = new FleetValues().permit(Kind.SEARCHER, "s", "1000").view();
         assertEquals("1000", fleet.permits(Kind.SEARCHER).get("s").processMark());
         assertFalse(fleet.permits(Kind.BROKER).containsKey("s"));
     }
 
     @Test
-    public void attributesThatAreNotKnownAreIgnored() {
+    public void unknownAttributesAreIgnored() {
         FleetView fleet =
                 new FleetValues().with(FleetView.SEARCHER + "s", "since=5 later=x other").view();
         assertEquals(5, fleet.searchers().get("s").startedAtMs());
     }
 
     @Test
-    public void aValueThatIsNoEscapeIsReadAsItIs() {
+    public void aValueWithAnInvalidEscapeIsReadUnchanged() {
         assertEquals("25%", FormAttributes.of("brokers_out=25%").get("brokers_out"));
         assertEquals("a b", FormAttributes.of("reason=a+b").get("reason"));
     }
--- a/src/test/java/reeldeal/fleet/FleetSimulation.java
+++ b/src/test/java/reeldeal/fleet/FleetSimulation.java
@@ -26,11 +26,12 @@
 import reeldeal.testing.EventDigest;
 
 /**
- * A fleet in virtual time from one seed: processes that are killed, paused, partitioned and
- * restarted, each with its own clock; leaders that change, and some that do not know it yet; writes
- * that are lost, late, duplicated or of unknown outcome; searchers whose list lags; operators who
- * halt, roll back and tighten the policy. After each commit and each action the true state is
- * checked, not what any node believes.
+ * Simulates a fleet in virtual time from one seed: processes that are killed, paused, partitioned
+ * and restarted, each with its own clock; changes of the leader, including deposed leaders that
+ * have not noticed it yet; writes that are lost, late, duplicated or of unknown outcome; searchers
+ * whose list lags; operators who halt and roll back releases and tighten the policy. After each
+ * commit and each action the invariants are checked against the true state, not against the view of
+ * any node.
  */
 final class FleetSimulation {
     static final long TERM_MS = 3_000;
@@ -38,12 +39,12 @@
     static final String FIRST_CONFIG = "v0";
     private static final String WRONG_CONFIG = "wrong";
     private static final long LIST_INTERVAL_MS = 200;
-    private static final long HEAL_AT = 40_000;
-    private static final long LATEST_END = 400_000;
+    private static final long FAULTS_END_AT = 40_000;
+    private static final long DEADLINE = 400_000;
     private static final int TRACE_LENGTH = 60;
 
-    /** The modules, intact or broken on purpose. */
-    static class Parts {
+    /** The modules under test, which subclasses replace with broken ones. */
+    static class Modules {
         DisruptionBudget disruptionBudget() {
             return new DisruptionBudget();
         }
@@ -61,7 +62,7 @@
             return new LocalMember(identity, timing, budget);
         }
 
-        /** Null for a fleet without a recovery plan, as is the next. */
+        /** Returns null, as does {@link #recoveryController}, for a fleet without recovery. */
         OutageClassifier outageClassifier() {
             return null;
         }
@@ -70,7 +71,10 @@
             return null;
         }
 
-        /** Whether a leader answers heartbeats only once a majority has confirmed that it leads. */
+        /**
+         * Returns whether a leader answers heartbeats only after a majority has confirmed that it
+         * leads.
+         */
         boolean confirmsLeadership() {
             return true;
         }
@@ -80,7 +84,7 @@
         }
     }
 
-    /** A rule that did not hold. */
+    /** Reports an invariant that was violated. */
     static final class Violation extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -89,26 +93,26 @@
         }
     }
 
-    /** What else the processes do, such as their keyed requests. */
-    interface Extra {
-        void started(SimulatedProcess process);
+    /** Additional behaviour of the processes, such as keyed requests. */
+    interface Extension {
+        void onStarted(SimulatedProcess process);
 
-        void tick(SimulatedProcess process);
+        void onTick(SimulatedProcess process);
 
-        void committed();
+        void onCommitted();
 
-        /** What a process has counted, as its heartbeats say. */
+        /** Returns the counters of a process that its heartbeats contain. */
         default RolloutHealth.Counts counts(SimulatedProcess process) {
             return new RolloutHealth.Counts(0, 0, 0, 0, 0);
         }
     }
 
-    private record Event(long at, long order, Runnable action) {}
+    private record Event(long atMs, long order, Runnable action) {}
 
     final UniformRandomProvider rng;
-    final Parts parts;
-    final boolean calm;
-    final int size;
+    final Modules modules;
+    final boolean faultFree;
+    final int brokerCount;
     final Map<String, SimulatedProcess> processes = new TreeMap<>();
     final Map<String, SimulatedSearcher> searchers = new TreeMap<>();
     final List<Map<String, ObservedSearcher>> endpointLists = new ArrayList<>();
@@ -118,49 +122,55 @@
     private final SimulatedFaults faults;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
-                    Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+                    Comparator.comparingLong(Event::atMs).thenComparingLong(Event::order));
     private final List<SimulatedProcess> allProcesses = new ArrayList<>();
     private final List<String> trace = new ArrayList<>();
     private long eventCount;
-    private int boots;
+    private int bootCount;
 
-    /** Whether one process may still start with a wrong configuration. */
-    private boolean wrongConfigDue;
+    /** Whether one process may yet start with a wrong configuration. */
+    private boolean wrongConfigPending;
 
-    /** The store, its version, and the fleet in it. */
+    /** The contents of the store. */
     final KeyValueState state = new KeyValueState();
 
+    /** The version of the last write that reached the store. */
     long version;
-    FleetView latest = new FleetView(Map.of());
+
+    /** The view of the fleet after the last commit. */
+    FleetView latestView = new FleetView(Map.of());
+
+    /** The number of committed writes. */
     int commits;
 
-    /** Of every write that was committed, with the time of the commit. */
+    /** The digest of all committed writes, each with the time of its commit. */
     final EventDigest digest = new EventDigest();
 
     long now;
-    boolean healed;
-    Extra extra;
+    boolean faultsEnded;
+    Extension extension;
 
-    /** How the release ended, "" before. */
-    String end = "";
+    /** How the release ended, "done" or "back"; "" while it has not. */
+    String outcome = "";
 
-    FleetSimulation(long seed, Parts parts) {
-        this(seed, parts, 0, 0);
+    FleetSimulation(long seed, Modules modules) {
+        this(seed, modules, 0, 0);
     }
 
     /**
-     * A fleet of so many brokers without faults, of which {@code maxOut} may be out at a time; with
-     * 0 of them there is no release. With 0 brokers their number and the faults are drawn.
+     * Creates a fleet of a given number of brokers without faults, of which {@code maxOut} may be
+     * out at a time; if that is 0, there is no release. If {@code brokers} is 0, the number of
+     * brokers and the faults are drawn at random.
      */
-    FleetSimulation(long seed, Parts parts, int brokers, int maxOut) {
-        this.parts = parts;
-        calm = brokers > 0;
+    FleetSimulation(long seed, Modules modules, int brokers, int maxOut) {
+        this.modules = modules;
+        faultFree = brokers > 0;
         rng = RandomSource.XO_SHI_RO_256_PP.create(seed);
-        Kind kind = rng.nextInt(3) == 0 && !calm ? Kind.SEARCHER : Kind.BROKER;
-        int drawnSize = rng.nextInt(40) == 0 ? 30 + rng.nextInt(31) : 5 + rng.nextInt(8);
-        size = calm ? brokers : drawnSize;
-        faults = new SimulatedFaults(this, calm ? 0 : rng.nextInt(4) * 3);
-        wrongConfigDue = !calm && kind == Kind.BROKER && rng.nextInt(4) == 0;
+        Kind kind = rng.nextInt(3) == 0 && !faultFree ? Kind.SEARCHER : Kind.BROKER;
+        int drawnBrokerCount = rng.nextInt(40) == 0 ? 30 + rng.nextInt(31) : 5 + rng.nextInt(8);
+        brokerCount = faultFree ? brokers : drawnBrokerCount;
+        faults = new SimulatedFaults(this, faultFree ? 0 : rng.nextInt(4) * 3);
+        wrongConfigPending = !faultFree && kind == Kind.BROKER && rng.nextInt(4) == 0;
         operator = new SimulatedOperator(this, kind);
         for (int i = 0; i < SEARCHERS; i++) {
             SimulatedSearcher searcher = new SimulatedSearcher(this, i);
@@ -171,93 +181,96 @@
         commit(
                 ConditionalWrite.because("policy")
                         .put(FleetView.POLICY, drawPolicy(String.valueOf(maxOut))));
-        for (int i = 0; i < size; i++) {
+        for (int i = 0; i < brokerCount; i++) {
             String name = "b" + i;
             after(rng.nextInt(300), () -> startIfDead(name));
         }
         listSearchers();
-        if (!calm || maxOut > 0) {
+        if (!faultFree || maxOut > 0) {
             after(4_000, operator::plan);
         }
-        after(5_000 + rng.nextInt(2_000), faults::next);
-        after(HEAL_AT, this::heal);
+        after(5_000 + rng.nextInt(2_000), faults::injectNext);
+        after(FAULTS_END_AT, this::endFaults);
     }
 
     private FormAttributes drawPolicy(String maxOut) {
-        String brokersOut = calm ? maxOut : rng.nextBoolean() ? "1" : "25%";
+        String brokersOut = faultFree ? maxOut : rng.nextBoolean() ? "1" : "25%";
         return new FormAttributes()
                 .with("brokers_out", brokersOut)
                 .with("searchers_out", rng.nextBoolean() ? "2" : "25%")
-                .with("apart_ms", calm ? 0 : rng.nextInt(3) * 300);
+                .with("apart_ms", faultFree ? 0 : rng.nextInt(3) * 300);
     }
 
-    // ---- time ----
+    // ---- virtual time ----
 
     void after(long delayMs, Runnable action) {
         events.add(new Event(now + delayMs, eventCount++, action));
     }
 
-    private void playNext() {
+    private void runNextEvent() {
         Event event = events.poll();
-        now = event.at();
+        now = event.atMs();
         event.action().run();
     }
 
-    /** Plays to the end, which must come: nothing may stay out or unfinished once all is healed. */
-    void play() {
-        while (!events.isEmpty() && end.isEmpty()) {
-            playNext();
-            check(now < LATEST_END, "no end: " + describeRelease());
+    /**
+     * Runs until the release has ended, and checks that it does: once all faults have ended, no
+     * member may stay out and the release must finish.
+     */
+    void runToEnd() {
+        while (!events.isEmpty() && outcome.isEmpty()) {
+            runNextEvent();
+            check(now < DEADLINE, "not finished at " + now + " ms: " + describeRelease());
         }
     }
 
     private String describeRelease() {
         String release =
-                latest.release() == null
+                latestView.release() == null
                         ? "no release"
-                        : latest.release() + " " + latest.steps().values();
+                        : latestView.release() + " " + latestView.steps().values();
         return release
                 + ", out "
-                + latest.permits(Kind.BROKER).keySet()
-                + latest.permits(Kind.SEARCHER).keySet();
+                + latestView.permits(Kind.BROKER).keySet()
+                + latestView.permits(Kind.SEARCHER).keySet();
     }
 
-    /** Plays until a time. */
-    void playTo(long time) {
-        while (!events.isEmpty() && events.peek().at() <= time) {
-            playNext();
+    /** Runs all events up to a time. */
+    void runUntil(long time) {
+        while (!events.isEmpty() && events.peek().atMs() <= time) {
+            runNextEvent();
         }
     }
 
     boolean isReleaseDone() {
-        return latest.release() != null && latest.release().progress() == Progress.DONE;
+        return latestView.release() != null && latestView.release().progress() == Progress.DONE;
     }
 
-    // ---- draws ----
+    // ---- random values ----
 
-    /** The rate of a steady clock, 0.95 to 1.05. */
+    /** Returns the rate of a steady clock, 0.95 to 1.05. */
     double drawClockRate() {
         return 0.95 + rng.nextInt(1_000) / 10_000.0;
     }
 
-    /** How long a message takes, ms. */
+    /** Returns the delay of a message, ms. */
     long drawDelay() {
-        return rng.nextInt(25) == 0 && !calm ? rng.nextInt(2_500) : 1 + rng.nextInt(20);
+        return rng.nextInt(25) == 0 && !faultFree ? rng.nextInt(2_500) : 1 + rng.nextInt(20);
     }
 
-    /** The configuration with which a process starts; one process may take a wrong one. */
+    /** Returns the configuration with which a process starts; one process may get a wrong one. */
     String drawConfig(String name) {
-        String target = latest.get(FleetView.TARGET + name);
-        boolean isWrong = wrongConfigDue && rng.nextInt(4) == 0 && target != null;
+        String target = latestView.get(FleetView.TARGET + name);
+        boolean isWrong = wrongConfigPending && rng.nextInt(4) == 0 && target != null;
         if (isWrong) {
-            wrongConfigDue = false;
+            wrongConfigPending = false;
             return WRONG_CONFIG;
         }
         return target == null ? FIRST_CONFIG : target;
     }
 
-    int nextBoot() {
-        return ++boots;
+    int nextBootNumber() {
+        return ++bootCount;
     }
 
     // ---- checks and trace ----
@@ -268,23 +281,23 @@
         }
     }
 
-    void note(String line) {
+    void addToTrace(String line) {
         trace.add(now + " " + line);
     }
 
-    /** The last events. */
+    /** Returns the last lines of the trace. */
     List<String> trace() {
         return trace.subList(Math.max(0, trace.size() - TRACE_LENGTH), trace.size());
     }
 
     // ---- processes and searchers ----
 
-    /** Every process that there ever was, the oldest first. */
-    List<SimulatedProcess> processesEver() {
+    /** Returns all processes that were ever started, the oldest first. */
+    List<SimulatedProcess> allProcesses() {
         return allProcesses;
     }
 
-    /** Starts a new process where none of that name lives. */
+    /** Starts a new process of a broker if the broker has no live process. */
     void startIfDead(String name) {
         SimulatedProcess current = processes.get(name);
         if (current == null || !current.alive) {
@@ -303,7 +316,7 @@
         after(LIST_INTERVAL_MS, this::listSearchers);
     }
 
-    /** The searchers' capacity, of 1 for all warm. */
+    /** Returns the average capacity of the searchers, 1 if all are warm. */
     double capacity(long warmUpMs, double coldCapacity) {
         return searchers.values().stream()
                 .mapToDouble(searcher -> searcher.capacity(warmUpMs, coldCapacity))
@@ -312,26 +325,33 @@
     }
 
     /**
-     * Power is lost, of a zone or, where that is null, of all. Processes restart one after another,
-     * one of {@code neverOneOf} of them never unless that is 0; so do searchers, without a warm-up.
+     * Simulates a power outage of a zone, or of everything if the zone is null. The killed
+     * processes restart one after another, except that each stays down with a probability of one in
+     * {@code staysDownOneIn} (never if that is 0). In an outage of everything the searchers restart
+     * too.
      */
-    List<SimulatedProcess> losePower(String zone, long restartWithinMs, int neverOneOf) {
-        List<SimulatedProcess> lost = new ArrayList<>();
-        // Sometimes one broker has a battery.
-        String spared = zone == null && rng.nextInt(3) == 0 ? "b0" : "";
+    List<SimulatedProcess> cutPower(String zone, long restartWithinMs, int staysDownOneIn) {
+        List<SimulatedProcess> killed = new ArrayList<>();
+        // In some full outages one broker keeps running on a battery.
+        String batteryBacked = zone == null && rng.nextInt(3) == 0 ? "b0" : "";
         for (SimulatedProcess process : List.copyOf(processes.values())) {
-            boolean inZone = zone == null || process.self.zone().equals(zone);
-            if (process.alive && !process.name.equals(spared) && inZone) {
+            boolean inZone = zone == null || process.member.zone().equals(zone);
+            if (process.alive && !process.name.equals(batteryBacked) && inZone) {
                 process.kill();
-                lost.add(process);
-                if (neverOneOf == 0 || rng.nextInt(neverOneOf) > 0) {
+                killed.add(process);
+                if (staysDownOneIn == 0 || rng.nextInt(staysDownOneIn) > 0) {
                     after(
                             200 + rng.nextInt((int) restartWithinMs),
                             () -> startIfDead(process.name));
                 }
             }
         }
-        note("power is lost: " + (zone == null ? "all" : zone) + ", " + lost.size() + " processes");
+        addToTrace(
+                "power outage of "
+                        + (zone == null ? "everything" : "zone " + zone)
+                        + ", "
+                        + killed.size()
+                        + " processes");
         if (zone == null) {
             searchers
                     .values()
@@ -339,34 +359,38 @@
                             searcher -> searcher.restart(500 + rng.nextInt((int) restartWithinMs)));
             election.elect();
         }
-        return lost;
+        return killed;
     }
 
-    /** Ends all faults; the operators then see to the end of the release. */
-    private void heal() {
-        healed = true;
+    /** Ends all faults; the operator then brings the release to its end. */
+    private void endFaults() {
+        faultsEnded = true;
         for (SimulatedProcess process : processes.values()) {
             process.paused = false;
-            process.cut = false;
+            process.partitioned = false;
         }
-        election.heal();
+        election.endPartitions();
         after(8_000, operator::finish);
     }
 
     // ---- the store ----
 
-    /** A write on its way; {@code ended} is told whether it is known to be committed. */
-    void submit(ConditionalWrite write, boolean cut, Consumer<Boolean> ended) {
-        submit(write, cut, () -> true, ended);
+    /**
+     * Submits a write; {@code onEnd} receives false if the write was lost or its outcome is
+     * unknown.
+     */
+    void submit(ConditionalWrite write, boolean partitioned, Consumer<Boolean> onEnd) {
+        submit(write, partitioned, () -> true, onEnd);
     }
 
-    /** A leader's write is in the log before the next leader begins, or never. */
+    /** Submits a write of a leader, which is committed before the next leader begins, or never. */
     void submit(
             ConditionalWrite write,
-            boolean cut,
+            boolean partitioned,
             BooleanSupplier isStillPossible,
-            Consumer<Boolean> ended) {
-        boolean isLost = cut || !election.hasLeader() || (rng.nextInt(25) == 0 && !calm);
+            Consumer<Boolean> onEnd) {
+        boolean isLost =
+                partitioned || !election.hasLeader() || (rng.nextInt(25) == 0 && !faultFree);
         int copies = isLost ? 0 : rng.nextInt(20) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             after(
@@ -377,11 +401,11 @@
                         }
                     });
         }
-        boolean isKnown = copies > 0 && (rng.nextInt(15) > 0 || calm);
-        after(isKnown ? 30 : 1_500, () -> ended.accept(isKnown));
+        boolean isOutcomeKnown = copies > 0 && (rng.nextInt(15) > 0 || faultFree);
+        after(isOutcomeKnown ? 30 : 1_500, () -> onEnd.accept(isOutcomeKnown));
     }
 
-    /** Applies a write where its expectations hold, and checks what it has changed. */
+    /** Applies a write if its preconditions hold, and checks the invariants on its changes. */
     void commit(ConditionalWrite write) {
         if (!apply(write)) {
             return;
@@ -395,13 +419,13 @@
                         + new TreeMap<>(write.expectedVersions())
                         + " "
                         + new TreeMap<>(write.changes()));
-        note(write.reason());
-        FleetView before = latest;
-        latest = readFleet();
-        invariants.checkCommit(before, latest);
+        addToTrace(write.reason());
+        FleetView before = latestView;
+        latestView = readFleet();
+        invariants.checkCommit(before, latestView);
         operator.restartSearchers(before);
-        if (extra != null) {
-            extra.committed();
+        if (extension != null) {
+            extension.onCommitted();
         }
     }
 
--- a/src/test/java/reeldeal/fleet/FleetSimulationCommand.java
+++ b/src/test/java/reeldeal/fleet/FleetSimulationCommand.java
@@ -4,9 +4,10 @@
 import java.util.Map;
 
 /**
- * The fleet's simulation by hand: {@code run FROM TO} plays seeds, {@code broken MAX} prints after
- * how many seeds each broken rule is found, {@code trace SEED RULE} prints the last events of a
- * seed with the broken rules whose names contain RULE, {@code figures} prints commits and times.
+ * Runs the fleet simulation from the command line: {@code run FROM TO} runs a range of seeds,
+ * {@code broken MAX} prints the first seed that detects each broken rule, {@code trace SEED RULE}
+ * prints the last events of a seed with the broken rules whose names contain RULE, and {@code
+ * figures} prints numbers of commits and release times.
  */
 final class FleetSimulationCommand {
     private FleetSimulationCommand() {}
@@ -17,53 +18,56 @@
             case "trace" -> trace(Long.parseLong(args[1]), args[2]);
             case "figures" -> figures();
             case "broken" ->
-                    SeededRuns.table(
+                    SeededRuns.printTable(
                             BrokenFleetModules.all(),
-                            parts -> seed -> play(seed, parts),
+                            modules -> seed -> runSeed(seed, modules),
                             Integer.parseInt(args[1]));
             default -> {
                 long from = System.nanoTime();
                 Map<String, Integer> outcomes =
-                        playIntact(Long.parseLong(args[1]), Long.parseLong(args[2]));
+                        runIntact(Long.parseLong(args[1]), Long.parseLong(args[2]));
                 System.out.println(
                         outcomes + " in " + (System.nanoTime() - from) / 1_000_000 + " ms");
             }
         }
     }
 
-    /** Plays one seed to its end. */
-    static FleetSimulation play(long seed, FleetSimulation.Parts parts) {
-        FleetSimulation simulation = new FleetSimulation(seed, parts);
-        simulation.play();
+    /** Runs one seed to its end. */
+    static FleetSimulation runSeed(long seed, FleetSimulation.Modules modules) {
+        FleetSimulation simulation = new FleetSimulation(seed, modules);
+        simulation.runToEnd();
         return simulation;
     }
 
-    /** Plays seeds with intact modules, which all have to hold; how many releases ended how. */
-    static Map<String, Integer> playIntact(long from, long to) {
+    /**
+     * Runs seeds with intact modules, for which all invariants must hold; returns the number of
+     * releases by outcome.
+     */
+    static Map<String, Integer> runIntact(long from, long to) {
         Map<String, Integer> outcomes = new HashMap<>();
-        SeededRuns.hold(
+        SeededRuns.requireAllToHold(
                 from,
                 to,
-                seed -> new FleetSimulation(seed, new FleetSimulation.Parts()),
-                FleetSimulation::play,
+                seed -> new FleetSimulation(seed, new FleetSimulation.Modules()),
+                FleetSimulation::runToEnd,
                 FleetSimulation::trace,
-                simulation -> outcomes.merge(simulation.end, 1, Integer::sum));
+                simulation -> outcomes.merge(simulation.outcome, 1, Integer::sum));
         return outcomes;
     }
 
     private static void trace(long seed, String rule) {
         BrokenFleetModules.all()
                 .forEach(
-                        (name, parts) -> {
+                        (name, modules) -> {
                             if (name.contains(rule)) {
-                                trace(new FleetSimulation(seed, parts));
+                                trace(new FleetSimulation(seed, modules));
                             }
                         });
     }
 
     private static void trace(FleetSimulation simulation) {
         try {
-            simulation.play();
+            simulation.runToEnd();
         } catch (FleetSimulation.Violation e) {
             System.out.println(e.getMessage() + "\n" + String.join("\n", simulation.trace()));
         }
@@ -71,10 +75,11 @@
 
     private static void figures() {
         for (int members : new int[] {10, 100, 300}) {
-            FleetSimulation idle = new FleetSimulation(1, new FleetSimulation.Parts(), members, 0);
-            idle.playTo(30_000);
+            FleetSimulation idle =
+                    new FleetSimulation(1, new FleetSimulation.Modules(), members, 0);
+            idle.runUntil(30_000);
             int before = idle.commits;
-            idle.playTo(90_000);
+            idle.runUntil(90_000);
             System.out.println(
                     members
                             + " idle members: "
@@ -92,16 +97,16 @@
 
     private static void releaseTime(int members, int maxOut) {
         FleetSimulation simulation =
-                new FleetSimulation(1, new FleetSimulation.Parts(), members, maxOut);
+                new FleetSimulation(1, new FleetSimulation.Modules(), members, maxOut);
         while (!simulation.isReleaseDone()) {
-            simulation.playTo(simulation.now + 100);
+            simulation.runUntil(simulation.now + 100);
         }
         System.out.println(
                 "release of "
                         + members
-                        + " with "
+                        + " members with at most "
                         + maxOut
-                        + " out at most: "
+                        + " out: "
                         + (simulation.now - simulation.operator.startedAt)
                         + " ms");
     }
--- a/src/test/java/reeldeal/fleet/RecoverySimulation.java
+++ b/src/test/java/reeldeal/fleet/RecoverySimulation.java
@@ -15,23 +15,27 @@
 import reeldeal.fleet.rollout.RolloutHealth;
 
 /**
- * Power outages in the fleet's simulation, of everything and of a zone, one after another, with all
- * its other faults. Checked against what was truly lost: an epoch for each outage and none without,
- * each step once and in order, no broker that restarted in an outage serves all before the last
- * step, no broker that served on is restricted, all serve in bounded time, releases halt.
+ * Simulates successive power outages of everything or of a zone, in addition to the other faults of
+ * the fleet simulation. Checked against the true losses: each outage begins a recovery epoch and
+ * nothing else does; the steps are taken once and in order; no broker that restarted in an outage
+ * serves without restriction before the last step; no broker that continued to serve is restricted;
+ * all brokers serve without restriction in bounded time; releases are halted.
  */
-final class RecoverySimulation implements FleetSimulation.Extra {
+final class RecoverySimulation implements FleetSimulation.Extension {
     static final RecoveryRamp RAMP = RecoveryRamp.DEFAULT;
     private static final long WARM_UP_MS = 15_000;
     private static final double COLD_CAPACITY = 0.2;
 
-    /** Just before brokers that stay down are started by hand; all faults are healed by then. */
+    /**
+     * The time just before the operator starts the brokers that stay down; all other faults have
+     * ended by then.
+     */
     private static final long BEFORE_MANUAL_STARTS = 47_900;
 
-    private static final long END = 130_000;
+    private static final long END_AT = 130_000;
 
-    /** The modules, intact or broken on purpose. */
-    static class Parts extends FleetSimulation.Parts {
+    /** The modules under test, which subclasses replace with broken ones. */
+    static class Modules extends FleetSimulation.Modules {
         @Override
         OutageClassifier outageClassifier() {
             return new OutageClassifier(RAMP);
@@ -47,23 +51,23 @@
         }
     }
 
-    /** What one process has counted. */
+    /** The request counters of one process. */
     private static final class RequestCounts {
         long requests;
         long late;
     }
 
     final FleetSimulation fleet;
-    private final Parts parts;
+    private final Modules modules;
     private final Map<SimulatedProcess, BrokerRecoveryStatus> statuses = new HashMap<>();
     private final Map<SimulatedProcess, RequestCounts> counts = new HashMap<>();
     private final Map<String, Long> outageBeforeStart = new HashMap<>();
     private final Map<SimulatedProcess, Long> startedAfterOutage = new HashMap<>();
     private final Map<String, Long> lastLostAt = new HashMap<>();
-    private final Set<SimulatedProcess> servedAll = new HashSet<>();
+    private final Set<SimulatedProcess> servedUnrestricted = new HashSet<>();
     private Epoch epoch = Epoch.of(new FleetView(Map.of()));
-    private long stepAt;
-    private long epochAt;
+    private long stepBeganAt;
+    private long epochBeganAt;
     private long overloadedSince = -1;
     private long fullOutageAt = -1;
     private boolean fullOutageExpected;
@@ -72,67 +76,67 @@
     private boolean zoneOutageExpected;
 
     int epochs;
-    int stepsTakenBack;
+    int stepsReverted;
     long longestRecoveryMs;
 
-    RecoverySimulation(long seed, Parts parts) {
-        this.parts = parts;
-        fleet = new FleetSimulation(seed, parts);
-        fleet.extra = this;
-        long first = 14_000L + fleet.rng.nextInt(12_000);
-        fleet.after(first, () -> losePower(null));
+    RecoverySimulation(long seed, Modules modules) {
+        this.modules = modules;
+        fleet = new FleetSimulation(seed, modules);
+        fleet.extension = this;
+        long firstOutageAt = 14_000L + fleet.rng.nextInt(12_000);
+        fleet.after(firstOutageAt, () -> cutPower(null));
         if (fleet.rng.nextInt(2) == 0) {
             fleet.after(
-                    first + 1_500 + fleet.rng.nextInt(9_000),
-                    () -> losePower(fleet.rng.nextInt(3) == 0 ? "a" : null));
+                    firstOutageAt + 1_500 + fleet.rng.nextInt(9_000),
+                    () -> cutPower(fleet.rng.nextInt(3) == 0 ? "a" : null));
         }
     }
 
-    /** Plays to the end. */
-    RecoverySimulation play() {
-        fleet.playTo(BEFORE_MANUAL_STARTS);
+    /** Runs to the end, and checks that all recoveries are complete and all brokers serve. */
+    RecoverySimulation runToEnd() {
+        fleet.runUntil(BEFORE_MANUAL_STARTS);
         fleet.check(
-                epoch.ended() || epochAt > 38_000 || epoch.step() > 1,
-                "no step before all are back: " + epoch);
-        fleet.playTo(END);
-        fleet.check(epoch.ended(), "never ended: " + epoch);
+                epoch.ended() || epochBeganAt > 38_000 || epoch.step() > 1,
+                "the recovery did not advance before all brokers were back: " + epoch);
+        fleet.runUntil(END_AT);
+        fleet.check(epoch.ended(), "the recovery has not ended at " + END_AT + " ms: " + epoch);
         fleet.check(
-                epochAt >= fullOutageAt || !fullOutageExpected,
-                "everything was lost at " + fullOutageAt + ", and no epoch begun since: " + epoch);
+                epochBeganAt >= fullOutageAt || !fullOutageExpected,
+                "full outage at " + fullOutageAt + ", but no epoch has begun since: " + epoch);
         fleet.check(
-                epochAt >= zoneOutageAt || !zoneOutageExpected,
-                "a zone was lost at " + zoneOutageAt + ", and no epoch begun since: " + epoch);
+                epochBeganAt >= zoneOutageAt || !zoneOutageExpected,
+                "zone outage at " + zoneOutageAt + ", but no epoch has begun since: " + epoch);
         fleet.processes.values().stream()
                 .filter(process -> process.alive && process.serving)
-                .filter(process -> !process.paused && !process.cut)
-                .forEach(this::checkServesAll);
+                .filter(process -> !process.paused && !process.partitioned)
+                .forEach(this::checkServesUnrestricted);
         return this;
     }
 
-    private void checkServesAll(SimulatedProcess process) {
+    private void checkServesUnrestricted(SimulatedProcess process) {
         BrokerRecoveryStatus status = statuses.get(process);
         fleet.check(
                 status.admittedShare() == 1,
-                process.boot + " does not serve all: " + status.describe());
+                process.boot + " still restricts its load: " + status.describe());
     }
 
     // ---- outages ----
 
     private List<Member> membersOf(String zone) {
-        return fleet.latest.members().values().stream()
+        return fleet.latestView.members().values().stream()
                 .filter(member -> zone == null || member.zone().equals(zone))
                 .filter(member -> member.state() != State.GONE)
                 .toList();
     }
 
-    /** Power is lost, of a zone or, where that is null, of all. */
-    private void losePower(String zone) {
+    /** Simulates a power outage of a zone, or of everything if the zone is null. */
+    private void cutPower(String zone) {
         long restartWithinMs = 1L + fleet.rng.nextInt(6_000);
-        // A member between two processes in the log, as after another outage just before, is not
-        // seen to be lost again.
+        // A member whose new process has not registered yet, for example just after another
+        // outage, is not detected as lost again.
         boolean allPresent = membersOf(zone).stream().allMatch(this::isPresent);
-        int neverOneOf = fleet.rng.nextInt(3) == 0 ? 6 : 0;
-        for (SimulatedProcess process : fleet.losePower(zone, restartWithinMs, neverOneOf)) {
+        int staysDownOneIn = fleet.rng.nextInt(3) == 0 ? 6 : 0;
+        for (SimulatedProcess process : fleet.cutPower(zone, restartWithinMs, staysDownOneIn)) {
             outageBeforeStart.put(process.name, fleet.now);
             lastLostAt.put(process.name, fleet.now);
         }
@@ -157,7 +161,9 @@
         return member.hasLease() && process != null && process.boot.equals(member.boot());
     }
 
-    /** Whether so many were lost that it counts as a full outage, whoever stays down. */
+    /**
+     * Returns whether enough members were lost for a full outage, including members that stay down.
+     */
     private boolean isFullOutage() {
         List<Member> known = membersOf(null);
         long lost =
@@ -165,57 +171,66 @@
                         .filter(member -> lastLostAt.containsKey(member.name()))
                         .filter(member -> lostAt(member) >= fullOutageAt)
                         .count();
-        // One may have been between two of its processes, unseen by the log.
+        // One member may have been between two of its processes, which the log does not show.
         return known.size() >= 2 && lost - 1 > RAMP.outageShare() * known.size();
     }
 
     // ---- processes ----
 
     @Override
-    public void started(SimulatedProcess process) {
-        statuses.put(process, parts.recoveryStatus(process.self.zone()));
+    public void onStarted(SimulatedProcess process) {
+        statuses.put(process, modules.recoveryStatus(process.member.zone()));
         counts.put(process, new RequestCounts());
         startedAfterOutage.put(process, outageBeforeStart.getOrDefault(process.name, -1L));
         outageBeforeStart.remove(process.name);
     }
 
     @Override
-    public void tick(SimulatedProcess process) {
+    public void onTick(SimulatedProcess process) {
         BrokerRecoveryStatus status = statuses.get(process);
         if (status == null || !process.serving) {
             return;
         }
         update(process, status);
-        if (status.stage() == BrokerRecoveryStatus.Stage.SERVING && servedAll.add(process)) {
-            checkMayServeAll(process);
+        if (status.stage() == BrokerRecoveryStatus.Stage.SERVING
+                && servedUnrestricted.add(process)) {
+            checkMayServeUnrestricted(process);
         }
         fleet.check(
-                !servedAll.contains(process) || status.admittedShare() == 1,
-                process.boot + " served all and is at " + status.admittedShare());
+                !servedUnrestricted.contains(process) || status.admittedShare() == 1,
+                process.boot
+                        + " served without restriction before, and now admits "
+                        + status.admittedShare());
         countRequests(process, status.admittedShare());
     }
 
     private void update(SimulatedProcess process, BrokerRecoveryStatus status) {
-        Member member = process.own.members().get(process.name);
+        Member member = process.appliedView.members().get(process.name);
         boolean isRegistered = member != null && member.boot().equals(process.boot);
         double previousShare = status.admittedShare();
         status.update(
-                process.own,
+                process.appliedView,
                 isRegistered ? member : null,
                 new BrokerRecoveryStatus.Inputs(
-                        !process.own.members().isEmpty(), false, process.judged, true));
+                        !process.appliedView.members().isEmpty(),
+                        false,
+                        process.startClassified,
+                        true));
         if (status.admittedShare() != previousShare) {
             fleet.digest.add(fleet.now + " " + process.boot + " admits " + status.admittedShare());
         }
     }
 
-    /** A process that restarted in a full outage serves all only after that recovery. */
-    private void checkMayServeAll(SimulatedProcess process) {
+    /**
+     * Checks that a process that restarted in a full outage serves without restriction only after
+     * the recovery from it.
+     */
+    private void checkMayServeUnrestricted(SimulatedProcess process) {
         boolean restarted = fullOutageAt >= 0 && startedAfterOutage.get(process) >= fullOutageAt;
-        boolean recovered = epoch.ended() && epoch.number() > 0 && stepAt >= fullOutageAt;
+        boolean recovered = epoch.ended() && epoch.number() > 0 && stepBeganAt >= fullOutageAt;
         fleet.check(
                 !restarted || recovered || !allWerePresent || !isFullOutage(),
-                process.boot + " served all in the middle of a recovery: " + epoch);
+                process.boot + " serves without restriction during a recovery: " + epoch);
     }
 
     private void countRequests(SimulatedProcess process, double share) {
@@ -236,7 +251,7 @@
         checkOverload(admitted, capacity);
     }
 
-    /** A step that admits more than the searchers can serve has to be taken back. */
+    /** Checks that a step that admits more than the searchers can serve is reverted. */
     private void checkOverload(double admitted, double capacity) {
         boolean isOverloaded = !epoch.ended() && epoch.step() > 2 && admitted > capacity * 1.8;
         if (!isOverloaded) {
@@ -246,7 +261,12 @@
         }
         fleet.check(
                 overloadedSince < 0 || fleet.now - overloadedSince < 6_000,
-                "step " + epoch.step() + " was not taken back: " + admitted + " of " + capacity);
+                "step "
+                        + epoch.step()
+                        + " was not reverted: admitted "
+                        + admitted
+                        + " with capacity "
+                        + capacity);
     }
 
     @Override
@@ -258,62 +278,69 @@
     // ---- epochs ----
 
     @Override
-    public void committed() {
-        Epoch next = Epoch.of(fleet.latest);
+    public void onCommitted() {
+        Epoch next = Epoch.of(fleet.latestView);
         if (next.version() == epoch.version()) {
             return;
         }
         if (next.number() != epoch.number()) {
             epochs++;
             checkNewEpoch(next);
-            epochAt = fleet.now;
+            epochBeganAt = fleet.now;
         } else if (!next.ended() && next.step() != epoch.step()) {
-            stepsTakenBack += next.step() < epoch.step() ? 1 : 0;
+            stepsReverted += next.step() < epoch.step() ? 1 : 0;
             checkStep(next);
         } else if (next.ended()) {
-            fleet.check(epoch.step() == RAMP.steps() && !epoch.ended(), "ended from " + epoch);
+            fleet.check(
+                    epoch.step() == RAMP.steps() && !epoch.ended(),
+                    "the epoch ended before its last step: " + epoch);
             longestRecoveryMs =
                     Math.max(longestRecoveryMs, fullOutageAt < 0 ? 0 : fleet.now - fullOutageAt);
         }
-        stepAt = fleet.now;
+        stepBeganAt = fleet.now;
         epoch = next;
     }
 
     private void checkStep(Epoch next) {
         fleet.check(
                 Math.abs(next.step() - epoch.step()) == 1,
-                "from step " + epoch.step() + " to " + next.step());
+                "expected adjacent steps, found " + epoch.step() + " and " + next.step());
         fleet.check(
-                fleet.now - stepAt >= RAMP.dwellMs() * 0.85,
-                "step " + epoch.step() + " stood for " + (fleet.now - stepAt) + " ms");
+                fleet.now - stepBeganAt >= RAMP.dwellMs() * 0.85,
+                "step " + epoch.step() + " lasted only " + (fleet.now - stepBeganAt) + " ms");
     }
 
     private void checkNewEpoch(Epoch next) {
         fleet.check(
                 next.number() == epoch.number() + 1 && next.step() == 1 && !next.ended(),
-                "epoch " + epoch + " then " + next);
-        boolean isFleet = next.kind() == Epoch.Kind.FLEET;
-        long members = membersOf(isFleet ? null : next.zone()).size();
+                "epoch " + epoch + " is followed by " + next);
+        boolean isFleetEpoch = next.kind() == Epoch.Kind.FLEET;
+        long members = membersOf(isFleetEpoch ? null : next.zone()).size();
         long earliest = fleet.now - 30_000 - 12_000;
         long lost =
-                fleet.processesEver().stream()
+                fleet.allProcesses().stream()
                         .filter(process -> !process.alive && process.diedAt >= earliest)
-                        .filter(process -> isFleet || process.self.zone().equals(next.zone()))
+                        .filter(
+                                process ->
+                                        isFleetEpoch || process.member.zone().equals(next.zone()))
                         .map(process -> process.name)
                         .distinct()
                         .count();
         fleet.check(
-                lost * 2 > members, "epoch " + next + " with " + lost + " of " + members + " lost");
+                lost * 2 > members,
+                "epoch " + next + " with only " + lost + " of " + members + " members lost");
         fleet.check(
-                fleet.latest.release() == null || !fleet.latest.release().isRunning(),
-                "a release runs on into epoch " + next);
+                fleet.latestView.release() == null || !fleet.latestView.release().isRunning(),
+                "a release still runs in epoch " + next);
         boolean lostAgain =
                 lost > 0
-                        && fleet.processesEver().stream()
+                        && fleet.allProcesses().stream()
                                 .anyMatch(
                                         process ->
                                                 !process.alive
-                                                        && process.diedAt >= epochAt - 4_000);
-        fleet.check(epoch.ended() || lostAgain, "a second epoch without a second outage: " + next);
+                                                        && process.diedAt >= epochBeganAt - 4_000);
+        fleet.check(
+                epoch.ended() || lostAgain,
+                "new epoch during a recovery, without another outage: " + next);
     }
 }
--- a/src/test/java/reeldeal/fleet/SeededRuns.java
+++ b/src/test/java/reeldeal/fleet/SeededRuns.java
@@ -9,27 +9,30 @@
 import java.util.stream.LongStream;
 import reeldeal.fleet.FleetSimulation.Violation;
 
-/** Plays simulations by their seeds, some of them in parallel, each with state of its own. */
+/**
+ * Runs simulations for ranges of seeds, in parallel batches; no state is shared between
+ * simulations.
+ */
 final class SeededRuns {
     private static final int BATCH = 16;
 
-    /** A seed with which a rule does not hold, and which. */
+    /** A seed for which a rule does not hold, and the rule. */
     record Finding(long seed, String rule) {}
 
     private SeededRuns() {}
 
-    /** The first seed with which a rule does not hold; null where all hold. */
-    static Finding find(LongFunction<?> play, int maxSeed) {
-        return find(play, 1, maxSeed);
+    /** Returns the first seed for which a rule does not hold, or null if all rules hold. */
+    static Finding find(LongFunction<?> run, int maxSeed) {
+        return find(run, 1, maxSeed);
     }
 
-    /** The same from another seed than the first. */
-    static Finding find(LongFunction<?> play, int firstSeed, int maxSeed) {
+    /** Returns the first seed from {@code firstSeed} on for which a rule does not hold, or null. */
+    static Finding find(LongFunction<?> run, int firstSeed, int maxSeed) {
         for (long seed = firstSeed; seed <= maxSeed; seed += BATCH) {
             Finding finding =
                     LongStream.range(seed, Math.min(seed + BATCH, maxSeed + 1L))
                             .parallel()
-                            .mapToObj(candidate -> playOne(play, candidate))
+                            .mapToObj(candidate -> runSeed(run, candidate))
                             .filter(Objects::nonNull)
                             .findFirst()
                             .orElse(null);
@@ -40,36 +43,36 @@
         return null;
     }
 
-    private static Finding playOne(LongFunction<?> play, long seed) {
+    private static Finding runSeed(LongFunction<?> run, long seed) {
         try {
-            Object unused = play.apply(seed);
+            Object unused = run.apply(seed);
             return null;
         } catch (Violation e) {
             return new Finding(seed, e.getMessage());
         }
     }
 
-    /** Plays seeds with which all rules have to hold. */
-    static <S> void hold(
+    /** Runs a range of seeds, and fails with a trace if a rule does not hold for one of them. */
+    static <S> void requireAllToHold(
             long from,
             long to,
             LongFunction<S> create,
-            Consumer<S> play,
+            Consumer<S> run,
             Function<S, List<String>> trace,
             Consumer<S> collect) {
         for (long seed = from; seed <= to; seed += BATCH) {
             LongStream.range(seed, Math.min(seed + BATCH, to + 1))
                     .parallel()
-                    .mapToObj(each -> playToEnd(each, create.apply(each), play, trace))
+                    .mapToObj(eachSeed -> runOrFail(eachSeed, create.apply(eachSeed), run, trace))
                     .toList()
                     .forEach(collect);
         }
     }
 
-    private static <S> S playToEnd(
-            long seed, S simulation, Consumer<S> play, Function<S, List<String>> trace) {
+    private static <S> S runOrFail(
+            long seed, S simulation, Consumer<S> run, Function<S, List<String>> trace) {
         try {
-            play.accept(simulation);
+            run.accept(simulation);
             return simulation;
         } catch (RuntimeException e) {
             String lastEvents = String.join("\n", trace.apply(simulation));
@@ -77,11 +80,12 @@
         }
     }
 
-    /** Prints after how many seeds each broken rule is found, as rows of a table. */
-    static <P> void table(Map<String, P> broken, Function<P, LongFunction<?>> play, int maxSeed) {
+    /** Prints the first seed that detects each broken rule, as rows of a Markdown table. */
+    static <P> void printTable(
+            Map<String, P> broken, Function<P, LongFunction<?>> run, int maxSeed) {
         broken.forEach(
-                (rule, parts) -> {
-                    Finding finding = find(play.apply(parts), maxSeed);
+                (rule, modules) -> {
+                    Finding finding = find(run.apply(modules), maxSeed);
                     String found =
                             finding == null
                                     ? "not found |"
--- a/src/test/java/reeldeal/fleet/SimulatedElection.java
+++ b/src/test/java/reeldeal/fleet/SimulatedElection.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Who truly leads the store, and who believes so. */
+/**
+ * Simulates the election of the store's leader, including nodes that act as leader after they were
+ * deposed.
+ */
 final class SimulatedElection {
     private static final int NODES = 3;
     private static final int NOBODY = -1;
@@ -34,53 +37,58 @@
         return leader == id;
     }
 
-    /** When the present leader was elected, which identifies its term. */
+    /** Returns when the current leader was elected, which identifies its term. */
     long term() {
         return leaderSince;
     }
 
-    /** A node that believes to lead, most often the true leader; null where there is none. */
+    /** Returns a node that acts as leader, usually the true leader; null if there is none. */
     SimulatedLeader drawLeader() {
-        List<SimulatedLeader> believing =
-                nodes.stream().filter(SimulatedLeader::believesToLead).toList();
-        if (believing.isEmpty()) {
+        List<SimulatedLeader> actingLeaders =
+                nodes.stream().filter(SimulatedLeader::actsAsLeader).toList();
+        if (actingLeaders.isEmpty()) {
             return null;
         }
-        boolean isAny = fleet.rng.nextInt(10) == 0 || !hasLeader();
-        return isAny ? believing.get(fleet.rng.nextInt(believing.size())) : nodes.get(leader);
+        boolean drawsAny = fleet.rng.nextInt(10) == 0 || !hasLeader();
+        return drawsAny
+                ? actingLeaders.get(fleet.rng.nextInt(actingLeaders.size()))
+                : nodes.get(leader);
     }
 
-    /** The leader loses its office, and learns that later; another is elected after a while. */
+    /**
+     * Deposes the leader, which notices that only after a delay, and elects another one after a
+     * while.
+     */
     void elect() {
         if (hasLeader()) {
             SimulatedLeader former = nodes.get(leader);
-            former.partition(fleet.rng.nextBoolean());
+            former.setPartitioned(fleet.rng.nextBoolean());
             fleet.after(
                     fleet.rng.nextInt(2_500),
                     () -> {
                         if (!isLeader(former.id)) {
-                            former.end();
+                            former.endLeadership();
                         }
-                        former.partition(false);
+                        former.setPartitioned(false);
                     });
         }
         long leaderlessMs = fleet.rng.nextInt(6) == 0 ? 11_000 : fleet.rng.nextInt(1_000);
         leader = NOBODY;
-        fleet.after(leaderlessMs, () -> begin(leaderlessMs));
+        fleet.after(leaderlessMs, () -> beginTerm(leaderlessMs));
     }
 
-    private void begin(long leaderlessMs) {
+    private void beginTerm(long leaderlessMs) {
         if (!hasLeader()) {
             leader = fleet.rng.nextInt(NODES);
             leaderSince = fleet.now;
-            nodes.get(leader).begin(leaderlessMs);
-            fleet.note("leads " + leader);
+            nodes.get(leader).beginLeadership(leaderlessMs);
+            fleet.addToTrace("node " + leader + " leads");
         }
     }
 
     /** Ends all partitions. */
-    void heal() {
-        nodes.forEach(node -> node.partition(false));
+    void endPartitions() {
+        nodes.forEach(node -> node.setPartitioned(false));
         if (!hasLeader()) {
             elect();
         }
--- a/src/test/java/reeldeal/fleet/SimulatedOperator.java
+++ b/src/test/java/reeldeal/fleet/SimulatedOperator.java
@@ -9,7 +9,7 @@
 import reeldeal.fleet.FleetView.Step;
 import reeldeal.fleet.rollout.RolloutOrders;
 
-/** Operators: they plan a release, interfere with it, and see to its end. */
+/** Simulates the operator, who plans a release, interferes with it and brings it to its end. */
 final class SimulatedOperator {
     private static final String REASON = "operator";
     private static final String WRONG_VERSION = "came back with";
@@ -17,7 +17,7 @@
     private final FleetSimulation fleet;
     private final Kind kind;
     private boolean everRolledBack;
-    private int plans;
+    private int planCount;
 
     /** When the release was started. */
     long startedAt;
@@ -27,29 +27,29 @@
         this.kind = kind;
     }
 
-    /** How often a release may restart one member: there and back. */
+    /** Returns how often a release may restart one member: once, and once more in a rollback. */
     int maxRestarts() {
-        return (everRolledBack ? 2 : 1) + plans - 1;
+        return (everRolledBack ? 2 : 1) + planCount - 1;
     }
 
-    /** Plans and starts a release once all brokers and searchers are known. */
+    /** Plans and starts a release once all brokers serve and all searchers are known. */
     void plan() {
-        FleetView latest = fleet.latest;
+        FleetView latest = fleet.latestView;
         List<String> members =
                 kind == Kind.BROKER
                         ? List.copyOf(latest.members().keySet())
                         : List.copyOf(fleet.searchers.keySet());
         boolean allKnown =
                 latest.searchers().size() >= fleet.searchers.size()
-                        && (kind == Kind.SEARCHER || members.size() >= fleet.size);
+                        && (kind == Kind.SEARCHER || members.size() >= fleet.brokerCount);
         if (!allKnown || !latest.members().values().stream().allMatch(Member::isServing)) {
             fleet.after(500, this::plan);
             return;
         }
-        plans++;
+        planCount++;
         Release release =
                 new Release(
-                        "r" + plans,
+                        "r" + planCount,
                         kind,
                         "config",
                         "v1",
@@ -59,57 +59,57 @@
                         500,
                         20_000,
                         0);
-        List<Integer> waves = fleet.calm ? List.of(members.size()) : List.of(1, 2, 4);
+        List<Integer> waves = fleet.faultFree ? List.of(members.size()) : List.of(1, 2, 4);
         fleet.commit(RolloutOrders.plan(latest, release, members, waves));
         changeProgress(Progress.RUNNING);
         startedAt = fleet.now;
-        if (!fleet.calm) {
+        if (!fleet.faultFree) {
             fleet.after(500 + fleet.rng.nextInt(20_000), this::interfere);
         }
     }
 
     private void changeProgress(Progress progress) {
-        fleet.commit(RolloutOrders.changeProgress(fleet.latest, progress, REASON));
+        fleet.commit(RolloutOrders.changeProgress(fleet.latestView, progress, REASON));
     }
 
-    /** An order that is decided on what was read a moment before. */
+    /** Submits a random order that is based on an earlier view of the fleet. */
     private void interfere() {
-        Release release = fleet.latest.release();
+        Release release = fleet.latestView.release();
         if (release.progress() == Progress.DONE && release.rollingBack()) {
             return;
         }
         ConditionalWrite order = drawOrder(release);
         if (order != null) {
-            long decidedAt = fleet.latest.version(FleetView.RELEASE);
+            long decidedAt = fleet.latestView.version(FleetView.RELEASE);
             fleet.after(
                     fleet.drawDelay(),
                     () -> {
                         fleet.commit(order);
-                        everRolledBack |= fleet.latest.release().rollingBack();
-                        fleet.note("operator, release at " + decidedAt);
+                        everRolledBack |= fleet.latestView.release().rollingBack();
+                        fleet.addToTrace("operator order, based on release version " + decidedAt);
                     });
         }
-        if (!fleet.healed) {
+        if (!fleet.faultsEnded) {
             fleet.after(1_000 + fleet.rng.nextInt(8_000), this::interfere);
         }
     }
 
     private ConditionalWrite drawOrder(Release release) {
         if (!release.rollingBack() && fleet.rng.nextInt(4) == 0) {
-            return fleet.parts.rollBack(fleet.latest);
+            return fleet.modules.rollBack(fleet.latestView);
         } else if (release.isRunning()) {
             Progress progress = fleet.rng.nextBoolean() ? Progress.HALTED : Progress.PAUSED;
-            return RolloutOrders.changeProgress(fleet.latest, progress, REASON);
+            return RolloutOrders.changeProgress(fleet.latestView, progress, REASON);
         } else if (release.progress() != Progress.DONE) {
-            return RolloutOrders.changeProgress(fleet.latest, Progress.RUNNING, REASON);
+            return RolloutOrders.changeProgress(fleet.latestView, Progress.RUNNING, REASON);
         }
         return null;
     }
 
     /** Restarts the searchers whose restart the release has just ordered. */
     void restartSearchers(FleetView before) {
-        Release release = fleet.latest.release();
-        for (Step step : fleet.latest.steps().values()) {
+        Release release = fleet.latestView.release();
+        for (Step step : fleet.latestView.steps().values()) {
             Step previous = before.steps().get(step.name());
             boolean isOrdered =
                     previous != null
@@ -134,13 +134,13 @@
                 });
     }
 
-    /** Resumes what has halted, or rolls it back, until the release is done and all are back. */
+    /** Resumes or rolls back a halted release, until it is done and all members have returned. */
     void finish() {
         fleet.processes.keySet().forEach(fleet::startIfDead);
-        Release release = fleet.latest.release();
+        Release release = fleet.latestView.release();
         if (release != null && release.progress() == Progress.DONE) {
-            if (isAllBack()) {
-                fleet.end = release.rollingBack() ? "back" : "done";
+            if (haveAllReturned()) {
+                fleet.outcome = release.rollingBack() ? "back" : "done";
                 return;
             }
         } else if (release != null && !release.isRunning()) {
@@ -149,24 +149,24 @@
         fleet.after(4_000, this::finish);
     }
 
-    private boolean isAllBack() {
-        return fleet.latest.permits(Kind.BROKER).isEmpty()
-                && fleet.latest.permits(Kind.SEARCHER).isEmpty()
-                && fleet.latest.members().values().stream().allMatch(Member::isServing);
+    private boolean haveAllReturned() {
+        return fleet.latestView.permits(Kind.BROKER).isEmpty()
+                && fleet.latestView.permits(Kind.SEARCHER).isEmpty()
+                && fleet.latestView.members().values().stream().allMatch(Member::isServing);
     }
 
     private void resumeOrRollBack(Release halted) {
         boolean hasWrongVersion = halted.reason().contains(WRONG_VERSION);
         if (hasWrongVersion && !halted.rollingBack()) {
-            fleet.commit(fleet.parts.rollBack(fleet.latest));
+            fleet.commit(fleet.modules.rollBack(fleet.latestView));
             everRolledBack = true;
             return;
         }
         if (hasWrongVersion) {
-            // It is mended by hand.
-            SimulatedProcess wrong = fleet.processes.get(halted.reason().split(" ")[0]);
-            wrong.die();
-            fleet.startIfDead(wrong.name);
+            // The operator restarts the process, so that it starts with the right configuration.
+            SimulatedProcess wrongProcess = fleet.processes.get(halted.reason().split(" ")[0]);
+            wrongProcess.markDead();
+            fleet.startIfDead(wrongProcess.name);
         }
         changeProgress(Progress.RUNNING);
     }
--- a/src/test/java/reeldeal/fleet/SimulatedProcess.java
+++ b/src/test/java/reeldeal/fleet/SimulatedProcess.java
@@ -4,7 +4,7 @@
 import reeldeal.fleet.FleetView.State;
 import reeldeal.fleet.membership.LocalMember;
 
-/** A broker's process, with a steady clock of its own; it may be killed, paused or partitioned. */
+/** A broker process with its own steady clock; it can be killed, paused or partitioned. */
 final class SimulatedProcess {
     private static final long HEARTBEAT_MS = 500;
     private static final long PERMIT_TIMEOUT_MS = 2_000;
@@ -14,40 +14,44 @@
     final String name;
     final String boot;
     final String config;
-    final LocalMember self;
+    final LocalMember member;
     private final double clockRate;
     private final long clockOffset;
 
     boolean alive = true;
     long diedAt = -1;
     boolean paused;
-    boolean cut;
+    boolean partitioned;
     boolean draining;
     boolean serving;
 
-    /** Whether a leader has told it that it is certain what was lost. */
-    boolean judged;
+    /**
+     * Whether a leader has confirmed that it classified the outage before the start of this
+     * process.
+     */
+    boolean startClassified;
 
-    /** The leadership of the last answer that it had. */
-    long answeredBy = -1;
+    /** The leadership that sent the last answer this process received. */
+    long lastAnsweredLeadership = -1;
 
-    /** Why it ends, null while it does not. */
-    String exiting;
+    /** Why this process exits, null while it does not. */
+    String exitReason;
 
-    /** The version up to which it has applied the log, and the fleet at that version. */
-    long seen;
+    /** The version up to which it has applied the log. */
+    long appliedVersion;
 
-    FleetView own = new FleetView(Map.of());
+    /** Its view of the fleet at that version. */
+    FleetView appliedView = new FleetView(Map.of());
 
     SimulatedProcess(FleetSimulation fleet, String name) {
         this.fleet = fleet;
         this.name = name;
         clockRate = fleet.drawClockRate();
         clockOffset = fleet.rng.nextInt(1_000_000);
-        boot = name + "#" + fleet.nextBoot();
+        boot = name + "#" + fleet.nextBootNumber();
         config = fleet.drawConfig(name);
-        self =
-                fleet.parts.localMember(
+        member =
+                fleet.modules.localMember(
                         new LocalMember.Identity(
                                 name,
                                 boot,
@@ -57,46 +61,46 @@
                                 config),
                         new LocalMember.Timing(
                                 FleetSimulation.TERM_MS, HEARTBEAT_MS, PERMIT_TIMEOUT_MS, RETRY_MS),
-                        fleet.parts.disruptionBudget());
+                        fleet.modules.disruptionBudget());
         fleet.after(50 + fleet.rng.nextInt(400), () -> run(this::serve));
         tick();
     }
 
     private void serve() {
         serving = true;
-        if (fleet.extra != null) {
-            fleet.extra.started(this);
+        if (fleet.extension != null) {
+            fleet.extension.onStarted(this);
         }
         fleet.invariants.onServing(this);
-        self.onReady(clock());
+        member.onReady(clock());
     }
 
-    void die() {
+    void markDead() {
         alive = false;
         diedAt = fleet.now;
     }
 
-    /** Kills it; nothing of it serves any more. */
+    /** Kills the process, which then no longer serves. */
     void kill() {
-        die();
+        markDead();
         serving = false;
     }
 
-    /** Its steady clock, ms. */
+    /** Returns the time of its steady clock, ms. */
     long clock() {
         return clockOffset + (long) (fleet.now * clockRate);
     }
 
     boolean holdsLease() {
-        return self.holdsLease(clock());
+        return member.holdsLease(clock());
     }
 
-    /** Whether it drains or has drained by an order. */
-    boolean isOrderlyOut() {
-        return draining && (exiting == null || !exiting.contains("unplanned"));
+    /** Returns whether it drains or has drained by an order, including an exit with a permit. */
+    boolean isOutByOrder() {
+        return draining && (exitReason == null || !exitReason.contains("unplanned"));
     }
 
-    /** Runs an action in this process; a paused one runs it once it resumes. */
+    /** Runs an action in this process, after it resumes if it is paused. */
     void run(Runnable action) {
         if (!alive) {
             return;
@@ -111,34 +115,34 @@
     private void tick() {
         run(
                 () -> {
-                    if (cut) {
-                        self.tick(clock());
+                    if (partitioned) {
+                        member.tick(clock());
                     } else {
-                        seen = fleet.version;
-                        own = fleet.latest;
-                        self.onFleetChanged(clock(), own, seen, true);
+                        appliedVersion = fleet.version;
+                        appliedView = fleet.latestView;
+                        member.onFleetChanged(clock(), appliedView, appliedVersion, true);
                     }
-                    if (fleet.extra != null) {
-                        fleet.extra.tick(this);
+                    if (fleet.extension != null) {
+                        fleet.extension.onTick(this);
                     }
                     fleet.after(80 + fleet.rng.nextInt(40), this::tick);
                 });
     }
 
     private void executeActions() {
-        for (LocalMember.Action action : self.drainActions()) {
+        for (LocalMember.Action action : member.drainActions()) {
             if (action instanceof LocalMember.Propose propose) {
                 fleet.submit(
                         propose.write(),
-                        cut,
-                        committed -> run(() -> self.writeEnded(clock(), committed)));
+                        partitioned,
+                        committed -> run(() -> member.writeEnded(clock(), committed)));
             } else if (action instanceof LocalMember.SendHeartbeat heartbeat) {
                 send(heartbeat);
             } else if (action instanceof LocalMember.Drain) {
                 draining = true;
                 fleet.check(
                         fleet.invariants.hasReported(this, State.DRAINING),
-                        name + " drains while the log holds it for serving");
+                        name + " drains before its state in the log is DRAINING");
             } else if (action instanceof LocalMember.Serve) {
                 draining = false;
             } else if (action instanceof LocalMember.Exit exit) {
@@ -148,28 +152,28 @@
     }
 
     private void send(LocalMember.SendHeartbeat heartbeat) {
-        // A leader is drawn twice: the recorded digests depend on the number of draws.
-        if (!cut && fleet.election.drawLeader() != null) {
+        // A leader is drawn twice, because the recorded digests depend on the number of draws.
+        if (!partitioned && fleet.election.drawLeader() != null) {
             SimulatedLeader leader = fleet.election.drawLeader();
             fleet.after(fleet.drawDelay(), () -> leader.onHeartbeat(this, heartbeat));
         }
     }
 
-    /** The leader answered a heartbeat. */
+    /** Handles the leader's answer to a heartbeat. */
     void onAnswer(LocalMember.SendHeartbeat heartbeat, long leadership, boolean outageClassified) {
-        answeredBy = leadership;
-        judged |= outageClassified && heartbeat.incarnation() == self.incarnation();
-        self.heartbeatAnswered(clock(), heartbeat.incarnation(), heartbeat.sentAtMs());
+        lastAnsweredLeadership = leadership;
+        startClassified |= outageClassified && heartbeat.incarnation() == member.incarnation();
+        member.heartbeatAnswered(clock(), heartbeat.incarnation(), heartbeat.sentAtMs());
     }
 
     private void exit(String reason) {
-        exiting = reason;
+        exitReason = reason;
         if (reason.startsWith("release")) {
             fleet.invariants.onRestart(name, fleet.operator.maxRestarts());
         }
-        ConditionalWrite deregistration = self.deregistration();
+        ConditionalWrite deregistration = member.deregistration();
         if (deregistration != null && fleet.rng.nextInt(5) > 0) {
-            fleet.submit(deregistration, cut, committed -> {});
+            fleet.submit(deregistration, partitioned, committed -> {});
         }
         fleet.after(100 + fleet.rng.nextInt(800), this::kill);
         fleet.after(1_000 + fleet.rng.nextInt(2_000), () -> fleet.startIfDead(name));
--- a/src/test/java/reeldeal/fleet/TakeoverSimulation.java
+++ b/src/test/java/reeldeal/fleet/TakeoverSimulation.java
@@ -18,11 +18,12 @@
 import reeldeal.store.KeyValueState;
 
 /**
- * Keyed requests in the fleet's simulation: brokers that are killed, paused and partitioned with
- * requests in flight, clients that retry at other brokers, searchers that drop repeats of a key for
- * a while. Checked against what searchers truly ran and clients were truly answered.
+ * Simulates keyed requests in the fleet simulation: brokers that are killed, paused and partitioned
+ * with requests in flight, clients that retry at other brokers, and searchers that deduplicate
+ * repeats of a key for a while. Checked against the runs at the searchers and the answers that
+ * clients received.
  */
-final class TakeoverSimulation implements FleetSimulation.Extra {
+final class TakeoverSimulation implements FleetSimulation.Extension {
     static final TakeoverPolicy.Window WINDOW = new TakeoverPolicy.Window(5_500, 300, 400);
     static final InFlightRequests.Bounds BOUNDS = new InFlightRequests.Bounds(20, 100, 1_500, 300);
     static final long CLIENT_TIMEOUT_MS = 8_000;
@@ -30,8 +31,8 @@
     private static final int CLIENTS = 60;
     private static final int MAX_ATTEMPTS = 3;
 
-    /** The modules, intact or broken on purpose. */
-    static class Parts {
+    /** The modules under test, which subclasses replace with broken ones. */
+    static class Modules {
         TakeoverPolicy takeoverPolicy() {
             return new TakeoverPolicy();
         }
@@ -45,21 +46,21 @@
         }
     }
 
-    /** A broker's requests, its copy of the records, and its writes. */
+    /** The requests of one broker, its copy of the records, and its pending writes. */
     private final class Broker {
         private final InFlightRequests requests;
         private final GroupCommit groupCommit = new GroupCommit(16, 60_000, 2);
-        private Map<String, RequestRecord> copy = Map.of();
+        private Map<String, RequestRecord> recordsCopy = Map.of();
 
         Broker(String name) {
-            requests = parts.inFlightRequests(name, key -> copy.get(key));
+            requests = modules.inFlightRequests(name, key -> recordsCopy.get(key));
         }
 
-        /** Applies all records that have changed since the last call. */
+        /** Passes all records that have changed since the last call to the requests. */
         void applyRecords(long now) {
             Set<String> changed = new TreeSet<>();
-            Map<String, RequestRecord> before = copy;
-            copy = records;
+            Map<String, RequestRecord> before = recordsCopy;
+            recordsCopy = records;
             records.forEach(
                     (key, record) -> {
                         RequestRecord known = before.get(key);
@@ -73,19 +74,19 @@
     }
 
     final FleetSimulation fleet;
-    private final Parts parts;
+    private final Modules modules;
     private final Map<SimulatedProcess, Broker> brokers = new HashMap<>();
     private final Map<SimulatedProcess, Long> wallClockErrors = new HashMap<>();
-    private final Map<Long, String> keysOfClients = new HashMap<>();
-    private long nextClient;
+    private final Map<Long, String> keyByClient = new HashMap<>();
+    private long nextClientId;
 
-    /** What is true, whatever any broker believes. */
+    /** The committed records, which may be newer than the copies of the brokers. */
     private Map<String, RequestRecord> records = new TreeMap<>();
 
     private final Set<String> sentKeys = new TreeSet<>();
     private final Map<String, Integer> runsAtSearchers = new TreeMap<>();
     private final Map<String, Long> deduplicatedSince = new HashMap<>();
-    private final Map<String, String> answers = new TreeMap<>();
+    private final Map<String, String> answerByKey = new TreeMap<>();
 
     int answeredDone;
     int answeredUnknown;
@@ -93,10 +94,10 @@
     int claims;
     int repeatedRuns;
 
-    TakeoverSimulation(long seed, Parts parts) {
-        this.parts = parts;
-        fleet = new FleetSimulation(seed, new FleetSimulation.Parts());
-        fleet.extra = this;
+    TakeoverSimulation(long seed, Modules modules) {
+        this.modules = modules;
+        fleet = new FleetSimulation(seed, new FleetSimulation.Modules());
+        fleet.extension = this;
         for (int i = 0; i < CLIENTS; i++) {
             String key = "k" + i;
             fleet.after(
@@ -105,11 +106,16 @@
         }
     }
 
-    /** Plays to the end, and for as long as any request may be in flight. */
-    TakeoverSimulation play() {
-        fleet.play();
-        fleet.playTo(Math.max(fleet.now, 42_000) + 25_000);
-        records.values().forEach(record -> fleet.check(!record.isOpen(), "left open: " + record));
+    /** Runs to the end, and on until no request can be in flight any more. */
+    TakeoverSimulation runToEnd() {
+        fleet.runToEnd();
+        fleet.runUntil(Math.max(fleet.now, 42_000) + 25_000);
+        records.values()
+                .forEach(
+                        record ->
+                                fleet.check(
+                                        !record.isOpen(),
+                                        "the record is still open at the end: " + record));
         return this;
     }
 
@@ -122,21 +128,24 @@
 
     // ---- clients ----
 
-    /** Sends to one broker, and to another after a while, until it is answered or gives up. */
+    /**
+     * Sends a request to a random broker, and repeats that after a while until it is answered or
+     * its deadline has passed.
+     */
     private void sendAsClient(String key, long deadline) {
         List<SimulatedProcess> serving =
                 fleet.processes.values().stream()
                         .filter(process -> process.alive && process.serving)
                         .filter(brokers::containsKey)
                         .toList();
-        boolean isDone = answers.containsKey(key) && fleet.rng.nextInt(3) > 0;
+        boolean isDone = answerByKey.containsKey(key) && fleet.rng.nextInt(3) > 0;
         if (isDone || fleet.now >= deadline) {
             return;
         }
         if (!serving.isEmpty()) {
             SimulatedProcess process = serving.get(fleet.rng.nextInt(serving.size()));
-            long client = nextClient++;
-            keysOfClients.put(client, key);
+            long client = nextClientId++;
+            keyByClient.put(client, key);
             process.run(() -> submit(process, client, key, deadline));
         }
         fleet.after(1_200 + fleet.rng.nextInt(800), () -> sendAsClient(key, deadline));
@@ -163,7 +172,7 @@
             RequestRecord record = records.get(key);
             fleet.check(
                     !reply.outcome().equals("unsent") || record == null || record.isOpen(),
-                    key + " was answered unsent, and is " + record);
+                    key + " was answered as unsent, but its record is " + record);
             return; // its client retries
         }
         boolean isDone = reply.state() == RequestRecord.State.DONE;
@@ -173,7 +182,7 @@
         fleet.check(
                 records.get(key) != null && records.get(key).state() == reply.state(),
                 key + " was answered " + answer + " before it was recorded");
-        String before = answers.put(key, answer);
+        String before = answerByKey.put(key, answer);
         fleet.check(
                 before == null || before.equals(answer),
                 key + " was answered " + before + " and " + answer);
@@ -182,24 +191,24 @@
     // ---- brokers ----
 
     @Override
-    public void started(SimulatedProcess process) {
+    public void onStarted(SimulatedProcess process) {
         brokers.put(process, new Broker(process.name));
     }
 
     @Override
-    public void tick(SimulatedProcess process) {
+    public void onTick(SimulatedProcess process) {
         Broker broker = brokers.get(process);
         if (broker == null) {
             return;
         }
-        if (process.cut) {
+        if (process.partitioned) {
             broker.requests.tick(wallClock(process));
         } else {
-            Member member = process.own.members().get(process.name);
+            Member member = process.appliedView.members().get(process.name);
             boolean isRegistered = member != null && member.boot().equals(process.boot);
             broker.applyRecords(wallClock(process));
             broker.requests.onFleetChanged(
-                    wallClock(process), process.own, isRegistered ? member : null);
+                    wallClock(process), process.appliedView, isRegistered ? member : null);
         }
         performActions(process, broker);
     }
@@ -213,13 +222,13 @@
                 repeatedRuns += run.record().runs() > 1 ? 1 : 0;
                 send(process, broker.requests, run.record(), 0);
             } else if (action instanceof RequestAction.Reply reply) {
-                answer(keysOfClients.get(reply.client()), reply);
+                answer(keyByClient.get(reply.client()), reply);
             }
         }
         for (GroupCommit.Batch batch : broker.groupCommit.dueBatches()) {
             fleet.submit(
                     batch.write(),
-                    process.cut,
+                    process.partitioned,
                     committed -> process.run(() -> batchEnded(process, batch, committed)));
         }
     }
@@ -231,7 +240,7 @@
                 .forEach(key -> broker.requests.writeEnded(wallClock(process), key, committed));
     }
 
-    /** One attempt; the broker checks its lease and its copy of the record before it. */
+    /** Makes one attempt, before which the broker checks its lease and its copy of the record. */
     private void send(
             SimulatedProcess process,
             InFlightRequests requests,
@@ -241,14 +250,14 @@
         if (!requests.owns(key)) {
             return;
         }
-        if (parts.checksLease() && !process.self.holdsLease(process.clock())) {
+        if (modules.checksLease() && !process.member.holdsLease(process.clock())) {
             fleet.after(150, () -> process.run(() -> send(process, requests, record, attempt)));
             return;
         }
         TakeoverPolicy.Verdict verdict =
                 attempt == 0 && record.runs() == 1
                         ? TakeoverPolicy.Verdict.RUN
-                        : parts.takeoverPolicy().verdict(record, wallClock(process), WINDOW);
+                        : modules.takeoverPolicy().verdict(record, wallClock(process), WINDOW);
         boolean isAdmitted = attempt > 0 || fleet.rng.nextInt(12) > 0;
         if (!isAdmitted) {
             requests.runEnded(wallClock(process), key, RunOutcome.UNSENT, "unsent");
@@ -258,10 +267,11 @@
             requests.runEnded(wallClock(process), key, RunOutcome.FAILED, "failed");
             return;
         }
-        RequestRecord truth = records.get(key);
+        RequestRecord trueRecord = records.get(key);
         fleet.check(
-                truth.owner().equals(process.name) && truth.incarnation() == record.incarnation(),
-                process.boot + " sends " + key + ", which is " + truth.owner() + "'s");
+                trueRecord.owner().equals(process.name)
+                        && trueRecord.incarnation() == record.incarnation(),
+                process.boot + " sends " + key + ", which " + trueRecord.owner() + " owns");
         sentKeys.add(key);
         if (fleet.rng.nextInt(15) > 0) {
             fleet.after(1 + fleet.rng.nextInt(150), () -> runAtSearcher(process, requests, key));
@@ -280,7 +290,7 @@
             runsAtSearchers.merge(key, 1, Integer::sum);
             fleet.check(
                     runsAtSearchers.get(key) == 1,
-                    key + " ran " + runsAtSearchers.get(key) + " times");
+                    key + " ran " + runsAtSearchers.get(key) + " times, expected once");
         }
         if (fleet.rng.nextInt(8) > 0) {
             fleet.after(
@@ -299,24 +309,26 @@
     // ---- the store ----
 
     @Override
-    public void committed() {
-        Map<String, RequestRecord> fresh = new TreeMap<>();
+    public void onCommitted() {
+        Map<String, RequestRecord> current = new TreeMap<>();
         fleet.state
                 .valuesUnder(RequestRecord.ROOT)
                 .forEach(
                         (storeKey, value) -> {
                             RequestRecord record = read(storeKey, value);
-                            fresh.put(record.key(), record);
+                            current.put(record.key(), record);
                         });
         for (String key : records.keySet()) {
             fleet.check(
-                    fresh.containsKey(key) || !sentKeys.contains(key),
+                    current.containsKey(key) || !sentKeys.contains(key),
                     "the record of " + key + " was lost");
         }
-        records = fresh;
+        records = current;
     }
 
-    /** The record that is known already, or a new one, which is checked. */
+    /**
+     * Returns the record that is already known at this version, or decodes and checks the new one.
+     */
     private RequestRecord read(String storeKey, KeyValueState.Value value) {
         RequestRecord known = records.get(RequestRecord.clientKey(storeKey));
         if (known != null && known.version() == value.version()) {
@@ -336,9 +348,13 @@
         fleet.check(
                 !isFinal
                         || before.toAttributes().toString().equals(after.toAttributes().toString()),
-                after.key() + " was " + before + " and is " + after);
+                "the final record of " + after.key() + " changed from " + before + " to " + after);
         fleet.check(
                 before.firstSentAtMs() == after.firstSentAtMs(),
-                after.key() + " forgot when it began");
+                after.key()
+                        + " was first sent at "
+                        + before.firstSentAtMs()
+                        + ", but its record now has "
+                        + after.firstSentAtMs());
     }
 }
