--- a/src/main/java/reeldeal/fleet/takeover/DeduplicationWindow.java
+++ b/src/main/java/reeldeal/fleet/takeover/DeduplicationWindow.java
@@ -7,42 +7,43 @@
 import reeldeal.fleet.disruption.ObservedSearcher;
 
 /**
- * Whether searchers can be shown to drop repeats of a request. Any replica of a shard drops a
- * repeat of what another ran, so that it is enough that each replica of the request's shards is the
- * process that it was when the request began: listed, and started before.
+ * Checks whether searchers can be shown to drop repeats of a request. Any replica of a shard drops
+ * repeats of a request that another replica has run. It therefore suffices that each replica of the
+ * request's shards is still the same process as when the request was first sent: it is listed, and
+ * it started before.
  */
 public final class DeduplicationWindow {
     private DeduplicationWindow() {}
 
     /**
-     * Whether all replicas of these shards drop repeats.
+     * Returns whether all replicas of the given shards drop repeats of a request.
      *
-     * @param wantedShards the shards of the request
-     * @param known the searchers that the log knows, listed or not
-     * @param listed this node's endpoint list, null where there is none
-     * @param layout where shards are held
-     * @param firstSentAtMs when the request began, Unix ms
-     * @param errorMs the most by which the clocks of two machines may differ, ms
+     * @param requestShards the shards of the request
+     * @param knownSearchers the searchers recorded in the log, listed now or not
+     * @param listedSearchers the searchers in this node's endpoint list, null if it has no list
+     * @param layout the cells that hold each shard
+     * @param firstSentAtMs Unix ms at which the request was first sent
+     * @param clockErrorMs the maximum difference between the clocks of two machines, ms
      */
     public static boolean of(
-            Collection<Integer> wantedShards,
-            Map<String, FleetView.KnownSearcher> known,
-            Map<String, ObservedSearcher> listed,
+            Collection<Integer> requestShards,
+            Map<String, FleetView.KnownSearcher> knownSearchers,
+            Map<String, ObservedSearcher> listedSearchers,
             DisruptionBudget.ShardLayout layout,
             long firstSentAtMs,
-            long errorMs) {
-        if (listed == null || layout.cells() == 0) {
+            long clockErrorMs) {
+        if (listedSearchers == null || layout.cells() == 0) {
             return false;
         }
-        for (FleetView.KnownSearcher searcher : known.values()) {
-            if (!listed.containsKey(searcher.name())
-                    && isReplica(wantedShards, searcher.cell(), layout)) {
+        for (FleetView.KnownSearcher searcher : knownSearchers.values()) {
+            if (!listedSearchers.containsKey(searcher.name())
+                    && isReplica(requestShards, searcher.cell(), layout)) {
                 return false;
             }
         }
-        for (ObservedSearcher searcher : listed.values()) {
-            if (searcher.startedAtMs() > firstSentAtMs - errorMs
-                    && isReplica(wantedShards, searcher.cell(), layout)) {
+        for (ObservedSearcher searcher : listedSearchers.values()) {
+            if (searcher.startedAtMs() > firstSentAtMs - clockErrorMs
+                    && isReplica(requestShards, searcher.cell(), layout)) {
                 return false;
             }
         }
@@ -50,8 +51,8 @@
     }
 
     private static boolean isReplica(
-            Collection<Integer> wantedShards, int cell, DisruptionBudget.ShardLayout layout) {
-        return wantedShards.stream()
+            Collection<Integer> requestShards, int cell, DisruptionBudget.ShardLayout layout) {
+        return requestShards.stream()
                 .anyMatch(
                         shard ->
                                 Math.floorMod(cell - shard, layout.cells())
--- a/src/main/java/reeldeal/fleet/takeover/GroupCommit.java
+++ b/src/main/java/reeldeal/fleet/takeover/GroupCommit.java
@@ -10,45 +10,47 @@
 import reeldeal.fleet.ConditionalWrite;
 
 /**
- * Groups the writes of many requests into commits: while some batches are in progress the other
- * writes queue, and go together. A batch is applied completely or not at all, so that the writes of
- * one that was rejected are sent again one by one, for only the conflicting one to be rejected.
+ * Groups the writes of many requests into commits: while the maximum number of batches is in
+ * progress, further writes are queued and later sent together. A batch is applied completely or not
+ * at all. The writes of a rejected batch are therefore sent again one by one, so that only the
+ * conflicting write is rejected.
  *
  * <p>Used on the store's loop.
  */
 public final class GroupCommit {
-    /** Writes that are sent as one command. */
+    /** A batch of writes that is sent as one command; {@code keys} are their request keys. */
     public record Batch(long id, ConditionalWrite write, Set<String> keys) {}
 
-    /** A write; {@code alone} where it was part of a rejected batch. */
-    private record QueuedWrite(String key, ConditionalWrite write, boolean alone) {}
+    /** A queued write; {@code sendAlone} if it was part of a rejected batch. */
+    private record QueuedWrite(String key, ConditionalWrite write, boolean sendAlone) {}
 
     private final int maxWrites;
-    private final int maxBytes;
+    private final int maxValueLength;
     private final int maxBatches;
     private final ArrayDeque<QueuedWrite> queue = new ArrayDeque<>();
     private final Map<Long, List<QueuedWrite>> inProgress = new HashMap<>();
     private long nextId = 1;
 
     /**
-     * An empty queue.
+     * Creates an empty queue.
      *
-     * @param maxWrites the most writes of one batch
-     * @param maxBytes the most characters of values of one batch, unless one write has more
-     * @param maxBatches the most batches in progress
+     * @param maxWrites the maximum number of writes in a batch
+     * @param maxValueLength the maximum total length of the values in a batch, in characters; a
+     *     single longer write is sent as a batch of its own
+     * @param maxBatches the maximum number of batches in progress
      */
-    public GroupCommit(int maxWrites, int maxBytes, int maxBatches) {
+    public GroupCommit(int maxWrites, int maxValueLength, int maxBatches) {
         this.maxWrites = maxWrites;
-        this.maxBytes = maxBytes;
+        this.maxValueLength = maxValueLength;
         this.maxBatches = maxBatches;
     }
 
-    /** Queues a write for a key that has none queued or in progress. */
+    /** Queues a write for a key that has no other write queued or in progress. */
     public void add(String key, ConditionalWrite write) {
         queue.add(new QueuedWrite(key, write, false));
     }
 
-    /** The batches to be sent now; each is in progress until {@link #batchEnded}. */
+    /** Returns the batches to send now; each is in progress until {@link #batchEnded}. */
     public List<Batch> dueBatches() {
         List<Batch> due = new ArrayList<>();
         while (!queue.isEmpty() && inProgress.size() < maxBatches) {
@@ -60,49 +62,55 @@
     private Batch nextBatch() {
         QueuedWrite first = queue.poll();
         List<QueuedWrite> batch = new ArrayList<>(List.of(first));
-        ConditionalWrite joint =
+        ConditionalWrite combined =
                 ConditionalWrite.because(first.write().reason()).include(first.write());
-        int size = size(first.write());
-        while (batch.size() < maxWrites && mayJoin(first, joint, size)) {
+        int totalLength = valueLength(first.write());
+        while (batch.size() < maxWrites && mayJoin(first, combined, totalLength)) {
             QueuedWrite next = queue.poll();
             batch.add(next);
-            size += size(next.write());
-            joint.include(next.write());
+            totalLength += valueLength(next.write());
+            combined.include(next.write());
         }
         long id = nextId++;
         inProgress.put(id, batch);
-        return new Batch(id, batch.size() == 1 ? first.write() : named(joint, batch), keys(batch));
+        return new Batch(
+                id,
+                batch.size() == 1 ? first.write() : withBatchReason(combined, batch),
+                keys(batch));
     }
 
-    private static ConditionalWrite named(ConditionalWrite joint, List<QueuedWrite> batch) {
+    private static ConditionalWrite withBatchReason(
+            ConditionalWrite combined, List<QueuedWrite> batch) {
         return new ConditionalWrite(
-                joint.expectedVersions(), joint.changes(), "work: " + batch.size() + " records");
+                combined.expectedVersions(),
+                combined.changes(),
+                "work: batch of " + batch.size() + " record writes");
     }
 
-    private boolean mayJoin(QueuedWrite first, ConditionalWrite joint, int size) {
+    private boolean mayJoin(QueuedWrite first, ConditionalWrite combined, int totalLength) {
         QueuedWrite next = queue.peek();
         return next != null
-                && !first.alone()
-                && !next.alone()
-                && size + size(next.write()) <= maxBytes
-                && isConsistent(joint, next.write());
+                && !first.sendAlone()
+                && !next.sendAlone()
+                && totalLength + valueLength(next.write()) <= maxValueLength
+                && isConsistent(combined, next.write());
     }
 
     /**
-     * Writes that expect one key at two versions, or put the same key, were decided from two
-     * states.
+     * Whether a write can be combined with a batch. Writes that expect one key at different
+     * versions, or that change the same key, were decided from different states.
      */
-    private static boolean isConsistent(ConditionalWrite joint, ConditionalWrite next) {
+    private static boolean isConsistent(ConditionalWrite combined, ConditionalWrite next) {
         for (Map.Entry<String, Long> expected : next.expectedVersions().entrySet()) {
-            Long version = joint.expectedVersions().get(expected.getKey());
+            Long version = combined.expectedVersions().get(expected.getKey());
             if (version != null && !version.equals(expected.getValue())) {
                 return false;
             }
         }
-        return next.changes().keySet().stream().noneMatch(joint.changes()::containsKey);
+        return next.changes().keySet().stream().noneMatch(combined.changes()::containsKey);
     }
 
-    private static int size(ConditionalWrite write) {
+    private static int valueLength(ConditionalWrite write) {
         return write.changes().values().stream()
                 .mapToInt(value -> value == null ? 0 : value.length())
                 .sum();
@@ -115,10 +123,10 @@
     }
 
     /**
-     * A batch has ended; returns the keys whose writes have ended with it.
+     * Ends a batch and returns the keys whose writes have ended with it.
      *
-     * @param rejected whether nothing of it was applied; its writes are then queued again one by
-     *     one
+     * @param rejected whether the batch was rejected, so that none of its writes was applied; if it
+     *     had several, they are queued again, to be sent one by one
      */
     public Set<String> batchEnded(long id, boolean rejected) {
         List<QueuedWrite> batch = inProgress.remove(id);
@@ -135,12 +143,12 @@
         return keys(batch);
     }
 
-    /** Removes a write that has not been sent yet; whether there was one. */
+    /** Removes the write of a key if it has not been sent yet; returns whether there was one. */
     public boolean drop(String key) {
         return queue.removeIf(write -> write.key().equals(key));
     }
 
-    /** The number of writes queued or in progress. */
+    /** Returns the number of writes that are queued or in progress. */
     public int size() {
         return queue.size() + inProgress.values().stream().mapToInt(List::size).sum();
     }
--- a/src/main/java/reeldeal/fleet/takeover/InFlightRequests.java
+++ b/src/main/java/reeldeal/fleet/takeover/InFlightRequests.java
@@ -16,131 +16,142 @@
 import reeldeal.fleet.takeover.RequestAction.Purpose;
 
 /**
- * One broker's keyed requests in flight. A request is recorded before its first shard request is
- * sent; its client is answered only with what is recorded, and so is whoever sends the key again.
- * Records of brokers that failed are claimed a few at a time. Who owns a record comes from the log:
- * a write with an unknown outcome is looked up there. Where no record can be made in time, the
- * request is rejected, or runs without one.
+ * Manages the keyed requests that one broker has in flight. A request is recorded before its first
+ * shard request is sent. Its client gets only an outcome that is recorded, as does any client that
+ * sends the same key again. Records of failed brokers are claimed a few at a time. The owner of a
+ * record is determined by the log; after a write with an unknown outcome, the record is read from
+ * there. If no record can be made in time, the request is rejected, or runs without one.
  *
- * <p>A state machine without I/O: inputs are method calls with Unix ms, outputs are {@link
- * #drainActions}. The cost of an event grows with the number of open records, not of kept ones.
- * Used on the store's loop.
+ * <p>This is a state machine without I/O: its inputs are method calls with the time in Unix ms, its
+ * outputs are taken with {@link #drainActions}. The cost of an event grows with the number of open
+ * records, not with the number of ended records that are still kept. Used on the store's loop.
  */
 public class InFlightRequests {
-    /** The outcome of a request for which there was no time left. */
+    /** The recorded outcome of a request that ended without having been served in time. */
     public static final String LATE = "late";
 
-    /** How a run ended. */
+    /** The ways in which a run ends. */
     public enum RunOutcome {
-        /** Served. */
+        /** The request was served. */
         DONE,
-        /** Not served; searchers may have run it. */
+        /** The request was not served, but searchers may have run it. */
         FAILED,
-        /** Not served; nothing of this run was sent. */
+        /** The request was not served; no shard request of this run was sent. */
         UNSENT
     }
 
     /**
-     * Limits.
+     * The limits of one broker.
      *
-     * @param maxClaims the most records that are taken over at the same time
-     * @param maxInFlight the most requests in flight; more are not recorded
-     * @param recordTimeoutMs how long a record may take, ms
-     * @param retryMs the delay after a failed write, and after a run that was not admitted, ms
+     * @param maxClaims the maximum number of takeovers in progress
+     * @param maxInFlight the maximum number of requests in flight; requests beyond it are not
+     *     recorded
+     * @param recordTimeoutMs how long a client waits for its request to be recorded, ms
+     * @param retryMs the delay before a retry of a failed write, or of a run that was not admitted,
+     *     ms
      */
     public record Bounds(int maxClaims, int maxInFlight, long recordTimeoutMs, long retryMs) {}
 
+    /** The end of a run that its record does not show yet. */
     private record EndedRun(RunOutcome outcome, String text) {}
 
     private final String broker;
     private final TakeoverPolicy policy;
     private final Function<String, TakeoverPolicy.Window> windows;
     private final Bounds bounds;
-    private final Function<String, RequestRecord> records;
+    private final Function<String, RequestRecord> recordReader;
     private final RecordWrites recordWrites;
     private final WaitingClients waiting = new WaitingClients();
     private final PendingWrites writes = new PendingWrites();
     private final List<RequestAction> actions = new ArrayList<>();
 
-    /** The open records of this node's copy, of all owners. */
+    /** The open records in this node's copy of the log, of all owners, by key. */
     private final Map<String, RequestRecord> openRecords = new TreeMap<>();
 
-    /** The requests that run; the value says whether with a record. */
+    /** The keys of the requests that run, each with whether it runs under a record. */
     private final Map<String, Boolean> running = new HashMap<>();
 
-    /** The last run that this broker started for a key: shard requests of it may have been sent. */
-    private final Map<String, Integer> startedRuns = new HashMap<>();
+    /**
+     * The number of the last run that this broker started for a key; shard requests of that run may
+     * have been sent.
+     */
+    private final Map<String, Integer> lastStartedRuns = new HashMap<>();
 
-    /** Runs that have ended, until their records show it. */
+    /** Runs that have ended, kept until their records show the end. */
     private final Map<String, EndedRun> endedRuns = new HashMap<>();
 
-    private final Map<String, Long> retryAt = new HashMap<>();
+    /** When to retry a run that was not admitted, Unix ms, by key. */
+    private final Map<String, Long> retryAtMs = new HashMap<>();
+
     private FleetView fleet = new FleetView(Map.of());
-    private Member me;
+    private Member self;
     private boolean isStoreFull;
     private boolean isClockInDoubt;
     private Predicate<RequestRecord> isDeduplicated = record -> true;
 
     /**
-     * A broker without requests.
+     * Creates the state of a broker without requests.
      *
-     * @param windows the deduplication window of a query class
-     * @param records reads a record of this node's copy, null where there is none
+     * @param windows returns the deduplication window of a query class
+     * @param recordReader returns the record of a key in this node's copy, null if there is none
      */
     public InFlightRequests(
             String broker,
             TakeoverPolicy policy,
             Function<String, TakeoverPolicy.Window> windows,
             Bounds bounds,
-            Function<String, RequestRecord> records) {
-        this(broker, policy, windows, bounds, records, new RecordWrites());
+            Function<String, RequestRecord> recordReader) {
+        this(broker, policy, windows, bounds, recordReader, new RecordWrites());
     }
 
-    /** The same with writes of its own. */
+    /** Creates the state with replaced {@link RecordWrites}, as the simulation does. */
     public InFlightRequests(
             String broker,
             TakeoverPolicy policy,
             Function<String, TakeoverPolicy.Window> windows,
             Bounds bounds,
-            Function<String, RequestRecord> records,
+            Function<String, RequestRecord> recordReader,
             RecordWrites recordWrites) {
         this.broker = broker;
         this.policy = policy;
         this.windows = windows;
         this.bounds = bounds;
-        this.records = records;
+        this.recordReader = recordReader;
         this.recordWrites = recordWrites;
     }
 
     // ---- inputs ----
 
-    /** This node's copy of the fleet; {@code self} is this process, null while unregistered. */
-    public void onFleetChanged(long now, FleetView newFleet, Member self) {
+    /**
+     * Applies this node's new copy of the fleet; {@code newSelf} is this process as a member, null
+     * while it is not registered.
+     */
+    public void onFleetChanged(long now, FleetView newFleet, Member newSelf) {
         fleet = newFleet;
-        me = self;
+        self = newSelf;
         tick(now);
     }
 
-    /** Records have changed in this node's copy. */
+    /** Applies changes to the records of these keys in this node's copy. */
     public void recordsChanged(long now, Collection<String> keys) {
         for (String key : keys) {
-            RequestRecord record = records.apply(key);
+            RequestRecord record = recordReader.apply(key);
             if (record != null && record.isOpen()) {
                 openRecords.put(key, record);
             } else {
                 openRecords.remove(key);
-                startedRuns.remove(key);
+                lastStartedRuns.remove(key);
             }
             reconcile(now, key);
         }
     }
 
-    /** A client sends a request. */
+    /** Accepts a request from a client. */
     public void submit(long now, KeyedRequest request) {
-        long joinBy = Math.min(request.deadlineMs(), now + bounds.recordTimeoutMs());
-        WaitingClients.Client client = new WaitingClients.Client(request, joinBy);
+        long joinDeadlineMs = Math.min(request.deadlineMs(), now + bounds.recordTimeoutMs());
+        WaitingClients.Client client = new WaitingClients.Client(request, joinDeadlineMs);
         String key = request.key();
-        if (!canRecord() && records.apply(key) == null && !running.containsKey(key)) {
+        if (!canRecord() && recordReader.apply(key) == null && !running.containsKey(key)) {
             proceedUnrecorded(client);
             return;
         }
@@ -153,24 +164,25 @@
     }
 
     /**
-     * Whether the searchers that may have run a request can be shown to drop repeats of its key.
+     * Sets the check that returns whether the searchers that may have run a request can be shown to
+     * drop repeats of its key.
      */
     public void setDeduplicationCheck(Predicate<RequestRecord> check) {
         isDeduplicated = check;
     }
 
-    /** A client has disconnected. */
+    /** Removes a client that has disconnected; its request is not stopped. */
     public void clientDisconnected(String key, long client) {
         waiting.removeIf(key, waitingClient -> waitingClient.request().client() == client);
     }
 
-    /** A request that this broker ran has ended. */
+    /** Handles the end of a run at this broker. */
     public void runEnded(long now, String key, RunOutcome outcome, String text) {
         running.remove(key);
         if (owns(key) || writes.contains(key)) {
             endedRuns.put(key, new EndedRun(outcome, text));
-        } else if (records.apply(key) == null) {
-            // Clients that joined a run without a record.
+        } else if (recordReader.apply(key) == null) {
+            // The run had no record: its outcome goes to the clients that joined it.
             replyToAll(key, stateAfter(outcome), text);
         }
         reconcile(now, key);
@@ -180,7 +192,10 @@
         return outcome == RunOutcome.DONE ? RequestRecord.State.DONE : RequestRecord.State.FAILED;
     }
 
-    /** A write has ended; if committed, this node's copy shows it. Otherwise it is retried. */
+    /**
+     * Handles the end of a write. If it is committed, this node's copy shows its changes already;
+     * otherwise it is retried after a delay.
+     */
     public void writeEnded(long now, String key, boolean committed) {
         if (committed) {
             writes.committed(key);
@@ -191,19 +206,19 @@
     }
 
     /**
-     * Whether this machine's clock is in doubt: it makes no records and takes over none; those that
-     * it has still end.
+     * Sets whether this machine's clock may be wrong. If so, this broker makes no new records and
+     * takes over none, but still ends those that it has.
      */
     public void setClockInDoubt(boolean inDoubt) {
         isClockInDoubt = inDoubt;
     }
 
-    /** Whether the store takes no further records; those that exist still end. */
+    /** Sets whether the store accepts no further records; existing ones can still be ended. */
     public void setStoreFull(boolean full) {
         isStoreFull = full;
     }
 
-    /** The actions that have accumulated since the last call, in order. */
+    /** Returns and removes the actions that have accumulated since the last call, in order. */
     public List<RequestAction> drainActions() {
         List<RequestAction> drained = List.copyOf(actions);
         actions.clear();
@@ -211,38 +226,38 @@
     }
 
     /**
-     * Whether a record is this broker's by its copy of the log; before each sending its lease must
-     * be valid too.
+     * Whether this broker owns the open record of a key, according to its copy of the log. To send
+     * a shard request, the broker must hold its lease as well.
      */
     public boolean owns(String key) {
         return isOwn(openRecords.get(key));
     }
 
-    /** The number of keys that run or that clients wait for. */
+    /** Returns the number of running requests plus the number of keys that clients wait for. */
     public int inFlight() {
         return running.size() + waiting.size();
     }
 
-    /** The number of open records in this node's copy, of all owners. */
+    /** Returns the number of open records in this node's copy, of all owners. */
     public int openRecordCount() {
         return openRecords.size();
     }
 
     private boolean isOwn(RequestRecord record) {
-        return me != null
+        return self != null
                 && record != null
                 && record.isOpen()
                 && record.owner().equals(broker)
-                && record.incarnation() == me.incarnation();
+                && record.incarnation() == self.incarnation();
     }
 
     private boolean hasLease() {
-        return me != null && me.hasLease();
+        return self != null && self.hasLease();
     }
 
     // ---- decisions ----
 
-    /** Time has passed. */
+    /** Applies all timeouts and retries that are due, and claims orphaned records. */
     public void tick(long now) {
         Set<String> keys = new TreeSet<>(waiting.keys());
         keys.addAll(running.keySet());
@@ -254,7 +269,7 @@
     }
 
     private void claimOrphans(long now) {
-        if (me == null || !me.isServing() || isClockInDoubt) {
+        if (self == null || !self.isServing() || isClockInDoubt) {
             return;
         }
         long claimsInProgress = openRecords.values().stream().filter(this::isClaimed).count();
@@ -262,19 +277,22 @@
         for (RequestRecord orphan : policy.assignedOrphans(fleet, openRecords.values(), broker)) {
             TakeoverPolicy.Verdict verdict = verdict(now, orphan);
             if (verdict != TakeoverPolicy.Verdict.RUN) {
-                ConditionalWrite close = policy.close(fleet, orphan, me, verdict, now);
+                ConditionalWrite close = policy.close(fleet, orphan, self, verdict, now);
                 propose(now, orphan.key(), close, Purpose.CLOSE_ORPHAN);
             } else if (remainingClaims > 0 && !writes.contains(orphan.key())) {
                 remainingClaims--;
-                ConditionalWrite claim = policy.claim(fleet, orphan, me);
+                ConditionalWrite claim = policy.claim(fleet, orphan, self);
                 propose(now, orphan.key(), claim, Purpose.TAKE_OVER);
             }
         }
     }
 
-    /** Whether this broker has taken over a record, or is about to. */
-    private boolean isClaimed(RequestRecord open) {
-        return isOwn(open) ? open.runs() > 1 : writes.contains(open.key());
+    /**
+     * Whether an open record counts as a takeover in progress: this broker owns it after its first
+     * run, or has a write pending to claim or close it.
+     */
+    private boolean isClaimed(RequestRecord record) {
+        return isOwn(record) ? record.runs() > 1 : writes.contains(record.key());
     }
 
     private TakeoverPolicy.Window window(RequestRecord record) {
@@ -285,9 +303,11 @@
         return policy.verdict(record, now, window(record), isDeduplicated.test(record));
     }
 
-    /** Brings all that this broker has under a key in line with the key's record. */
+    /**
+     * Brings the run, the waiting clients and the pending write of a key in line with its record.
+     */
     private void reconcile(long now, String key) {
-        RequestRecord record = records.apply(key);
+        RequestRecord record = recordReader.apply(key);
         boolean isOwn = isOwn(record);
         if (!isOwn) {
             abandonRun(key, record);
@@ -305,13 +325,13 @@
         }
         EndedRun ended = endedRuns.get(key);
         if (ended != null && record == null && ended.outcome() == RunOutcome.UNSENT) {
-            // The record has been withdrawn: nothing was sent.
+            // The record has been withdrawn, as no shard request was sent.
             replyToAll(key, RequestRecord.State.FAILED, ended.text());
             endedRuns.remove(key);
         } else if (ended != null && (record != null || !writes.contains(key))) {
             endedRuns.remove(key);
         }
-        retryAt.remove(key);
+        retryAtMs.remove(key);
     }
 
     private void settleWaitingClients(long now, String key, RequestRecord record) {
@@ -322,12 +342,14 @@
         if (waiting.isWaitingFor(key)) {
             requestRecord(now, key, record);
         } else if (record == null && writes.contains(key)) {
-            // A slow store is not kept busy with records that no client waits for.
+            // Spares a slow store records that no client waits for any more.
             actions.add(new RequestAction.Drop(key));
         }
     }
 
-    /** Whether a client need not wait any more; adds what it is answered. */
+    /**
+     * Whether a client need not wait any longer; if so, adds the action that answers it, if any.
+     */
     private boolean settle(long now, WaitingClients.Client client, RequestRecord record) {
         KeyedRequest request = client.request();
         if (record != null && !request.content().digest().equals(record.digest())) {
@@ -340,7 +362,7 @@
             return true;
         }
         if (now >= request.deadlineMs()) {
-            return true; // the client has given up
+            return true; // the client no longer waits for a reply
         }
         if (record != null && record.isOpen()) {
             client.join(record);
@@ -353,20 +375,20 @@
         return false;
     }
 
-    /** Whether a run is in progress, or has ended without its record showing it yet. */
+    /** Whether a run is in progress, or has ended but its record does not show the end yet. */
     private boolean hasRun(String key) {
         return endedRuns.containsKey(key) || running.containsKey(key);
     }
 
-    /** Proposes what the clients that still wait need: a record, or another run of a failed one. */
+    /** Proposes a record for the clients that still wait, or a restart if the record has failed. */
     private void requestRecord(long now, String key, RequestRecord record) {
         if (!hasLease()) {
             return;
         }
         if (record == null && !hasRun(key)) {
-            RequestRecord fresh =
-                    RequestRecord.begun(waiting.first(key), broker, me.incarnation(), now);
-            propose(now, key, recordWrites.begin(fresh), Purpose.RECORD);
+            RequestRecord newRecord =
+                    RequestRecord.begun(waiting.first(key), broker, self.incarnation(), now);
+            propose(now, key, recordWrites.begin(newRecord), Purpose.RECORD);
         } else if (record != null && record.state() == RequestRecord.State.FAILED) {
             propose(now, key, restartOrEnd(now, record), Purpose.RECORD);
         }
@@ -380,7 +402,8 @@
             return recordWrites.end(failed, RequestRecord.State.UNKNOWN, "", now);
         }
         KeyedRequest request = waiting.first(failed.key());
-        return recordWrites.replace(failed, failed.restartedFor(request, broker, me.incarnation()));
+        return recordWrites.replace(
+                failed, failed.restartedFor(request, broker, self.incarnation()));
     }
 
     private void proceedUnrecorded(WaitingClients.Client client) {
@@ -399,36 +422,38 @@
         }
     }
 
-    /** Runs a record of this broker's, or ends it. */
+    /** Runs the request of a record that this broker owns, or ends the record. */
     private void advanceOwnRecord(long now, RequestRecord record) {
         String key = record.key();
         EndedRun ended = endedRuns.get(key);
         if (ended != null && ended.outcome() == RunOutcome.UNSENT && record.runs() > 1) {
-            // Not admitted now, but an earlier run may have been sent: retried while there is time.
+            // This run was not admitted, but an earlier one may have been sent: retry while time is
+            // left.
             endedRuns.remove(key);
-            retryAt.put(key, now + bounds.retryMs());
+            retryAtMs.put(key, now + bounds.retryMs());
         } else if (ended != null) {
-            propose(now, key, endOf(record, ended, now), Purpose.RECORD);
+            propose(now, key, endWrite(record, ended, now), Purpose.RECORD);
             return;
         }
         if (running.containsKey(key)) {
-            running.put(key, true); // one that began without a record has got it after all
+            running.put(key, true); // a run that began without a record now has one
             return;
         }
         boolean wasStopped =
-                startedRuns.getOrDefault(key, 0) == record.runs() && !retryAt.containsKey(key);
+                lastStartedRuns.getOrDefault(key, 0) == record.runs()
+                        && !retryAtMs.containsKey(key);
         if (wasStopped) {
-            // Shard requests of it may have been sent.
+            // Shard requests of the stopped run may have been sent.
             endWithoutRun(now, record, RunOutcome.FAILED);
         } else if (record.runs() == 1 && !waiting.isWaitingFor(key)) {
-            // Its client disconnected or was rejected before the record was made.
+            // The client disconnected or was rejected before the record was made.
             endWithoutRun(now, record, RunOutcome.UNSENT);
         } else {
             runOrClose(now, record);
         }
     }
 
-    private ConditionalWrite endOf(RequestRecord record, EndedRun ended, long now) {
+    private ConditionalWrite endWrite(RequestRecord record, EndedRun ended, long now) {
         return ended.outcome() == RunOutcome.UNSENT
                 ? recordWrites.withdraw(record)
                 : recordWrites.end(record, stateAfter(ended.outcome()), ended.text(), now);
@@ -437,7 +462,7 @@
     private void endWithoutRun(long now, RequestRecord record, RunOutcome outcome) {
         EndedRun ended = new EndedRun(outcome, LATE);
         endedRuns.put(record.key(), ended);
-        propose(now, record.key(), endOf(record, ended, now), Purpose.RECORD);
+        propose(now, record.key(), endWrite(record, ended, now), Purpose.RECORD);
     }
 
     private void runOrClose(long now, RequestRecord record) {
@@ -449,9 +474,9 @@
             ConditionalWrite end =
                     recordWrites.end(record, verdict.finalState(), verdict.finalOutcome(), now);
             propose(now, key, end, Purpose.RECORD);
-        } else if (now >= retryAt.getOrDefault(key, Long.MIN_VALUE) && !writes.contains(key)) {
+        } else if (now >= retryAtMs.getOrDefault(key, Long.MIN_VALUE) && !writes.contains(key)) {
             running.put(key, true);
-            startedRuns.put(key, record.runs());
+            lastStartedRuns.put(key, record.runs());
             actions.add(new RequestAction.Run(record, isFirst));
         }
     }
--- a/src/main/java/reeldeal/fleet/takeover/KeyedRequest.java
+++ b/src/main/java/reeldeal/fleet/takeover/KeyedRequest.java
@@ -1,16 +1,16 @@
 package reeldeal.fleet.takeover;
 
 /**
- * A client's request under an idempotency key, as a front accepted it.
+ * A client's request with an idempotency key, as accepted by a front.
  *
- * @param client identifies the waiting client
- * @param key the query class and the client's key
- * @param content what the client sent
+ * @param client the id of the waiting client
+ * @param key the query class and the client's idempotency key
+ * @param content the digest and the body of the request
  * @param queryClass the query class
  * @param priorityWeight the weight of the query class
- * @param deadlineMs Unix ms at which the client gives up
- * @param recordRequired whether it is rejected where no record can be made in time, rather than run
- *     without one
+ * @param deadlineMs Unix ms at which the client stops waiting
+ * @param recordRequired whether the request is rejected if no record can be made in time; otherwise
+ *     it runs without one
  */
 public record KeyedRequest(
         long client,
@@ -22,10 +22,10 @@
         boolean recordRequired) {
 
     /**
-     * What a client sent.
+     * The content of a client's request.
      *
-     * @param digest of the body: another body under the same key is another request
-     * @param body what another broker needs to run it
+     * @param digest the digest of the body; the same key with another body is another request
+     * @param body the encoded request, from which another broker can run it
      */
     public record Content(String digest, String body) {}
 }
--- a/src/main/java/reeldeal/fleet/takeover/PendingWrites.java
+++ b/src/main/java/reeldeal/fleet/takeover/PendingWrites.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The keys with a write in progress, or with one that failed a moment ago: there is one write a key
- * at a time. Used on the store's loop.
+ * The keys that cannot be written now, because a write is in progress or has to wait after a failed
+ * one. Each key has at most one write at a time. Used on the store's loop.
  */
 final class PendingWrites {
     private static final long UNTIL_ENDED = Long.MAX_VALUE;
@@ -16,7 +16,7 @@
         return blockedUntil.containsKey(key);
     }
 
-    /** Whether a write may begin now; it is then in progress. */
+    /** Marks a write of a key as in progress; returns false if the key cannot be written now. */
     boolean tryBegin(String key, long now) {
         if (blockedUntil.getOrDefault(key, now) > now) {
             return false;
@@ -29,8 +29,8 @@
         blockedUntil.remove(key);
     }
 
-    void failed(String key, long retryAt) {
-        blockedUntil.put(key, retryAt);
+    void failed(String key, long retryAtMs) {
+        blockedUntil.put(key, retryAtMs);
     }
 
     void expire(long now) {
--- a/src/main/java/reeldeal/fleet/takeover/RecordWrites.java
+++ b/src/main/java/reeldeal/fleet/takeover/RecordWrites.java
@@ -4,34 +4,44 @@
 import reeldeal.fleet.FleetView;
 
 /**
- * The writes with which a broker changes its own records. Protected methods are rules that the
- * simulation overrides to check that it notices.
+ * Builds the writes with which a broker changes its own records. The simulation overrides the
+ * protected methods with broken rules, to check that it detects them.
  */
 public class RecordWrites {
 
-    /** A record under a key that has none, by an owner whose registration is as it says. */
+    /**
+     * Returns the write that makes a record, which expects that its key has none and that its owner
+     * is registered with the record's incarnation.
+     */
     protected ConditionalWrite begin(RequestRecord record) {
-        return ConditionalWrite.because("work " + record.key())
+        return ConditionalWrite.because("work: records " + record.key())
                 .expect(RequestRecord.storeKey(record.key()), 0)
                 .expect(FleetView.BOOT + record.owner(), record.incarnation())
                 .put(RequestRecord.storeKey(record.key()), record.toAttributes());
     }
 
-    /** The end of a request, where its record is still as it was seen. */
+    /** Returns the write that ends a request, which expects its record to be unchanged. */
     protected ConditionalWrite end(
             RequestRecord record, RequestRecord.State state, String outcome, long now) {
         return replace(record, record.ended(state, outcome, now));
     }
 
-    ConditionalWrite replace(RequestRecord seen, RequestRecord replacement) {
-        return ConditionalWrite.because("work " + seen.key() + " " + replacement.state().stored())
-                .expect(RequestRecord.storeKey(seen.key()), seen.version())
-                .put(RequestRecord.storeKey(seen.key()), replacement.toAttributes());
+    ConditionalWrite replace(RequestRecord current, RequestRecord replacement) {
+        return ConditionalWrite.because(
+                        "work: " + current.key() + " becomes " + replacement.state().stored())
+                .expect(RequestRecord.storeKey(current.key()), current.version())
+                .put(RequestRecord.storeKey(current.key()), replacement.toAttributes());
     }
 
-    /** Deletes the record of a request of which nothing was ever sent. */
+    /**
+     * Returns the write that deletes the record of a request no shard request of which was ever
+     * sent.
+     */
     ConditionalWrite withdraw(RequestRecord record) {
-        return ConditionalWrite.because("work " + record.key() + " taken back")
+        return ConditionalWrite.because(
+                        "work: withdraws the record of "
+                                + record.key()
+                                + ", no shard request was sent")
                 .expect(RequestRecord.storeKey(record.key()), record.version())
                 .put(RequestRecord.storeKey(record.key()), null);
     }
--- a/src/main/java/reeldeal/fleet/takeover/RequestAction.java
+++ b/src/main/java/reeldeal/fleet/takeover/RequestAction.java
@@ -2,52 +2,56 @@
 
 import reeldeal.fleet.ConditionalWrite;
 
-/** What the caller of {@link InFlightRequests} has to do, in order. */
+/**
+ * An action that the caller of {@link InFlightRequests} has to perform; actions are performed in
+ * order.
+ */
 public sealed interface RequestAction {
 
-    /** Why a write is proposed. */
+    /** The purpose of a proposed write. */
     enum Purpose {
-        /** To make, change, end or withdraw a record of this broker's. */
+        /** Makes, changes, ends or withdraws a record of this broker. */
         RECORD,
-        /** To take over another broker's record. */
+        /** Takes over another broker's record. */
         TAKE_OVER,
-        /** To end another broker's record, with which nothing more can be done. */
+        /** Ends another broker's record whose request may not be run again. */
         CLOSE_ORPHAN
     }
 
-    /** Propose a write; {@link InFlightRequests#writeEnded} reports its outcome. */
+    /** Proposes a write; its outcome is reported to {@link InFlightRequests#writeEnded}. */
     record Propose(String key, ConditionalWrite write, Purpose purpose) implements RequestAction {}
 
-    /** Drop the write for this key if it has not been sent yet: no client waits for it. */
+    /** Drops the write of a key if it has not been sent yet, because no client waits for it. */
     record Drop(String key) implements RequestAction {}
 
     /**
-     * Run a request under its record.
+     * Runs a request under its record.
      *
-     * @param first whether no shard request of it was ever sent
+     * @param isFirstRun whether no shard request of it was ever sent
      */
-    record Run(RequestRecord record, boolean first) implements RequestAction {}
+    record Run(RequestRecord record, boolean isFirstRun) implements RequestAction {}
 
-    /** Send nothing more of a request: this broker does not own its record any more. */
+    /** Stops sending shard requests of a request whose record this broker no longer owns. */
     record Stop(String key) implements RequestAction {}
 
-    /** What a waiting client is answered. */
+    /** An action that concerns one waiting client. */
     sealed interface ClientAction extends RequestAction {
-        /** The waiting client. */
+        /** The id of the waiting client. */
         long client();
     }
 
-    /** Answer a client with the recorded outcome. */
+    /** Answers a client with the outcome of its request. */
     record Reply(long client, RequestRecord.State state, String outcome) implements ClientAction {}
 
-    /** Reject a client: its key belongs to a request with another body. */
+    /** Rejects a client whose key belongs to a request with another body. */
     record Conflict(long client) implements ClientAction {}
 
     /**
-     * Run a client's request without a record; {@link InFlightRequests#runEnded} reports its end.
+     * Runs a client's request without a record; its end is reported to {@link
+     * InFlightRequests#runEnded}.
      */
     record ProceedUnrecorded(long client) implements ClientAction {}
 
-    /** Reject a client: no record could be made in time, and one is required. */
+    /** Rejects a client whose request requires a record, which could not be made in time. */
     record Reject(long client) implements ClientAction {}
 }
--- a/src/main/java/reeldeal/fleet/takeover/RequestRecord.java
+++ b/src/main/java/reeldeal/fleet/takeover/RequestRecord.java
@@ -7,21 +7,22 @@
 import reeldeal.fleet.StoredIdentifier;
 
 /**
- * A keyed request as it is stored. Immutable.
+ * The stored record of a keyed request. Immutable.
  *
- * @param key the query class and the client's key
- * @param digest of the request's body: another body under the same key is another request
- * @param queryClass the query class, which decides whether it may be run again
+ * @param key the query class and the client's idempotency key
+ * @param digest the digest of the request's body; the same key with another body is another request
+ * @param queryClass the query class, which determines whether the request may be run again
  * @param priorityWeight the weight of the query class, for the order of takeovers
- * @param owner the broker that runs it
- * @param incarnation the owner's incarnation, the fencing token of all that it writes and sends
- * @param firstSentAtMs Unix ms before which no shard request of it was sent
- * @param deadlineMs Unix ms at which the client gives up
- * @param runs how often it was begun: 1, and one more for each takeover and each restart for a
- *     client that sent it again
- * @param outcome what its client is answered, once it has ended
- * @param body what another broker needs to run it, "" once it has ended
- * @param endedAtMs Unix ms at which it ended, 0 while it is open
+ * @param owner the broker that runs the request
+ * @param incarnation the owner's incarnation, the fencing token of its writes and shard requests
+ * @param firstSentAtMs Unix ms before which no shard request of the request was sent
+ * @param deadlineMs Unix ms at which the client stops waiting
+ * @param runs the number of the current run: 1 at first, one more for each takeover and for each
+ *     restart for a client that sent the request again
+ * @param outcome the outcome from which the client's reply is decoded, "" while the record is open
+ * @param body the encoded request, from which another broker can run it, "" once the record has
+ *     ended
+ * @param endedAtMs Unix ms at which the request ended, 0 while the record is open
  * @param version the version of the record's last write
  */
 public record RequestRecord(
@@ -39,13 +40,13 @@
         String body,
         long endedAtMs,
         long version) {
-    /** The prefix of all keys of records. */
+    /** The prefix of the store's keys of all records. */
     public static final String ROOT = "work/";
 
     /**
-     * The state of a record. DONE and UNKNOWN are final; UNKNOWN says that the request may have
-     * run, and that no more can be found out. A FAILED one may have run too, and may be restarted
-     * for as long as searchers drop repeats.
+     * The state of a record. DONE and UNKNOWN are final; UNKNOWN means that the request may have
+     * run, and that this can no longer be determined. A FAILED request may have run too, and may be
+     * restarted for as long as searchers drop repeats.
      */
     public enum State implements StoredIdentifier {
         OPEN("OPEN"),
@@ -65,17 +66,17 @@
         }
     }
 
-    /** The store's key of the record under a request's key. */
+    /** Returns the store's key for the record of a request's key. */
     public static String storeKey(String key) {
         return ROOT + URLEncoder.encode(key, StandardCharsets.UTF_8);
     }
 
-    /** The request's key of a record under a store's key. */
+    /** Returns the request's key for the store's key of its record. */
     public static String clientKey(String storeKey) {
         return URLDecoder.decode(storeKey.substring(ROOT.length()), StandardCharsets.UTF_8);
     }
 
-    /** Reads a record from the store's key, value and version. */
+    /** Decodes a record from the store's key, value and version. */
     public static RequestRecord parse(String storeKey, String text, long version) {
         FormAttributes attributes = FormAttributes.of(text);
         return new RequestRecord(
@@ -95,7 +96,7 @@
                 version);
     }
 
-    /** The stored form; key and version are not part of it. */
+    /** Encodes this record for the store, without its key and version. */
     public FormAttributes toAttributes() {
         return new FormAttributes()
                 .with("digest", digest)
@@ -112,12 +113,12 @@
                 .with("ended", endedAtMs);
     }
 
-    /** Whether its owner has to run it, or another broker to take it over. */
+    /** Whether the request still has to be run by its owner, or taken over by another broker. */
     public boolean isOpen() {
         return state == State.OPEN;
     }
 
-    /** A new record of an accepted request. */
+    /** Returns a new record of an accepted request. */
     static RequestRecord begun(KeyedRequest request, String owner, long incarnation, long now) {
         return new RequestRecord(
                 request.key(),
@@ -136,7 +137,7 @@
                 0);
     }
 
-    /** This record with another owner, for another run. */
+    /** Returns this record with another owner, for another run. */
     RequestRecord takenOverBy(String newOwner, long newIncarnation) {
         return new RequestRecord(
                 key,
@@ -155,7 +156,7 @@
                 version);
     }
 
-    /** This record, open again for a client that sent its request again. */
+    /** Returns this record, open again for a client that sent its request again. */
     RequestRecord restartedFor(KeyedRequest request, String newOwner, long newIncarnation) {
         return new RequestRecord(
                 key,
@@ -174,7 +175,7 @@
                 version);
     }
 
-    /** This record after its end, without the body. */
+    /** Returns this record after its end, without the body. */
     RequestRecord ended(State finalState, String finalOutcome, long now) {
         return new RequestRecord(
                 key,
--- a/src/main/java/reeldeal/fleet/takeover/ServerStatsExchange.java
+++ b/src/main/java/reeldeal/fleet/takeover/ServerStatsExchange.java
@@ -14,13 +14,14 @@
 import reeldeal.fleet.FormAttributes;
 
 /**
- * What brokers share in the store of their statistics of searchers. A broker that starts imports
- * its own; of the others' it imports what most brokers agree on that wrote lately.
+ * Shares the brokers' statistics of searchers through the store. A broker that starts imports its
+ * own statistics if they are recent; otherwise it imports those on which most brokers agree that
+ * have written recently.
  *
- * <p>An instance decides for one broker when to write; used on the state loop.
+ * <p>An instance decides when one broker writes. Used on the state loop.
  */
 public final class ServerStatsExchange {
-    /** The prefix of all keys; the broker's name follows. */
+    /** The prefix of the store's keys; the rest of a key is the broker's name. */
     public static final String ROOT = "learned/";
 
     private static final String SEARCHER_PREFIX = "s.";
@@ -30,32 +31,37 @@
     /**
      * The statistics of one process of a searcher.
      *
-     * @param startedAtMs its start, Unix ms
+     * @param startedAtMs the start of the process, Unix ms
      * @param ejected whether it is ejected as an outlier
-     * @param unresponsive whether it is ejected since it did not answer at all
-     * @param relativeLatency its relative latency, 1 for the average
+     * @param unresponsive whether it is ejected because it did not answer at all
+     * @param relativeLatency its latency relative to the average, which is 1
      */
     public record SharedServerStats(
             long startedAtMs, boolean ejected, boolean unresponsive, double relativeLatency) {}
 
     /**
-     * What a broker has written.
+     * The statistics that a broker has written.
      *
-     * @param at when, Unix ms
+     * @param writtenAtMs when it wrote them, Unix ms
      */
-    public record BrokerStats(String broker, long at, Map<String, SharedServerStats> bySearcher) {}
+    public record BrokerStats(
+            String broker, long writtenAtMs, Map<String, SharedServerStats> bySearcher) {}
 
     private final long minIntervalMs;
-    private long writtenAt = Long.MIN_VALUE / 2;
-    private Set<String> writtenEjected = Set.of();
+    private long lastWrittenAtMs = Long.MIN_VALUE / 2;
+    private Set<String> lastWrittenEjected = Set.of();
 
-    /** An exchange that has written nothing yet, and writes no more often than this, ms. */
+    /**
+     * Creates an exchange that has written nothing yet; successive writes are at least {@code
+     * minIntervalMs} apart, except for the last one when the broker ends.
+     */
     public ServerStatsExchange(long minIntervalMs) {
         this.minIntervalMs = minIntervalMs;
     }
 
     /**
-     * The value to be written now, or null: searchers were ejected or returned, or the broker ends.
+     * Returns the value to write now, or null if there is none: a value is written after searchers
+     * were ejected or returned, and when the broker ends.
      *
      * @param now Unix ms
      */
@@ -68,13 +74,13 @@
                     }
                 });
         boolean isFinal = isEnding && !stats.isEmpty();
-        boolean hasNews = isFinal || !ejected.equals(writtenEjected);
-        boolean isTooSoon = !isEnding && now - writtenAt < minIntervalMs;
-        if (!hasNews || isTooSoon) {
+        boolean hasChanges = isFinal || !ejected.equals(lastWrittenEjected);
+        boolean isTooSoon = !isEnding && now - lastWrittenAtMs < minIntervalMs;
+        if (!hasChanges || isTooSoon) {
             return null;
         }
-        writtenEjected = ejected;
-        writtenAt = now;
+        lastWrittenEjected = ejected;
+        lastWrittenAtMs = now;
         return encode(now, stats);
     }
 
@@ -97,7 +103,7 @@
                 + String.format(Locale.ROOT, "%.2f", stats.relativeLatency());
     }
 
-    /** Reads what a broker has written; entries that cannot be read are left out. */
+    /** Decodes the statistics that a broker has written; malformed entries are skipped. */
     public static BrokerStats of(String broker, String text) {
         FormAttributes attributes = FormAttributes.of(text);
         Map<String, SharedServerStats> bySearcher = new TreeMap<>();
@@ -122,11 +128,14 @@
                 Double.parseDouble(fields[3]));
     }
 
-    /** What a broker starts with, of all that was written no longer ago than {@code maxAgeMs}. */
+    /**
+     * Returns the statistics that a starting broker imports; those written longer than {@code
+     * maxAgeMs} ago are ignored.
+     */
     public static Map<String, SharedServerStats> importFor(
-            String self, List<BrokerStats> all, long now, long maxAgeMs) {
+            String self, List<BrokerStats> allStats, long now, long maxAgeMs) {
         List<BrokerStats> recent =
-                all.stream().filter(stats -> now - stats.at() <= maxAgeMs).toList();
+                allStats.stream().filter(stats -> now - stats.writtenAtMs() <= maxAgeMs).toList();
         for (BrokerStats stats : recent) {
             if (stats.broker().equals(self)) {
                 return stats.bySearcher();
@@ -142,8 +151,8 @@
         }
         Map<String, SharedServerStats> agreed = new TreeMap<>();
         reports.forEach(
-                (name, ofSearcher) -> {
-                    SharedServerStats stats = agree(ofSearcher, recent.size());
+                (name, reportsOfSearcher) -> {
+                    SharedServerStats stats = majorityStats(reportsOfSearcher, recent.size());
                     if (stats != null) {
                         agreed.put(name, stats);
                     }
@@ -151,25 +160,33 @@
         return agreed;
     }
 
-    /** What most brokers report of a searcher's latest process, or null. */
-    private static SharedServerStats agree(List<SharedServerStats> reports, int brokers) {
-        long started = reports.stream().mapToLong(SharedServerStats::startedAtMs).max().orElse(0);
+    /**
+     * Returns the majority's statistics of a searcher's latest process, or null if at most half of
+     * the brokers report that process.
+     */
+    private static SharedServerStats majorityStats(
+            List<SharedServerStats> reports, int brokerCount) {
+        long latestStartMs =
+                reports.stream().mapToLong(SharedServerStats::startedAtMs).max().orElse(0);
         List<SharedServerStats> latest =
                 reports.stream()
-                        .filter(stats -> stats.startedAtMs() == started)
+                        .filter(stats -> stats.startedAtMs() == latestStartMs)
                         .sorted(Comparator.comparingDouble(SharedServerStats::relativeLatency))
                         .toList();
-        if (latest.size() * 2 <= brokers) {
+        if (latest.size() * 2 <= brokerCount) {
             return null;
         }
-        boolean ejected = isMajority(latest, SharedServerStats::ejected, brokers);
-        boolean silent = isMajority(latest, SharedServerStats::unresponsive, brokers);
-        double medianSlowness = latest.get(latest.size() / 2).relativeLatency();
-        return new SharedServerStats(started, ejected, ejected && silent, medianSlowness);
+        boolean ejected = isMajority(latest, SharedServerStats::ejected, brokerCount);
+        boolean unresponsive = isMajority(latest, SharedServerStats::unresponsive, brokerCount);
+        double medianLatency = latest.get(latest.size() / 2).relativeLatency();
+        return new SharedServerStats(
+                latestStartMs, ejected, ejected && unresponsive, medianLatency);
     }
 
     private static boolean isMajority(
-            List<SharedServerStats> reports, Predicate<SharedServerStats> property, int brokers) {
-        return reports.stream().filter(property).count() * 2 > brokers;
+            List<SharedServerStats> reports,
+            Predicate<SharedServerStats> property,
+            int brokerCount) {
+        return reports.stream().filter(property).count() * 2 > brokerCount;
     }
 }
--- a/src/main/java/reeldeal/fleet/takeover/TakeoverPolicy.java
+++ b/src/main/java/reeldeal/fleet/takeover/TakeoverPolicy.java
@@ -11,52 +11,55 @@
 import reeldeal.fleet.FleetView.Member;
 
 /**
- * Which broker takes over which record, and what may still be done with it. All brokers come to the
- * same assignment from the same state; where their copies differ, the write's conditions let one of
- * them have the record.
+ * Decides which broker takes over which record, and whether its request may be run again. All
+ * brokers derive the same assignment from the same state; if their copies differ, the conditions of
+ * the writes let only one of them get the record.
  *
- * <p>Stateless. Protected and overridable methods are rules that the simulation overrides to check
- * that it notices.
+ * <p>Stateless. The simulation overrides methods with broken rules, to check that it detects them.
  */
 public class TakeoverPolicy {
 
     /**
-     * For how long searchers drop repeats of a key, counted from its first sending.
+     * The time for which searchers drop repeats of a key, counted from when its request was first
+     * sent.
      *
-     * @param windowMs as configured, ms; 0 where a repeat does no harm
-     * @param errorMs the most by which the wall clocks of two machines may differ, ms
-     * @param leastMs the least time that a shard request needs, ms
+     * @param windowMs the configured length, ms; 0 if repeats do no harm
+     * @param errorMs the maximum difference between the wall clocks of two machines, ms
+     * @param leastMs the minimum time that a shard request needs, ms
      */
     public record Window(long windowMs, long errorMs, long leastMs) {
-        /** Unix ms from which on no shard request may be sent of a request first sent then. */
+        /**
+         * Returns the Unix ms from which on no shard request of a request may be sent that was
+         * first sent at {@code firstSentAtMs}.
+         */
         public long endsAt(long firstSentAtMs) {
             return windowMs == 0 ? Long.MAX_VALUE : firstSentAtMs + windowMs - errorMs;
         }
     }
 
-    /** What may be done with a request of which shard requests may have been sent. */
+    /** Whether a request may be run again whose shard requests may have been sent. */
     public enum Verdict {
-        /** It may be run. */
+        /** The request may be run again. */
         RUN,
-        /** It may have run, and cannot be run again. */
+        /** The request may have run, and cannot be run again safely. */
         UNKNOWN,
-        /** No time is left; a repeat would do no harm. */
+        /** Too little time is left before the deadline; a repeat would do no harm. */
         TOO_LATE;
 
-        /** The state in which a request ends that may not be run. */
+        /** Returns the final state of a request that may not be run again. */
         RequestRecord.State finalState() {
             return this == UNKNOWN ? RequestRecord.State.UNKNOWN : RequestRecord.State.FAILED;
         }
 
-        /** The outcome of a request that may not be run. */
+        /** Returns the recorded outcome of a request that may not be run again. */
         String finalOutcome() {
             return this == UNKNOWN ? "" : InFlightRequests.LATE;
         }
     }
 
     /**
-     * Whether a record's owner can do nothing more for it: its lease has ended, or it has another
-     * incarnation since.
+     * Whether a record is open and its owner can no longer run the request: the owner is not a
+     * member, its lease has ended, or it has another incarnation now.
      */
     public boolean isOrphaned(FleetView fleet, RequestRecord record) {
         Member owner = fleet.members().get(record.owner());
@@ -67,9 +70,9 @@
     }
 
     /**
-     * The orphaned records that a broker has to take over, in its order: the highest priority
-     * weight, then the earliest deadline. Each is assigned to the serving broker with the fewest
-     * open records, of another zone than its owner's if there is one.
+     * Returns the orphaned records that a broker has to take over, by descending priority weight,
+     * then by ascending deadline. Each is assigned to the serving broker with the fewest open
+     * records; among equals, a broker outside the zone of the record's owner is preferred.
      */
     public List<RequestRecord> assignedOrphans(
             FleetView fleet, Collection<RequestRecord> open, String self) {
@@ -116,8 +119,8 @@
     }
 
     /**
-     * The write with which a broker takes a record over; it expects the record, and the end of its
-     * owner's lease, as they were seen.
+     * Returns the write with which a broker takes over a record. It expects that the record, and
+     * the end of its owner's lease, are as this broker's copy shows them.
      */
     public ConditionalWrite claim(FleetView fleet, RequestRecord record, Member self) {
         RequestRecord claimed = record.takenOverBy(self.name(), self.incarnation());
@@ -125,7 +128,8 @@
     }
 
     /**
-     * The write with which a broker ends an orphaned record that may not be run; as {@link #claim}.
+     * Returns the write with which a broker ends an orphaned record whose request may not be run
+     * again, with the same conditions as {@link #claim}.
      */
     public ConditionalWrite close(
             FleetView fleet, RequestRecord record, Member self, Verdict verdict, long now) {
@@ -141,7 +145,7 @@
             RequestRecord replacement) {
         String storeKey = RequestRecord.storeKey(record.key());
         String description =
-                self.name() + " " + verb + " " + record.key() + " from " + record.owner();
+                self.name() + " " + verb + " request " + record.key() + " of " + record.owner();
         ConditionalWrite write =
                 ConditionalWrite.because(description)
                         .expect(storeKey, record.version())
@@ -151,7 +155,10 @@
         return write.put(storeKey, replacement.toAttributes());
     }
 
-    /** The owner's lease must have ended in the log, by its registration and its state. */
+    /**
+     * Makes a write expect the owner's registration and state at the versions by which the owner's
+     * lease has ended.
+     */
     protected void expectOwnerEnded(FleetView fleet, RequestRecord record, ConditionalWrite write) {
         String registration = FleetView.BOOT + record.owner();
         String state = FleetView.STATE + record.owner();
@@ -159,17 +166,20 @@
     }
 
     /**
-     * What may be done at a time, Unix ms.
+     * Returns whether a request may be run again at {@code now}, Unix ms.
      *
-     * @param isDeduplicated whether the searchers that may have run it can be shown to drop
-     *     repeats: each is the process that it was when the request began
+     * @param isDeduplicated whether the searchers that may have run the request can be shown to
+     *     drop repeats, as each is still the same process as when the request was first sent
      */
     public Verdict verdict(RequestRecord record, long now, Window window, boolean isDeduplicated) {
-        boolean mayHaveRunTwice = window.windowMs() > 0 && !isDeduplicated;
-        return mayHaveRunTwice ? Verdict.UNKNOWN : verdict(record, now, window);
+        boolean mayRunTwice = window.windowMs() > 0 && !isDeduplicated;
+        return mayRunTwice ? Verdict.UNKNOWN : verdict(record, now, window);
     }
 
-    /** The same where searchers drop repeats. */
+    /**
+     * Returns whether a request may be run again at {@code now} if searchers drop its repeats
+     * within the window.
+     */
     public Verdict verdict(RequestRecord record, long now, Window window) {
         if (now + window.leastMs() > record.deadlineMs()) {
             return window.windowMs() == 0 ? Verdict.TOO_LATE : Verdict.UNKNOWN;
@@ -177,7 +187,10 @@
         return isRepeatable(record, now, window) ? Verdict.RUN : Verdict.UNKNOWN;
     }
 
-    /** Whether searchers drop repeats of it for as long as a shard request needs. */
+    /**
+     * Whether a repeat does no harm, or searchers will drop it for at least as long as a shard
+     * request needs.
+     */
     public boolean isRepeatable(RequestRecord record, long now, Window window) {
         return window.windowMs() == 0
                 || now + window.leastMs() <= window.endsAt(record.firstSentAtMs());
--- a/src/main/java/reeldeal/fleet/takeover/WaitingClients.java
+++ b/src/main/java/reeldeal/fleet/takeover/WaitingClients.java
@@ -10,15 +10,18 @@
 /** The clients that wait for a record or an outcome, by key. Used on the store's loop. */
 final class WaitingClients {
 
-    /** One client; it has to join a record by its time, or does without. */
+    /**
+     * A waiting client; if it has no record to join by {@code joinDeadlineMs}, it is rejected or
+     * its request runs without one.
+     */
     static final class Client {
         private final KeyedRequest request;
-        private final long joinBy;
+        private final long joinDeadlineMs;
         private int joinedRun;
 
-        Client(KeyedRequest request, long joinBy) {
+        Client(KeyedRequest request, long joinDeadlineMs) {
             this.request = request;
-            this.joinBy = joinBy;
+            this.joinDeadlineMs = joinDeadlineMs;
         }
 
         KeyedRequest request() {
@@ -26,15 +29,18 @@
         }
 
         boolean isJoinOverdue(long now) {
-            return now >= joinBy;
+            return now >= joinDeadlineMs;
         }
 
-        /** It waits for the outcome of an open record. */
-        void join(RequestRecord open) {
-            joinedRun = open.runs();
+        /** Makes this client wait for the outcome of an open record. */
+        void join(RequestRecord record) {
+            joinedRun = record.runs();
         }
 
-        /** Whether a record is the outcome it waits for: a failure only of a run that it joined. */
+        /**
+         * Whether a record has the outcome that this client waits for; a failure counts only if the
+         * client has joined a run before.
+         */
         boolean isOutcome(RequestRecord record) {
             return switch (record.state()) {
                 case DONE, UNKNOWN -> true;
@@ -54,12 +60,14 @@
         return clients.containsKey(key);
     }
 
-    /** The client that has waited longest for a key, for which one must wait. */
+    /**
+     * Returns the request of the client that has waited longest for a key; at least one must wait.
+     */
     KeyedRequest first(String key) {
         return clients.get(key).get(0).request();
     }
 
-    /** Removes the clients of a key that are settled. */
+    /** Removes the clients of a key that need not wait any longer. */
     void removeIf(String key, Predicate<Client> isSettled) {
         List<Client> waiting = clients.get(key);
         if (waiting != null && waiting.removeIf(isSettled) && waiting.isEmpty()) {
@@ -77,7 +85,7 @@
         return clients.keySet();
     }
 
-    /** The number of keys. */
+    /** Returns the number of keys that clients wait for. */
     int size() {
         return clients.size();
     }
--- a/src/main/java/reeldeal/fleet/takeover/package-info.java
+++ b/src/main/java/reeldeal/fleet/takeover/package-info.java
@@ -1,10 +1,12 @@
 /**
- * Keyed requests that survive their broker: a record before the first shard request is sent, a
- * claim by one other broker once the owner's lease has ended, one outcome.
+ * Keeps keyed requests alive beyond their broker: a request is recorded before its first shard
+ * request is sent, is claimed by one other broker once its owner's lease has ended, and has one
+ * outcome.
  *
  * <p>{@link reeldeal.fleet.takeover.InFlightRequests} is the state machine of one broker, {@link
- * reeldeal.fleet.takeover.TakeoverPolicy} the rules. No I/O: {@code reeldeal.takeover} wires it.
- * Imports {@code reeldeal.fleet} and {@code reeldeal.fleet.disruption}. State is in the memory of
- * one broker, used on the store's loop.
+ * reeldeal.fleet.takeover.TakeoverPolicy} has the rules. The package does no I/O; {@code
+ * reeldeal.takeover} connects it to the store and the broker. Imports {@code reeldeal.fleet} and
+ * {@code reeldeal.fleet.disruption}. The state is in the memory of one broker and is used on the
+ * store's loop.
  */
 package reeldeal.fleet.takeover;
--- a/src/main/java/reeldeal/takeover/Failpoint.java
+++ b/src/main/java/reeldeal/takeover/Failpoint.java
@@ -5,9 +5,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Points at which the fault injection has this process end as if it were killed. The system
- * property {@code reeldeal.drill.die} gives their names with probabilities in thousandths, as
- * {@code after_record:20,after_claim:50}; without it they do nothing. May be reached on any thread.
+ * Points at which fault injection ends this process as if it were killed. The system property
+ * {@code reeldeal.drill.die} lists their labels with probabilities in thousandths, such as {@code
+ * after_record:20,after_claim:50}; without the property they do nothing. Thread-safe.
  */
 enum Failpoint {
     BEFORE_RECORD("before_record"),
@@ -25,7 +25,7 @@
     private static final SplittableRandom RANDOM =
             PROBABILITIES.isEmpty() ? null : new SplittableRandom(ProcessHandle.current().pid());
 
-    /** The name in the system property and in the log. */
+    /** The name of this point in the system property and in the log. */
     private final String label;
 
     Failpoint(String label) {
@@ -34,8 +34,8 @@
 
     private static Map<String, Integer> parse(String property) {
         Map<String, Integer> probabilities = new HashMap<>();
-        for (String point : property.split(",")) {
-            String[] nameAndProbability = point.split(":");
+        for (String entry : property.split(",")) {
+            String[] nameAndProbability = entry.split(":");
             if (nameAndProbability.length == 2) {
                 probabilities.put(nameAndProbability[0], Integer.parseInt(nameAndProbability[1]));
             }
--- a/src/main/java/reeldeal/takeover/QueryClassPolicies.java
+++ b/src/main/java/reeldeal/takeover/QueryClassPolicies.java
@@ -9,36 +9,38 @@
 import reeldeal.fleet.takeover.TakeoverPolicy;
 import reeldeal.takeover.TakeoverConfig.Mode;
 
-/** The recording mode and the deduplication window of each query class. Immutable. */
+/** Holds the recording mode and the deduplication window of each query class. Immutable. */
 final class QueryClassPolicies {
-    /** A window in which no run may be repeated. */
+    /** The length of a window so short that no run may be repeated, ms. */
     private static final long NO_REPEATS_MS = 1;
 
-    private static final TakeoverPolicy.Window UNKNOWN_CLASS =
+    private static final TakeoverPolicy.Window UNKNOWN_CLASS_WINDOW =
             new TakeoverPolicy.Window(NO_REPEATS_MS, 0, 0);
 
-    private final List<String> names;
+    private final List<String> classNames;
     private final List<Mode> modes = new ArrayList<>();
     private final Map<String, TakeoverPolicy.Window> windows = new HashMap<>();
 
-    /** Throws IllegalArgumentException where the configuration names a class that is none. */
-    QueryClassPolicies(List<String> names, List<QueryClass> classes, TakeoverConfig config) {
-        this.names = names;
-        for (String configured : config.classes().keySet()) {
-            if (!names.contains(configured)) {
+    /**
+     * Throws IllegalArgumentException if the configuration names a query class that does not exist.
+     */
+    QueryClassPolicies(List<String> classNames, List<QueryClass> classes, TakeoverConfig config) {
+        this.classNames = classNames;
+        for (String className : config.classes().keySet()) {
+            if (!classNames.contains(className)) {
                 throw new IllegalArgumentException(
                         "store handover.classes."
-                                + configured
-                                + ": no such class; there are "
-                                + String.join(", ", names));
+                                + className
+                                + ": no such query class; expected one of "
+                                + String.join(", ", classNames));
             }
         }
-        for (int i = 0; i < names.size(); i++) {
+        for (int i = 0; i < classNames.size(); i++) {
             QueryClass queryClass = classes.get(i);
             boolean isKeyed = queryClass.repeatSafety() == RepeatSafety.IDEMPOTENT_WITH_KEY;
-            modes.add(config.mode(names.get(i), isKeyed));
+            modes.add(config.mode(classNames.get(i), isKeyed));
             windows.put(
-                    names.get(i),
+                    classNames.get(i),
                     new TakeoverPolicy.Window(
                             windowMs(queryClass),
                             config.clockErrorMs(),
@@ -59,15 +61,15 @@
     }
 
     String name(int classIndex) {
-        return names.get(classIndex);
+        return classNames.get(classIndex);
     }
 
-    /** The index of a class, negative where this configuration has none of that name. */
+    /** Returns the index of the query class with this name, negative if there is none. */
     int indexOf(String name) {
-        return names.indexOf(name);
+        return classNames.indexOf(name);
     }
 
     TakeoverPolicy.Window window(String name) {
-        return windows.getOrDefault(name, UNKNOWN_CLASS);
+        return windows.getOrDefault(name, UNKNOWN_CLASS_WINDOW);
     }
 }
--- a/src/main/java/reeldeal/takeover/RecordSweeper.java
+++ b/src/main/java/reeldeal/takeover/RecordSweeper.java
@@ -13,11 +13,11 @@
 import reeldeal.store.StoreNode;
 
 /**
- * On the node that writes the store, deletes expired request records, one page after another, and
- * maintains their quota. Used on the store's loop.
+ * Deletes expired request records, one page after another, and maintains their quota, on the node
+ * that accepts the store's writes. Used on the store's loop.
  */
 final class RecordSweeper {
-    /** The interval of {@link #sweep}, ms. */
+    /** The interval between calls of {@link #sweep}, ms. */
     static final int INTERVAL_MS = 1_000;
 
     private static final int PAGE_SIZE = 500;
@@ -26,7 +26,10 @@
 
     private final StoreNode store;
     private final TakeoverConfig config;
-    private String position = RequestRecord.ROOT;
+
+    /** The store's key after which the next page begins. */
+    private String lastSweptKey = RequestRecord.ROOT;
+
     private boolean writeInProgress;
 
     RecordSweeper(StoreNode store, TakeoverConfig config) {
@@ -34,9 +37,13 @@
         this.config = config;
     }
 
-    /** Sweeps one page; not by a clock that may be ahead, which would delete outcomes too early. */
-    void sweep(boolean isClockRight) {
-        if (!store.acceptsWrites() || writeInProgress || !isClockRight) {
+    /**
+     * Deletes the expired records of the next page. Does nothing if this node does not accept
+     * writes, the previous deletion is in progress, or the clock may be wrong: a clock that is
+     * ahead would delete outcomes too early.
+     */
+    void sweep(boolean isClockAccurate) {
+        if (!store.acceptsWrites() || writeInProgress || !isClockAccurate) {
             return;
         }
         maintainQuota();
@@ -58,13 +65,14 @@
     }
 
     private List<RequestRecord> nextPage() {
-        Map<String, KeyValueState.Value> page = store.page(RequestRecord.ROOT, position, PAGE_SIZE);
+        Map<String, KeyValueState.Value> page =
+                store.page(RequestRecord.ROOT, lastSweptKey, PAGE_SIZE);
         List<RequestRecord> records = new ArrayList<>();
         page.forEach(
                 (key, value) ->
                         records.add(RequestRecord.parse(key, value.text(), value.version())));
         boolean isLastPage = page.size() < PAGE_SIZE;
-        position =
+        lastSweptKey =
                 isLastPage
                         ? RequestRecord.ROOT
                         : RequestRecord.storeKey(records.get(records.size() - 1).key());
--- a/src/main/java/reeldeal/takeover/RecordingSubmitter.java
+++ b/src/main/java/reeldeal/takeover/RecordingSubmitter.java
@@ -25,24 +25,25 @@
 import reeldeal.takeover.TakeoverConfig.Mode;
 
 /**
- * Stands between the fronts and the broker: has keyed requests recorded before they run, runs
- * requests that were taken over, and checks before each sending that their records are still this
- * broker's.
+ * Submits the fronts' requests to the broker. It has keyed requests recorded before they run, runs
+ * requests that this broker has taken over, and checks before each shard request is sent that this
+ * broker still owns the request's record.
  *
- * <p>Owns the waiting clients and the runs, on the broker's loop, on which its methods are called
- * unless they say otherwise. The records are on the store's loop, in {@link RequestRecordStore}.
+ * <p>Owns the waiting clients and the runs, on the broker's loop; its methods are called on that
+ * loop unless their comments name another. The records are kept on the store's loop, in {@link
+ * RequestRecordStore}.
  */
 public final class RecordingSubmitter implements RequestSubmitter, RequestRecordStore.Runner {
-    /** The longest text of a request whose record fits into the store, characters. */
+    /** The maximum length of a request's text whose record fits into the store, in characters. */
     private static final int MAX_TEXT_LENGTH = 40_000;
 
-    /** The longest outcome that fits into the store, characters. */
+    /** The length from which on an outcome does not fit into the store, in characters. */
     private static final int MAX_OUTCOME_LENGTH = MAX_TEXT_LENGTH * 4;
 
-    /** A client whose request is being recorded or runs under a record. */
+    /** A client that waits while its request is being recorded or runs under a record. */
     private record WaitingClient(Request request, String key, Consumer<Reply> reply) {}
 
-    /** A request that runs at the broker. */
+    /** The run of a request at the broker. */
     private static final class Run {
         private final long requestId;
         private final boolean isRecorded;
@@ -68,13 +69,14 @@
     private final SplittableRandom random;
 
     /**
-     * A submitter in front of a broker.
+     * Creates a submitter in front of a broker.
      *
      * @param loop the broker's loop
      * @param storeLoop the store's loop
      * @param classes the names of the query classes, in the order of the settings
-     * @param holdsLease whether this broker surely holds its lease; called on the broker's loop
-     * @param wallClockErrorMs by how much this node's wall clock is off at the least, ms, negative
+     * @param holdsLease returns whether this broker certainly holds its lease; called on the
+     *     broker's loop
+     * @param wallClockErrorMs returns the minimum error of this node's wall clock, ms, negative
      *     while unknown; called on the store's loop
      */
     public RecordingSubmitter(
@@ -102,8 +104,9 @@
     }
 
     /**
-     * Sets whether the searchers of some shards can be shown to drop repeats of a request that
-     * began at a time, Unix ms; on the store's loop, which also calls it.
+     * Sets the check that returns whether the searchers of the given shards can be shown to drop
+     * repeats of a request that was first sent at the given Unix ms. Called on the store's loop, as
+     * is the check.
      */
     public void setDeduplicationCheck(BiPredicate<List<Integer>, Long> isDeduplicated) {
         recordStore.setDeduplicationCheck(
@@ -112,19 +115,22 @@
                                 RequestRecordCodec.shards(record.body()), record.firstSentAtMs()));
     }
 
-    /** Begins; on the store's loop. */
+    /** Starts the record store. Called on the store's loop. */
     public void start() {
         recordStore.start(this);
     }
 
-    /** The fleet, and this process as a member or null; on the store's loop. */
+    /**
+     * Passes on a changed view of the fleet; {@code self} is this process as a member, or null.
+     * Called on the store's loop.
+     */
     public void onFleetChanged(FleetView fleet, FleetView.Member self) {
         recordStore.onFleetChanged(fleet, self);
     }
 
     /**
-     * Whether a shard request may be sent now: this broker holds its lease, and the copy of the log
-     * says that the record is its own.
+     * Whether a shard request may be sent now. If its request runs under a record, this broker must
+     * hold its lease, and must own the record according to this node's copy of the log.
      */
     public boolean maySend(Effect.Send send) {
         String key = keysByRequest.get(send.request().id());
@@ -146,7 +152,7 @@
         return true;
     }
 
-    // ---- the fronts ----
+    // ---- RequestSubmitter, called by the fronts ----
 
     @Override
     public double now() {
@@ -216,7 +222,7 @@
                         settings.classes().get(request.classIndex()).priorityWeight(),
                         WallClock.now() + (long) remainingMs,
                         isRequired);
-        // Whatever happens to the record, the client is answered before its deadline.
+        // Answers the client before its deadline even if there is no outcome yet.
         broker.schedule(Math.max(0, remainingMs - 2 * settings.tickMs()), () -> timeOut(id, key));
         storeLoop.execute(
                 () -> {
@@ -236,18 +242,18 @@
     public void clientDisconnected(long id) {
         WaitingClient client = clients.remove(id);
         if (client != null) {
-            // A recorded request runs on: its client may come for the outcome, to any broker.
+            // A recorded request continues: its client may ask any broker for the outcome later.
             storeLoop.execute(() -> recordStore.clientDisconnected(client.key(), id));
             return;
         }
         String key = keysByRequest.get(id);
         Run run = key == null ? null : runs.get(key);
-        boolean isItsRun = run != null && run.requestId == id;
-        if (isItsRun && run.isRecorded) {
-            return; // its client has been answered, and the recorded request runs on
+        boolean isRunOfClient = run != null && run.requestId == id;
+        if (isRunOfClient && run.isRecorded) {
+            return; // a recorded request continues; its client has been answered
         }
         broker.clientDisconnected(id);
-        if (isItsRun) {
+        if (isRunOfClient) {
             runEnded(key, run, new Reply.Failed("its client has left"));
         }
     }
@@ -259,11 +265,11 @@
         }
     }
 
-    // ---- what the record store wants; called on the store's loop ----
+    // ---- RequestRecordStore.Runner, called on the store's loop ----
 
     @Override
-    public void run(RequestRecord record, boolean first) {
-        loop.execute(() -> begin(record, first));
+    public void run(RequestRecord record, boolean isFirstRun) {
+        loop.execute(() -> startRun(record, isFirstRun));
     }
 
     @Override
@@ -280,12 +286,12 @@
 
     @Override
     public void reply(RequestAction.ClientAction action) {
-        loop.execute(() -> perform(action));
+        loop.execute(() -> performClientAction(action));
     }
 
     // ---- runs ----
 
-    private void perform(RequestAction.ClientAction action) {
+    private void performClientAction(RequestAction.ClientAction action) {
         if (action instanceof RequestAction.Reply reply) {
             Failpoint.AFTER_OUTCOME.reach();
             answer(reply.client(), replyOf(reply));
@@ -294,9 +300,9 @@
                     action.client(),
                     new Reply.Invalid("the idempotency key belongs to another request"));
         } else if (action instanceof RequestAction.Reject) {
-            // Spread, so that clients rejected together do not retry together.
-            double spread = 0.5 + 0.5 * random.nextDouble();
-            double retryAfterMs = settings.limits().maxRetryAfterMs() * spread;
+            // Jitter, so that clients rejected at the same time do not retry at the same time.
+            double jitter = 0.5 + 0.5 * random.nextDouble();
+            double retryAfterMs = settings.limits().maxRetryAfterMs() * jitter;
             answer(action.client(), new Reply.Rejected(retryAfterMs));
         } else if (action instanceof RequestAction.ProceedUnrecorded) {
             runUnrecorded(action.client());
@@ -327,21 +333,23 @@
                 });
     }
 
-    private void begin(RequestRecord record, boolean first) {
-        (first ? Failpoint.AFTER_RECORD : Failpoint.AFTER_CLAIM).reach();
+    private void startRun(RequestRecord record, boolean isFirstRun) {
+        (isFirstRun ? Failpoint.AFTER_RECORD : Failpoint.AFTER_CLAIM).reach();
         int classIndex = classPolicies.indexOf(record.queryClass());
         if (classIndex < 0) {
-            return; // a class of another configuration: its record ends at its deadline
+            return; // the class is not in this configuration: no run begins, and the record stays
+            // open
         }
-        Request own = first ? waitingRequest(record) : null;
-        Request request = own != null ? own : requestOf(record, classIndex, first);
+        Request clientRequest = isFirstRun ? waitingRequest(record) : null;
+        Request request =
+                clientRequest != null ? clientRequest : requestOf(record, classIndex, isFirstRun);
         Run run = new Run(request.id(), true);
         runs.put(record.key(), run);
         keysByRequest.put(request.id(), record.key());
         broker.submit(request, reply -> runEnded(record.key(), run, reply));
     }
 
-    /** The request of a client that waits for this record, or null. */
+    /** Returns the request of a client that waits for this record, or null if there is none. */
     private Request waitingRequest(RequestRecord record) {
         return clients.values().stream()
                 .filter(client -> client.key().equals(record.key()))
@@ -351,10 +359,10 @@
                 .orElse(null);
     }
 
-    private Request requestOf(RequestRecord record, int classIndex, boolean first) {
+    private Request requestOf(RequestRecord record, int classIndex, boolean isFirstRun) {
         double wallClockAheadMs = WallClock.now() - broker.now();
         double firstSentAtMs =
-                first
+                isFirstRun
                         ? Double.POSITIVE_INFINITY
                         : record.firstSentAtMs() - config.clockErrorMs() - wallClockAheadMs;
         return RequestRecordCodec.request(
--- a/src/main/java/reeldeal/takeover/RequestCounters.java
+++ b/src/main/java/reeldeal/takeover/RequestCounters.java
@@ -6,10 +6,10 @@
 import reeldeal.fleet.FormAttributes;
 import reeldeal.fleet.takeover.RequestAction;
 
-/** What operators see counted of keyed requests since the start. Safe for any thread. */
+/** Counts events of keyed requests since the start of this process, for operators. Thread-safe. */
 final class RequestCounters {
 
-    /** What is counted; the labels are part of the operators' answers, in this order. */
+    /** The counted events. The replies to operators contain the labels, in this order. */
     enum Counter {
         RECORDED("recorded"),
         TAKEN_OVER("taken_over"),
@@ -40,7 +40,7 @@
         counts.get(counter).incrementAndGet();
     }
 
-    /** Counts what a client is answered. */
+    /** Increments the counter of an action that concerns a client. */
     void increment(RequestAction.ClientAction action) {
         if (action instanceof RequestAction.ProceedUnrecorded) {
             increment(Counter.UNRECORDED);
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Adds all counts by their labels. */
+    /** Adds all counts under their labels. */
     void addTo(FormAttributes attributes) {
         counts.forEach((counter, count) -> attributes.with(counter.label, count.get()));
     }
--- a/src/main/java/reeldeal/takeover/RequestRecordCodec.java
+++ b/src/main/java/reeldeal/takeover/RequestRecordCodec.java
@@ -13,8 +13,8 @@
 import reeldeal.fleet.takeover.RequestRecord;
 
 /**
- * Requests and replies as they are stored in a {@link RequestRecord}: what another broker needs to
- * run a request, and to answer its client. Stateless, callable from any thread.
+ * Encodes and decodes the requests and replies in a {@link RequestRecord}, from which another
+ * broker can run the request or answer its client. Stateless and thread-safe.
  */
 final class RequestRecordCodec {
     private static final int DIGEST_BYTES = 16;
@@ -22,7 +22,10 @@
 
     private RequestRecordCodec() {}
 
-    /** The body of a record: the request's shard requests and its text. */
+    /**
+     * Encodes a request as the body of a record: its name, shard requests, text and idempotency
+     * key.
+     */
     static String body(Request request) {
         StringBuilder shardRequests = new StringBuilder();
         for (Request.ShardRequest shardRequest : request.shards()) {
@@ -45,7 +48,10 @@
         return body.toString();
     }
 
-    /** The digest by which two requests under one key are the same: of all but their names. */
+    /**
+     * Returns the digest of a request without its name; two requests under one key are the same if
+     * their digests are equal.
+     */
     static String digest(Request request) {
         String withoutName = FormAttributes.of(body(request)).with("name", "").toString();
         try {
@@ -54,11 +60,12 @@
                             .digest(withoutName.getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(digest, 0, DIGEST_BYTES);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every JVM has SHA-256", e);
+            throw new IllegalStateException(
+                    "SHA-256 is not available, which every Java platform has to provide", e);
         }
     }
 
-    /** The shards of a record's body. */
+    /** Returns the shards of the request in a record's body; none if the body is empty. */
     static List<Integer> shards(String body) {
         if (body.isEmpty()) {
             return List.of();
@@ -69,11 +76,13 @@
     }
 
     /**
-     * The request of a record, for another run; its name at the searchers says which.
+     * Decodes the request of a record for a run; its name gets the number of the run as a suffix,
+     * so that searchers can tell the runs apart.
      *
-     * @param requestId its number at this broker
-     * @param deadlineMs by the broker's clock
-     * @param firstSentAtMs by the broker's clock, positive infinity for a first run
+     * @param requestId the id that this broker gives to the run's request
+     * @param deadlineMs the request's deadline by the broker's clock
+     * @param firstSentAtMs when the request was first sent, by the broker's clock; positive
+     *     infinity for a first run
      */
     static Request request(
             RequestRecord record,
@@ -104,7 +113,7 @@
                 firstSentAtMs);
     }
 
-    /** The outcome of a reply. */
+    /** Encodes a reply as an outcome. */
     static String outcome(Reply reply) {
         if (reply instanceof Reply.Served served) {
             return outcome(served).toString();
@@ -132,7 +141,7 @@
         return outcome;
     }
 
-    /** The reply of an outcome. */
+    /** Decodes a reply from an outcome. */
     static Reply reply(String outcome) {
         FormAttributes attributes = FormAttributes.of(outcome);
         if (!attributes.get("whole").isEmpty()) {
--- a/src/main/java/reeldeal/takeover/RequestRecordStore.java
+++ b/src/main/java/reeldeal/takeover/RequestRecordStore.java
@@ -29,33 +29,38 @@
 import reeldeal.takeover.RequestCounters.Counter;
 
 /**
- * One broker's request records in the store. Owns the {@link InFlightRequests} and their writes, on
- * the store's loop; what it wants of the broker goes to the {@link Runner}. Methods are called on
- * that loop unless they say otherwise.
+ * Connects one broker's request records to the store. Owns the {@link InFlightRequests} and their
+ * writes, on the store's loop, and passes actions for the broker to the {@link Runner}. Methods are
+ * called on that loop unless their comments say otherwise.
  */
 final class RequestRecordStore {
     private static final int TICK_MS = 50;
     private static final int MAX_BATCH_WRITES = 64;
-    private static final int MAX_BATCH_BYTES = 128 * 1024;
+    private static final int MAX_BATCH_LENGTH = 128 * 1024;
     private static final int MAX_BATCHES = 3;
     private static final int RETRY_MS = 300;
 
-    /** The share of the quota that new records may fill; the rest is for outcomes. */
+    /**
+     * The share of the quota that may be in use for new records to be made; the rest is reserved
+     * for outcomes.
+     */
     private static final double QUOTA_SHARE_FOR_NEW = 0.8;
 
-    /** The broker's side; called on the store's loop. */
+    /** Runs requests and answers clients at the broker. Called on the store's loop. */
     interface Runner {
         /** Runs a request under its record. */
-        void run(RequestRecord record, boolean first);
+        void run(RequestRecord record, boolean isFirstRun);
 
-        /** Stops a request whose record is not this broker's any more. */
+        /** Stops the run of a request whose record this broker no longer owns. */
         void stop(String key);
 
         /** Answers a client, or runs its request without a record. */
         void reply(RequestAction.ClientAction action);
     }
 
-    /** Writes that are committed at a version that this node may not have applied yet. */
+    /**
+     * The keys of a batch that is committed at a version that this node may not have applied yet.
+     */
     private record CommittedBatch(long version, Set<String> keys) {}
 
     private final EventLoop loop;
@@ -65,20 +70,30 @@
     private final Consumer<String> log;
     private final InFlightRequests requests;
     private final GroupCommit groupCommit =
-            new GroupCommit(MAX_BATCH_WRITES, MAX_BATCH_BYTES, MAX_BATCHES);
+            new GroupCommit(MAX_BATCH_WRITES, MAX_BATCH_LENGTH, MAX_BATCHES);
     private final RecordSweeper sweeper;
     private final RequestCounters counters = new RequestCounters();
 
-    /** The keys that this broker runs and owns; read from any thread. */
+    /**
+     * The keys of the requests that this broker runs and whose records it owns; read from any
+     * thread.
+     */
     private final Set<String> ownedKeys = ConcurrentHashMap.newKeySet();
 
     private final Set<String> changedKeys = new LinkedHashSet<>();
-    private final Map<Long, Long> batchSentAt = new HashMap<>();
+
+    /** The times at which the batches in progress were sent, by batch id. */
+    private final Map<Long, Long> batchSentAtMs = new HashMap<>();
+
     private final List<CommittedBatch> committedBatches = new ArrayList<>();
     private Runner runner;
     private boolean applyScheduled;
+
+    /** Whether the wall clock is known to be off by more than is allowed. */
     private boolean isClockOff;
-    private boolean isClockRight;
+
+    /** Whether the wall clock's error is known and not more than is allowed. */
+    private boolean isClockAccurate;
 
     RequestRecordStore(
             EventLoop loop,
@@ -106,12 +121,18 @@
                         this::read);
     }
 
-    /** Whether the searchers that may have run a request can be shown to drop repeats. */
+    /**
+     * Sets the check that returns whether the searchers that may have run a request can be shown to
+     * drop repeats.
+     */
     void setDeduplicationCheck(Predicate<RequestRecord> check) {
         requests.setDeduplicationCheck(check);
     }
 
-    /** Begins, before the store reports any change. */
+    /**
+     * Starts listening to the store and schedules the periodic tasks. Called before the store
+     * reports any change.
+     */
     void start(Runner newRunner) {
         runner = newRunner;
         store.onChange(this::onChanges);
@@ -120,7 +141,7 @@
                 .forEach((key, value) -> changedKeys.add(RequestRecord.clientKey(key)));
         loop.scheduleAtFixedRate(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         loop.scheduleAtFixedRate(
-                () -> sweeper.sweep(isClockRight),
+                () -> sweeper.sweep(isClockAccurate),
                 RecordSweeper.INTERVAL_MS,
                 RecordSweeper.INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
@@ -138,7 +159,10 @@
 
     // ---- inputs ----
 
-    /** The fleet as this node's copy has it, and this process as a member, or null. */
+    /**
+     * Applies a changed fleet in this node's copy; {@code self} is this process as a member, or
+     * null.
+     */
     void onFleetChanged(FleetView fleet, FleetView.Member self) {
         updateCapacity();
         requests.onFleetChanged(now(), fleet, self);
@@ -161,14 +185,14 @@
     }
 
     /**
-     * Whether shard requests under a key may be sent as far as this node's copy of the log says;
-     * from any thread.
+     * Whether this broker owns the record of a key, according to this node's copy of the log.
+     * Thread-safe.
      */
     boolean owns(String key) {
         return ownedKeys.contains(key);
     }
 
-    /** Counts for operators; from any thread. */
+    /** Increments a counter. Thread-safe. */
     void count(Counter counter) {
         counters.increment(counter);
     }
@@ -210,38 +234,39 @@
     }
 
     /**
-     * Whether further records may be made. A wall clock that is wrong, or not known to be right
-     * yet, would make records whose times mislead others. While a write takes longer than a record
-     * may, further ones would only queue behind it until they time out.
+     * Updates whether further records may be made. Records made by a wall clock that is wrong, or
+     * not yet known to be accurate, would have times that mislead other brokers. While a write
+     * takes longer than the record timeout, further writes would only queue behind it until they
+     * time out.
      */
     private void updateCapacity() {
         long errorMs = wallClockErrorMs.getAsLong();
         boolean isOff = errorMs > config.clockErrorMs();
-        isClockRight = errorMs >= 0 && !isOff;
+        isClockAccurate = errorMs >= 0 && !isOff;
         if (isOff != isClockOff) {
             isClockOff = isOff;
             log.accept(
                     isOff
-                            ? "work: this node's clock is "
+                            ? "work: this node's wall clock is "
                                     + errorMs
-                                    + " ms off the fleet's; it makes no records and takes over none"
-                            : "work: this node's clock is right again");
+                                    + " ms off the fleet's: the node makes no request records and takes over none"
+                            : "work: this node's wall clock is within the allowed error of the fleet's again");
         }
         boolean isQuotaFull =
                 store.bytesUnder(RequestRecord.ROOT) > config.maxBytes() * QUOTA_SHARE_FOR_NEW;
-        requests.setClockInDoubt(!isClockRight);
+        requests.setClockInDoubt(!isClockAccurate);
         requests.setStoreFull(isQuotaFull || isStoreSlow());
     }
 
     private boolean isStoreSlow() {
-        if (batchSentAt.isEmpty()) {
+        if (batchSentAtMs.isEmpty()) {
             return false;
         }
-        long oldest = Long.MAX_VALUE;
-        for (long sentAt : batchSentAt.values()) {
-            oldest = Math.min(oldest, sentAt);
+        long oldestSentAtMs = Long.MAX_VALUE;
+        for (long sentAtMs : batchSentAtMs.values()) {
+            oldestSentAtMs = Math.min(oldestSentAtMs, sentAtMs);
         }
-        return now() - oldest > config.recordTimeoutMs();
+        return now() - oldestSentAtMs > config.recordTimeoutMs();
     }
 
     // ---- actions ----
@@ -262,7 +287,7 @@
         } else if (action instanceof RequestAction.Run run) {
             counters.increment(Counter.RECORDED);
             ownedKeys.add(run.record().key());
-            runner.run(run.record(), run.first());
+            runner.run(run.record(), run.isFirstRun());
         } else if (action instanceof RequestAction.Stop stop) {
             ownedKeys.remove(stop.key());
             runner.stop(stop.key());
@@ -289,14 +314,14 @@
 
     private void sendBatches() {
         for (GroupCommit.Batch batch : groupCommit.dueBatches()) {
-            batchSentAt.put(batch.id(), now());
+            batchSentAtMs.put(batch.id(), now());
             StoreWrites.submit(
                     store, batch.write(), result -> loop.execute(() -> batchEnded(batch, result)));
         }
     }
 
     private void batchEnded(GroupCommit.Batch batch, StoreNode.Result result) {
-        batchSentAt.remove(batch.id());
+        batchSentAtMs.remove(batch.id());
         Set<String> keys = groupCommit.batchEnded(batch.id(), result instanceof StoreNode.Rejected);
         if (result instanceof StoreNode.Committed committed) {
             committedBatches.add(new CommittedBatch(committed.version(), keys));
@@ -307,9 +332,9 @@
         performActions();
     }
 
-    // ---- operators ----
+    // ---- admin requests ----
 
-    /** {@code work [KEY]}: the counts, or one record without its body. */
+    /** Answers {@code work [KEY]} with the counts, or with one record without its body. */
     private void onAdminRequest(String text, StoreNode.AdminReply reply) {
         String key = text.substring("work".length()).trim();
         if (key.isEmpty()) {
--- a/src/main/java/reeldeal/takeover/TakeoverConfig.java
+++ b/src/main/java/reeldeal/takeover/TakeoverConfig.java
@@ -4,22 +4,24 @@
 import java.util.Set;
 
 /**
- * Which keyed requests are recorded, and for how long. Immutable.
+ * The configuration of request records and takeovers: which requests are recorded, how long records
+ * are kept, and the limits. Immutable.
  *
- * @param keyedMode the mode of query classes whose requests have an idempotency key, where {@code
- *     classes} gives none
- * @param classes modes by the names of query classes
- * @param recordTimeoutMs how long a record may take before the request is rejected or runs without
- *     one, ms
- * @param retentionMs for how long outcomes are kept, ms
- * @param maxBytes the store's quota of records in bytes, ended ones included
- * @param maxOpenRecords the most requests in flight at one broker that are recorded
- * @param maxClaims the most takeovers that one broker has in progress
- * @param clockErrorMs the most by which two brokers' wall clocks may differ, ms; a clock that is
- *     further off makes no records and takes over none
- * @param minimumTimeLeftMs the least time that a shard request needs, ms; with less left none is
- *     sent again
- * @param sharedStats which statistics of searchers a broker shares: {@code ejections}, {@code
+ * @param keyedMode the mode of query classes whose requests have an idempotency key, unless {@code
+ *     classes} gives another
+ * @param classes the modes of single query classes, by class name
+ * @param recordTimeoutMs how long a request waits to be recorded before it is rejected or runs
+ *     without a record, ms
+ * @param retentionMs how long outcomes are kept, ms
+ * @param maxBytes the store's quota for records in bytes, including ended ones
+ * @param maxOpenRecords the maximum number of requests in flight at one broker; further ones are
+ *     not recorded
+ * @param maxClaims the maximum number of takeovers in progress at one broker
+ * @param clockErrorMs the maximum difference between two brokers' wall clocks, ms; a broker whose
+ *     clock is further off makes no records and takes over none
+ * @param minimumTimeLeftMs the minimum time that a shard request needs, ms; with less time left, a
+ *     request is not run again
+ * @param sharedStats the statistics of searchers that a broker shares: {@code ejections}, {@code
  *     paces}
  */
 public record TakeoverConfig(
@@ -34,17 +36,19 @@
         long minimumTimeLeftMs,
         Set<String> sharedStats) {
 
-    /** What happens to a request whose record cannot be made in time. */
+    /** Whether a request is recorded, and how it proceeds if that cannot be done in time. */
     public enum Mode {
-        /** It is rejected, with a Retry-After. */
+        /** It is recorded; if that cannot be done in time, it is rejected with a Retry-After. */
         REQUIRED,
-        /** It runs without a record, and is counted. */
+        /**
+         * It is recorded; if that cannot be done in time, it runs without a record and is counted.
+         */
         PREFERRED,
-        /** No record is made. */
+        /** It is not recorded. */
         OFF
     }
 
-    /** The configuration where the file gives none. */
+    /** The default values of the settings. */
     public static final TakeoverConfig DEFAULT =
             new TakeoverConfig(
                     Mode.PREFERRED,
@@ -58,8 +62,8 @@
                     100,
                     Set.of("ejections", "paces"));
 
-    /** The same with another mode for classes with idempotency keys. */
-    public TakeoverConfig with(Mode mode) {
+    /** Returns this configuration with another mode for query classes with idempotency keys. */
+    public TakeoverConfig withKeyedMode(Mode mode) {
         return new TakeoverConfig(
                 mode,
                 classes,
@@ -73,7 +77,10 @@
                 sharedStats);
     }
 
-    /** The mode of a query class; {@code isKeyed} whether its requests have an idempotency key. */
+    /**
+     * Returns the mode of a query class; {@code isKeyed} is whether its requests have an
+     * idempotency key.
+     */
     public Mode mode(String queryClass, boolean isKeyed) {
         return classes.getOrDefault(queryClass, isKeyed ? keyedMode : Mode.OFF);
     }
--- a/src/test/java/reeldeal/fleet/takeover/DeduplicationWindowTest.java
+++ b/src/test/java/reeldeal/fleet/takeover/DeduplicationWindowTest.java
@@ -11,7 +11,7 @@
 import reeldeal.fleet.disruption.DisruptionBudget;
 import reeldeal.fleet.disruption.ObservedSearcher;
 
-/** Whether all replicas of a shard drop repeats; shard s lies in the cells s and s + 1. */
+/** Tests whether all replicas of a shard drop repeats. Cells s and s + 1 hold shard s. */
 public class DeduplicationWindowTest {
     private static final DisruptionBudget.ShardLayout LAYOUT =
             new DisruptionBudget.ShardLayout(12, 4, 2);
@@ -40,28 +40,28 @@
     }
 
     @Test
-    public void replicasThatStartedBeforeTheRequestDropRepeats() {
+    public void repeatsAreDroppedWhereAllReplicasStartedBeforeTheRequest() {
         assertTrue(isDeduplicated(1, 1_000));
     }
 
     @Test
-    public void aReplicaThatStartedLaterDropsNone() {
+    public void aReplicaThatStartedAfterTheRequestMayNotDropRepeats() {
         assertFalse(isDeduplicated(2, 1_000));
     }
 
     @Test
-    public void aReplicaThatMayHaveStartedLaterByTheClocksDropsNone() {
+    public void aReplicaThatStartedWithinTheClockErrorMayNotDropRepeats() {
         assertFalse(isDeduplicated(1, 800));
     }
 
     @Test
-    public void aReplicaThatIsNotListedDropsNone() {
+    public void aKnownReplicaThatIsNotListedMayNotDropRepeats() {
         listed.remove("s2");
         assertFalse(isDeduplicated(1, 1_000));
     }
 
     @Test
-    public void withoutAListNothingIsKnown() {
+    public void withoutAnEndpointListRepeatsMayNotBeDropped() {
         assertFalse(DeduplicationWindow.of(List.of(1), KNOWN, null, LAYOUT, 1_000, 150));
     }
 }
--- a/src/test/java/reeldeal/fleet/takeover/GroupCommitTest.java
+++ b/src/test/java/reeldeal/fleet/takeover/GroupCommitTest.java
@@ -10,62 +10,62 @@
 import org.junit.Test;
 import reeldeal.fleet.ConditionalWrite;
 
-/** Writes that share commits. */
+/** Tests how writes are grouped into batches and how rejected batches are retried. */
 public class GroupCommitTest {
-    private final GroupCommit commits = new GroupCommit(3, 100, 1);
+    private final GroupCommit groupCommit = new GroupCommit(3, 100, 1);
 
     @Before
-    public void fiveWritesAndOneDecidedFromAnotherState() {
+    public void addFiveWritesAndOneThatExpectsAnotherVersion() {
         for (int i = 0; i < 5; i++) {
-            commits.add(
+            groupCommit.add(
                     "k" + i,
                     ConditionalWrite.because("k" + i)
                             .expect("boot", 1)
                             .expect("work/k" + i, 0)
                             .put("work/k" + i, "v"));
         }
-        commits.add(
+        groupCommit.add(
                 "other",
                 ConditionalWrite.because("other").expect("boot", 2).put("work/other", "v"));
     }
 
-    private GroupCommit.Batch next() {
-        return commits.dueBatches().get(0);
+    private GroupCommit.Batch sendNextBatch() {
+        return groupCommit.dueBatches().get(0);
     }
 
     @Test
     public void aWriteThatWasNotSentIsDropped() {
-        commits.add("given up", ConditionalWrite.because("k").put("work/x", "v"));
-        assertTrue(commits.drop("given up"));
-        assertFalse(commits.drop("given up"));
+        groupCommit.add("given up", ConditionalWrite.because("k").put("work/x", "v"));
+        assertTrue(groupCommit.drop("given up"));
+        assertFalse(groupCommit.drop("given up"));
     }
 
     @Test
-    public void writesShareABatchUpToItsSize() {
-        GroupCommit.Batch first = next();
+    public void writesAreBatchedUpToTheBatchSize() {
+        GroupCommit.Batch first = sendNextBatch();
         assertEquals(Set.of("k0", "k1", "k2"), first.keys());
         assertEquals(4, first.write().expectedVersions().size());
-        assertEquals("one is in progress", List.of(), commits.dueBatches());
+        assertEquals("the only batch allowed is in progress", List.of(), groupCommit.dueBatches());
     }
 
     @Test
     public void theWritesOfARejectedBatchAreSentOneByOne() {
-        assertEquals(Set.of(), commits.batchEnded(next().id(), true));
-        for (String alone : List.of("k0", "k1", "k2")) {
-            GroupCommit.Batch batch = next();
-            assertEquals(Set.of(alone), batch.keys());
-            assertEquals(Set.of(alone), commits.batchEnded(batch.id(), alone.equals("k1")));
+        assertEquals(Set.of(), groupCommit.batchEnded(sendNextBatch().id(), true));
+        for (String key : List.of("k0", "k1", "k2")) {
+            GroupCommit.Batch batch = sendNextBatch();
+            assertEquals(Set.of(key), batch.keys());
+            assertEquals(Set.of(key), groupCommit.batchEnded(batch.id(), key.equals("k1")));
         }
-        assertEquals(Set.of("k3", "k4"), next().keys());
+        assertEquals(Set.of("k3", "k4"), sendNextBatch().keys());
     }
 
     @Test
-    public void aWriteDecidedFromAnotherStateGoesByItself() {
-        commits.batchEnded(next().id(), false);
-        GroupCommit.Batch second = next();
+    public void aWriteThatExpectsAnotherVersionIsSentInItsOwnBatch() {
+        groupCommit.batchEnded(sendNextBatch().id(), false);
+        GroupCommit.Batch second = sendNextBatch();
         assertEquals(Set.of("k3", "k4"), second.keys());
-        commits.batchEnded(second.id(), false);
-        assertEquals(Set.of("other"), next().keys());
-        assertEquals(1, commits.size());
+        groupCommit.batchEnded(second.id(), false);
+        assertEquals(Set.of("other"), sendNextBatch().keys());
+        assertEquals(1, groupCommit.size());
     }
 }
--- a/src/test/java/reeldeal/fleet/takeover/InFlightRequestsTest.java
+++ b/src/test/java/reeldeal/fleet/takeover/InFlightRequestsTest.java
@@ -20,16 +20,18 @@
 import reeldeal.fleet.takeover.RequestAction.Run;
 import reeldeal.fleet.takeover.RequestAction.Stop;
 
-/** One broker's requests where no record can be made, where clients leave, and in takeovers. */
+/**
+ * Tests one broker's requests if no record can be made, if clients disconnect, and in takeovers.
+ */
 public class InFlightRequestsTest {
-    private final Map<String, RequestRecord> copy = new HashMap<>();
+    private final Map<String, RequestRecord> recordCopy = new HashMap<>();
     private final InFlightRequests requests =
             new InFlightRequests(
                     "a",
                     new TakeoverPolicy(),
                     queryClass -> TestRecords.WINDOW,
                     new InFlightRequests.Bounds(2, 3, 250, 300),
-                    copy::get);
+                    recordCopy::get);
 
     private List<?> actionTypes() {
         return requests.drainActions().stream().map(Object::getClass).toList();
@@ -48,7 +50,7 @@
     }
 
     private void putOrphan(String key, long deadlineMs) {
-        copy.put(key, open(key, "dead", 1, deadlineMs));
+        recordCopy.put(key, open(key, "dead", 1, deadlineMs));
     }
 
     @Test
@@ -59,7 +61,7 @@
     }
 
     @Test
-    public void aFullStoreTakesNoRecord() {
+    public void noRecordIsMadeWhileTheStoreIsFull() {
         register();
         requests.setStoreFull(true);
         requests.submit(1_000, request(3, "k3", true));
@@ -70,7 +72,7 @@
     }
 
     @Test
-    public void noMoreRequestsAreRecordedThanAreAllowedInFlight() {
+    public void requestsBeyondTheInFlightLimitAreNotRecorded() {
         requests.submit(1_000, request(2, "k2", false));
         assertEquals(List.of(ProceedUnrecorded.class), actionTypes());
         register();
@@ -78,13 +80,13 @@
             requests.submit(1_000, request(i, "k" + i, true));
         }
         assertEquals(
-                "one runs without a record, two more are allowed",
+                "of three requests allowed in flight, one runs without a record",
                 List.of(Propose.class, Propose.class, Reject.class, Reject.class),
                 actionTypes());
     }
 
     @Test
-    public void aRecordThatTakesTooLongIsGivenUp() {
+    public void clientsStopWaitingForARecordAfterTheRecordTimeout() {
         register();
         requests.submit(1_000, request(1, "must", true));
         requests.submit(1_000, request(2, "may", false));
@@ -93,26 +95,29 @@
         assertEquals(List.of(), actionTypes());
         requests.tick(1_250);
         assertEquals(
-                "their writes are not needed if they have not been sent",
+                "the writes that have not been sent are dropped",
                 List.of(ProceedUnrecorded.class, Drop.class, Reject.class, Drop.class),
                 actionTypes());
     }
 
     @Test
-    public void aRecordThatIsMadeTooLateIsWithdrawnOrUsed() {
+    public void aRecordMadeAfterTheTimeoutIsWithdrawnOrAdopted() {
         register();
         requests.submit(1_000, request(1, "must", true));
         requests.submit(1_000, request(2, "may", false));
         requests.tick(1_250);
         requests.drainActions();
-        copy.put("must", open("must", "a", 2, 5_000));
-        copy.put("may", open("may", "a", 2, 5_000));
+        recordCopy.put("must", open("must", "a", 2, 5_000));
+        recordCopy.put("may", open("may", "a", 2, 5_000));
         requests.writeEnded(1_300, "must", true);
         requests.writeEnded(1_300, "may", true);
-        requests.recordsChanged(1_300, copy.keySet());
-        List<RequestAction> late = requests.drainActions();
-        assertEquals("the rejected one is withdrawn: " + late, 1, late.size());
-        assertNull(changeOf(late.get(0), "must"));
+        requests.recordsChanged(1_300, recordCopy.keySet());
+        List<RequestAction> lateActions = requests.drainActions();
+        assertEquals(
+                "only the record of the rejected request is withdrawn: " + lateActions,
+                1,
+                lateActions.size());
+        assertNull(changeOf(lateActions.get(0), "must"));
         requests.runEnded(1_400, "may", RunOutcome.DONE, "o");
         RequestAction end = requests.drainActions().get(0);
         assertTrue(changeOf(end, "may").contains("state=DONE"));
@@ -122,10 +127,10 @@
     public void aRequestThatWasStoppedIsNotWithdrawnAsUnsent() {
         register();
         requests.submit(1_000, request(1, "k", true));
-        copy.put("k", open("k", "a", 2, 5_000));
+        recordCopy.put("k", open("k", "a", 2, 5_000));
         requests.drainActions();
         requests.writeEnded(1_010, "k", true);
-        requests.recordsChanged(1_010, copy.keySet());
+        requests.recordsChanged(1_010, recordCopy.keySet());
         assertEquals(List.of(Run.class), actionTypes());
         requests.clientDisconnected("k", 1);
         requests.onFleetChanged(1_100, TestRecords.fleet(), null);
@@ -139,14 +144,14 @@
     public void aBrokerWhoseClockIsInDoubtMakesNoRecordsAndTakesOverNone() {
         requests.setClockInDoubt(true);
         putOrphan("k", 5_000);
-        requests.recordsChanged(1_000, copy.keySet());
+        requests.recordsChanged(1_000, recordCopy.keySet());
         register(1_000, TestRecords.fleetWithDeadBroker());
         requests.submit(1_000, request(1, "new", true));
         assertEquals(List.of(Reject.class), actionTypes());
     }
 
     @Test
-    public void aClientThatJoinsARunWithoutARecordIsAnsweredItsOutcome() {
+    public void aClientThatJoinsAnUnrecordedRunGetsItsOutcome() {
         requests.submit(1_000, request(1, "k", false));
         requests.submit(1_010, request(2, "k", false));
         assertEquals(List.of(ProceedUnrecorded.class), actionTypes());
@@ -155,28 +160,28 @@
     }
 
     @Test
-    public void anOrphanWithoutTimeIsEndedWithoutAClaimAndClaimsAreBounded() {
+    public void anOrphanWithTooLittleTimeLeftIsClosedUnclaimedAndClaimsAreLimited() {
         for (int i = 0; i < 4; i++) {
             putOrphan("k" + i, 5_000);
         }
         putOrphan("late", 1_050);
-        requests.recordsChanged(1_000, copy.keySet());
+        requests.recordsChanged(1_000, recordCopy.keySet());
         register(1_000, TestRecords.fleetWithDeadBroker());
         List<RequestAction> actions = requests.drainActions();
         assertEquals(3, actions.size());
         assertTrue(changeOf(actions.get(0), "late").contains("state=UNKNOWN"));
         register(3_500, TestRecords.fleetWithDeadBroker());
         assertEquals(
-                "the window is over: the others end as well",
+                "the window has ended, so the other two orphans are closed as well",
                 List.of(Propose.class, Propose.class),
                 actionTypes());
     }
 
     @Test
-    public void anOrphanWhoseRepeatsAreNotDroppedEndsAsUnknown() {
+    public void anOrphanWhoseRepeatsAreNotDroppedIsClosedAsUnknown() {
         requests.setDeduplicationCheck(record -> false);
         putOrphan("k", 5_000);
-        requests.recordsChanged(1_000, copy.keySet());
+        requests.recordsChanged(1_000, recordCopy.keySet());
         register(1_000, TestRecords.fleetWithDeadBroker());
         RequestAction end = requests.drainActions().get(0);
         assertTrue(changeOf(end, "k").contains("state=UNKNOWN"));
--- a/src/test/java/reeldeal/fleet/takeover/RecordRetentionTest.java
+++ b/src/test/java/reeldeal/fleet/takeover/RecordRetentionTest.java
@@ -11,7 +11,7 @@
 import org.junit.Test;
 import reeldeal.fleet.ConditionalWrite;
 
-/** Which records are deleted. */
+/** Tests which records are deleted. */
 public class RecordRetentionTest {
     private static final List<RequestRecord> PAGE =
             List.of(
@@ -20,12 +20,12 @@
                     record("fresh", "a", 1, 0, RequestRecord.State.UNKNOWN, 9_000));
 
     @Test
-    public void nothingIsDeletedBeforeItsTime() {
+    public void noRecordIsDeletedBeforeItsRetentionEnds() {
         assertNull(RecordRetention.deleteExpired(PAGE, 5_999, 5_000, 10));
     }
 
     @Test
-    public void onlyRecordsThatEndedLongAgoAreDeleted() {
+    public void onlyRecordsThatEndedBeforeTheRetentionPeriodAreDeleted() {
         ConditionalWrite write = RecordRetention.deleteExpired(PAGE, 6_000, 5_000, 10);
         assertEquals(Set.of(RequestRecord.storeKey("old")), write.changes().keySet());
         assertEquals(Map.of(RequestRecord.storeKey("old"), 20L), write.expectedVersions());
--- a/src/test/java/reeldeal/fleet/takeover/ServerStatsExchangeTest.java
+++ b/src/test/java/reeldeal/fleet/takeover/ServerStatsExchangeTest.java
@@ -10,9 +10,9 @@
 import reeldeal.fleet.takeover.ServerStatsExchange.BrokerStats;
 import reeldeal.fleet.takeover.ServerStatsExchange.SharedServerStats;
 
-/** What brokers share of their statistics of searchers. */
+/** Tests which statistics of searchers brokers write and import. */
 public class ServerStatsExchangeTest {
-    private static final List<BrokerStats> ALL =
+    private static final List<BrokerStats> ALL_STATS =
             List.of(
                     written("b", 900, "s1", 3),
                     written("c", 950, "s1", 5),
@@ -21,40 +21,50 @@
 
     private final ServerStatsExchange exchange = new ServerStatsExchange(30_000);
 
-    private static BrokerStats written(String broker, long at, String searcher, double slowness) {
+    private static BrokerStats written(
+            String broker, long writtenAtMs, String searcher, double relativeLatency) {
         return new BrokerStats(
-                broker, at, Map.of(searcher, new SharedServerStats(7, true, true, slowness)));
+                broker,
+                writtenAtMs,
+                Map.of(searcher, new SharedServerStats(7, true, true, relativeLatency)));
     }
 
-    private static Map<String, SharedServerStats> begin(String self, List<BrokerStats> all) {
-        return ServerStatsExchange.importFor(self, all, 1_000, 500);
+    private static Map<String, SharedServerStats> importAtStart(
+            String self, List<BrokerStats> allStats) {
+        return ServerStatsExchange.importFor(self, allStats, 1_000, 500);
     }
 
     @Test
-    public void aBrokerBeginsWithWhatMostAgreeOn() {
-        assertEquals(Map.of("s1", new SharedServerStats(7, true, true, 5)), begin("a", ALL));
+    public void aStartingBrokerImportsStatsThatMostBrokersAgreeOn() {
+        assertEquals(
+                Map.of("s1", new SharedServerStats(7, true, true, 5)),
+                importAtStart("a", ALL_STATS));
     }
 
     @Test
-    public void aBrokerBeginsWithItsOwnStatsWhereTheyAreRecent() {
-        assertEquals(Set.of("s2"), begin("d", ALL).keySet());
-        assertEquals(Map.of(), begin("old", ALL.subList(3, 4)));
+    public void aStartingBrokerImportsItsOwnStatsIfTheyAreRecent() {
+        assertEquals(Set.of("s2"), importAtStart("d", ALL_STATS).keySet());
+        assertEquals(Map.of(), importAtStart("old", ALL_STATS.subList(3, 4)));
     }
 
     @Test
-    public void whatIsWrittenIsRead() {
-        assertNull("nothing to write", exchange.due(0, Map.of(), false));
-        String text = exchange.due(10, ALL.get(0).bySearcher(), false);
+    public void decodedStatsEqualTheWrittenOnes() {
+        assertNull("no searcher is ejected", exchange.due(0, Map.of(), false));
+        String text = exchange.due(10, ALL_STATS.get(0).bySearcher(), false);
         assertEquals(
-                new BrokerStats("b", 10, ALL.get(0).bySearcher()),
+                new BrokerStats("b", 10, ALL_STATS.get(0).bySearcher()),
                 ServerStatsExchange.of("b", text));
     }
 
     @Test
-    public void onlyChangesAreWrittenAndNotTooOften() {
-        exchange.due(10, ALL.get(0).bySearcher(), false);
-        assertNull("no change", exchange.due(40_000, ALL.get(1).bySearcher(), false));
-        assertNull("too soon", exchange.due(20_000, Map.of(), false));
+    public void onlyChangesAreWrittenAtMostOncePerInterval() {
+        exchange.due(10, ALL_STATS.get(0).bySearcher(), false);
+        assertNull(
+                "the same searcher is ejected",
+                exchange.due(40_000, ALL_STATS.get(1).bySearcher(), false));
+        assertNull(
+                "the interval since the last write has not passed",
+                exchange.due(20_000, Map.of(), false));
         assertEquals("at=20000", exchange.due(20_000, Map.of(), true));
     }
 }
--- a/src/test/java/reeldeal/fleet/takeover/TakeoverPolicyTest.java
+++ b/src/test/java/reeldeal/fleet/takeover/TakeoverPolicyTest.java
@@ -11,7 +11,7 @@
 import reeldeal.fleet.FleetView;
 import reeldeal.fleet.FleetView.State;
 
-/** Which broker takes over which record. */
+/** Tests which broker takes over which record. */
 public class TakeoverPolicyTest {
     private final FleetView fleet =
             new FleetValues()
@@ -20,29 +20,34 @@
                     .broker("c", "x", State.DRAINING)
                     .broker("dead", "x", State.LAPSED)
                     .view();
-    private final List<RequestRecord> open = new ArrayList<>();
+    private final List<RequestRecord> openRecords = new ArrayList<>();
 
     @Before
-    public void fiveOrphansAndOneRecordOfA() {
+    public void addFiveOrphansAndOneRecordOfA() {
         for (int i = 0; i < 5; i++) {
-            open.add(open("k" + i, "dead", i == 3 ? 9 : 1, 5_000 + i));
+            openRecords.add(open("k" + i, "dead", i == 3 ? 9 : 1, 5_000 + i));
         }
-        open.add(open("own", "a", 1, 5_000));
+        openRecords.add(open("own", "a", 1, 5_000));
     }
 
     private List<String> assignedTo(String broker) {
         return new TakeoverPolicy()
-                .assignedOrphans(fleet, open, broker).stream().map(RequestRecord::key).toList();
+                .assignedOrphans(fleet, openRecords, broker).stream()
+                        .map(RequestRecord::key)
+                        .toList();
     }
 
     @Test
-    public void orphansGoToTheBrokerWithTheFewestOpenRecords() {
+    public void orphansAreAssignedToTheBrokerWithTheFewestOpenRecords() {
         assertEquals(5, assignedTo("a").size() + assignedTo("b").size());
-        assertEquals("a has one open record already", 3, assignedTo("b").size());
+        assertEquals(
+                "b gets one more orphan than a, which has an open record already",
+                3,
+                assignedTo("b").size());
     }
 
     @Test
-    public void theHighestPriorityGoesFirstAndToAnotherZone() {
+    public void theHighestPriorityIsAssignedFirstAndToAnotherZone() {
         assertEquals("k3", assignedTo("b").get(0));
     }
 
--- a/src/test/java/reeldeal/fleet/takeover/TestRecords.java
+++ b/src/test/java/reeldeal/fleet/takeover/TestRecords.java
@@ -4,9 +4,15 @@
 import reeldeal.fleet.FleetView;
 import reeldeal.fleet.FleetView.State;
 
-/** Records, requests and fleets for the tests of this package; the tested broker is {@code a}. */
+/**
+ * Creates records, requests and fleets for the tests of this package; the tested broker is {@code
+ * a}.
+ */
 final class TestRecords {
-    /** Searchers drop repeats for 2,500 ms, less 150 ms for clocks; 100 ms are needed. */
+    /**
+     * Searchers drop repeats for 2,500 ms, less 150 ms of clock error; a shard request needs 100
+     * ms.
+     */
     static final TakeoverPolicy.Window WINDOW = new TakeoverPolicy.Window(2_500, 150, 100);
 
     private static final String DIGEST = "d";
@@ -14,7 +20,7 @@
 
     private TestRecords() {}
 
-    /** An open record of a broker of incarnation 10, begun at 1,000 ms. */
+    /** Returns an open record of an owner of incarnation 10, first sent at 1,000 ms. */
     static RequestRecord open(String key, String owner, double priorityWeight, long deadlineMs) {
         return record(key, owner, priorityWeight, deadlineMs, RequestRecord.State.OPEN, 0);
     }
@@ -54,12 +60,12 @@
                 recordRequired);
     }
 
-    /** The broker {@code a}, of incarnation 10. */
+    /** Returns a fleet of the broker {@code a}, of incarnation 10. */
     static FleetView fleet() {
         return new FleetValues().broker("a", "x", State.SERVING).view();
     }
 
-    /** The broker {@code a}, and {@code dead}, whose lease has ended. */
+    /** Returns a fleet of the broker {@code a}, and {@code dead}, whose lease has ended. */
     static FleetView fleetWithDeadBroker() {
         return new FleetValues()
                 .broker("a", "x", State.SERVING)
--- a/src/test/java/reeldeal/takeover/RequestCountersTest.java
+++ b/src/test/java/reeldeal/takeover/RequestCountersTest.java
@@ -7,7 +7,7 @@
 import reeldeal.fleet.takeover.RequestAction;
 import reeldeal.fleet.takeover.RequestRecord;
 
-/** The counts that operators see. */
+/** Tests the counts in the replies to operators. */
 public class RequestCountersTest {
     private final RequestCounters counters = new RequestCounters();
 
@@ -18,7 +18,7 @@
     }
 
     @Test
-    public void theLabelsAreThoseThatOperatorsKnow() {
+    public void countsAreListedUnderTheirLabelsInOrder() {
         assertEquals(
                 "recorded=0 taken_over=0 ended_for_others=0 alone=0 refused=0 done=0 failed=0"
                         + " unknown=0 barred=0",
@@ -26,7 +26,7 @@
     }
 
     @Test
-    public void answersAreCountedByTheirKind() {
+    public void clientActionsAreCountedByKind() {
         counters.increment(new RequestAction.ProceedUnrecorded(1));
         counters.increment(new RequestAction.Reject(2));
         counters.increment(new RequestAction.Conflict(3));
--- a/src/test/java/reeldeal/takeover/RequestRecordCodecTest.java
+++ b/src/test/java/reeldeal/takeover/RequestRecordCodecTest.java
@@ -9,7 +9,7 @@
 import reeldeal.core.Request;
 import reeldeal.fleet.takeover.RequestRecord;
 
-/** Requests and replies as they are stored. */
+/** Tests the encoding and decoding of stored requests and replies. */
 public class RequestRecordCodecTest {
     private static Request request(String name, String text) {
         return new Request(
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void aRequestIsReadAsItWasWrittenForAnotherRun() {
+    public void aDecodedRequestEqualsTheOriginalExceptForTheRunInItsName() {
         String body = RequestRecordCodec.body(request("q", "a text"));
         assertEquals(
                 "name=q parts=3%3A0.5%3Aff%2C7%3A1.0%3Affffffffffffffff text=a+text"
@@ -45,19 +45,19 @@
     }
 
     @Test
-    public void requestsAreTheSameByAllButTheirNames() {
+    public void theDigestDependsOnTheTextButNotOnTheName() {
         String digest = RequestRecordCodec.digest(request("q", "a text"));
         assertEquals(digest, RequestRecordCodec.digest(request("another", "a text")));
         assertNotEquals(digest, RequestRecordCodec.digest(request("q", "another text")));
     }
 
     @Test
-    public void repliesAreReadAsTheyWereWritten() {
+    public void decodedRepliesEqualTheOriginals() {
         for (Reply reply :
                 List.of(
                         new Reply.Served(true, List.of(new Reply.Hit(3, "v w", 0.25))),
                         new Reply.Rejected(12.5),
-                        new Reply.Failed("why not"))) {
+                        new Reply.Failed("no time left"))) {
             assertEquals(reply, RequestRecordCodec.reply(RequestRecordCodec.outcome(reply)));
         }
     }
