--- a/src/main/java/reeldeal/fleet/takeover/InFlightRequests.java
+++ b/src/main/java/reeldeal/fleet/takeover/InFlightRequests.java
@@ -194,7 +194,7 @@
 
     /**
      * Handles the end of a write. If it is committed, this node's copy shows its changes already;
-     * otherwise it is retried after a delay.
+     * otherwise the key may be written again after a delay.
      */
     public void writeEnded(long now, String key, boolean committed) {
         if (committed) {
@@ -342,13 +342,14 @@
         if (waiting.isWaitingFor(key)) {
             requestRecord(now, key, record);
         } else if (record == null && writes.contains(key)) {
-            // Spares a slow store records that no client waits for any more.
+            // Spares a slow store a record that no client waits for any more.
             actions.add(new RequestAction.Drop(key));
         }
     }
 
     /**
-     * Whether a client need not wait any longer; if so, adds the action that answers it, if any.
+     * Returns whether a client need not wait any longer, and adds the action that answers it, if
+     * any.
      */
     private boolean settle(long now, WaitingClients.Client client, RequestRecord record) {
         KeyedRequest request = client.request();
@@ -427,8 +428,7 @@
         String key = record.key();
         EndedRun ended = endedRuns.get(key);
         if (ended != null && ended.outcome() == RunOutcome.UNSENT && record.runs() > 1) {
-            // This run was not admitted, but an earlier one may have been sent: retry while time is
-            // left.
+            // Not admitted, but an earlier run may have been sent: retry while time is left.
             endedRuns.remove(key);
             retryAtMs.put(key, now + bounds.retryMs());
         } else if (ended != null) {
--- a/src/main/java/reeldeal/fleet/takeover/RecordWrites.java
+++ b/src/main/java/reeldeal/fleet/takeover/RecordWrites.java
@@ -34,8 +34,7 @@
     }
 
     /**
-     * Returns the write that deletes the record of a request no shard request of which was ever
-     * sent.
+     * Returns the write that deletes the record of a request none of whose shard requests was sent.
      */
     ConditionalWrite withdraw(RequestRecord record) {
         return ConditionalWrite.because(
--- a/src/main/java/reeldeal/fleet/takeover/RequestRecord.java
+++ b/src/main/java/reeldeal/fleet/takeover/RequestRecord.java
@@ -15,7 +15,7 @@
  * @param priorityWeight the weight of the query class, for the order of takeovers
  * @param owner the broker that runs the request
  * @param incarnation the owner's incarnation, the fencing token of its writes and shard requests
- * @param firstSentAtMs Unix ms before which no shard request of the request was sent
+ * @param firstSentAtMs Unix ms before which no shard request was sent
  * @param deadlineMs Unix ms at which the client stops waiting
  * @param runs the number of the current run: 1 at first, one more for each takeover and for each
  *     restart for a client that sent the request again
--- a/src/main/java/reeldeal/fleet/takeover/TakeoverPolicy.java
+++ b/src/main/java/reeldeal/fleet/takeover/TakeoverPolicy.java
@@ -29,8 +29,9 @@
      */
     public record Window(long windowMs, long errorMs, long leastMs) {
         /**
-         * Returns the Unix ms from which on no shard request of a request may be sent that was
-         * first sent at {@code firstSentAtMs}.
+         * Returns the Unix ms at which the window of a request ends that was first sent at {@code
+         * firstSentAtMs}; from then on none of its shard requests may be sent. The window never
+         * ends if repeats do no harm.
          */
         public long endsAt(long firstSentAtMs) {
             return windowMs == 0 ? Long.MAX_VALUE : firstSentAtMs + windowMs - errorMs;
--- a/src/main/java/reeldeal/fleet/takeover/package-info.java
+++ b/src/main/java/reeldeal/fleet/takeover/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Keeps keyed requests alive beyond their broker: a request is recorded before its first shard
- * request is sent, is claimed by one other broker once its owner's lease has ended, and has one
- * outcome.
+ * Lets keyed requests survive the failure of their broker: a request is recorded before its first
+ * shard request is sent, is claimed by one other broker once its owner's lease has ended, and has
+ * one outcome.
  *
  * <p>{@link reeldeal.fleet.takeover.InFlightRequests} is the state machine of one broker, {@link
  * reeldeal.fleet.takeover.TakeoverPolicy} has the rules. The package does no I/O; {@code
--- a/src/main/java/reeldeal/takeover/RecordingSubmitter.java
+++ b/src/main/java/reeldeal/takeover/RecordingSubmitter.java
@@ -76,7 +76,7 @@
      * @param classes the names of the query classes, in the order of the settings
      * @param holdsLease returns whether this broker certainly holds its lease; called on the
      *     broker's loop
-     * @param wallClockErrorMs returns the minimum error of this node's wall clock, ms, negative
+     * @param wallClockErrorMs returns a lower bound of this node's wall clock error, ms, negative
      *     while unknown; called on the store's loop
      */
     public RecordingSubmitter(
@@ -165,8 +165,8 @@
     }
 
     @Override
-    public void schedule(double delayMs, Runnable run) {
-        broker.schedule(delayMs, run);
+    public void schedule(double delayMs, Runnable task) {
+        broker.schedule(delayMs, task);
     }
 
     @Override
@@ -337,8 +337,9 @@
         (isFirstRun ? Failpoint.AFTER_RECORD : Failpoint.AFTER_CLAIM).reach();
         int classIndex = classPolicies.indexOf(record.queryClass());
         if (classIndex < 0) {
-            return; // the class is not in this configuration: no run begins, and the record stays
-            // open
+            // The class is not in this configuration: the record stays open while this broker owns
+            // it.
+            return;
         }
         Request clientRequest = isFirstRun ? waitingRequest(record) : null;
         Request request =
--- a/src/main/java/reeldeal/takeover/RequestRecordStore.java
+++ b/src/main/java/reeldeal/takeover/RequestRecordStore.java
@@ -41,8 +41,7 @@
     private static final int RETRY_MS = 300;
 
     /**
-     * The share of the quota that may be in use for new records to be made; the rest is reserved
-     * for outcomes.
+     * The share of the quota up to which new records are made; the rest is reserved for outcomes.
      */
     private static final double QUOTA_SHARE_FOR_NEW = 0.8;
 
@@ -247,7 +246,7 @@
             isClockOff = isOff;
             log.accept(
                     isOff
-                            ? "work: this node's wall clock is "
+                            ? "work: this node's wall clock is at least "
                                     + errorMs
                                     + " ms off the fleet's: the node makes no request records and takes over none"
                             : "work: this node's wall clock is within the allowed error of the fleet's again");
--- a/src/test/java/reeldeal/fleet/takeover/DeduplicationWindowTest.java
+++ b/src/test/java/reeldeal/fleet/takeover/DeduplicationWindowTest.java
@@ -61,7 +61,7 @@
     }
 
     @Test
-    public void withoutAnEndpointListRepeatsMayNotBeDropped() {
+    public void withoutAnEndpointListReplicasMayNotDropRepeats() {
         assertFalse(DeduplicationWindow.of(List.of(1), KNOWN, null, LAYOUT, 1_000, 150));
     }
 }
--- a/src/test/java/reeldeal/fleet/takeover/ServerStatsExchangeTest.java
+++ b/src/test/java/reeldeal/fleet/takeover/ServerStatsExchangeTest.java
@@ -63,7 +63,7 @@
                 "the same searcher is ejected",
                 exchange.due(40_000, ALL_STATS.get(1).bySearcher(), false));
         assertNull(
-                "the interval since the last write has not passed",
+                "the minimum interval since the last write has not passed",
                 exchange.due(20_000, Map.of(), false));
         assertEquals("at=20000", exchange.due(20_000, Map.of(), true));
     }
