--- a/src/main/java/reeldeal/fleet/leader/AdminRequest.java
+++ b/src/main/java/reeldeal/fleet/leader/AdminRequest.java
@@ -10,14 +10,15 @@
 import reeldeal.fleet.disruption.DisruptionBudget;
 
 /**
- * An operator's request with what it is decided on.
+ * An operator's parsed request, with the state that it is decided on.
  *
- * @param operation the words without {@code =}, such as {@code release plan}
- * @param attributes the words with {@code =}
- * @param reason the attribute {@code reason}, shortened to 200 characters
- * @param fleet this node's copy
- * @param observations what this node knows beside the store
- * @param silenceMs for how long a member was not heard, ms, -1 where that is not known
+ * @param operation the name of the operation, such as {@code release plan}: all words of the
+ *     request without {@code =}
+ * @param attributes the {@code key=value} words of the request
+ * @param reason the attribute {@code reason}, truncated to 200 characters
+ * @param fleet this node's copy of the fleet's state
+ * @param observations state that this node observes itself and the store does not hold
+ * @param silenceMs returns the time since a member's last heartbeat, ms, or -1 if it is unknown
  */
 record AdminRequest(
         String operation,
@@ -48,7 +49,7 @@
                 silenceMs);
     }
 
-    /** The member that is named; a searcher's final dot may be left out. */
+    /** Returns the name of the requested member; the final dot of a searcher is optional. */
     String memberName() {
         String name = attributes.get("name");
         boolean needsDot =
@@ -57,13 +58,14 @@
     }
 
     /**
-     * The kind that is given, or found by {@link #memberName} where that is of one kind only; null
-     * where it cannot be found.
+     * Returns the kind of the requested member: the attribute {@code kind}, or without it the only
+     * kind that has a member called {@link #memberName}. Returns null if the attribute is invalid,
+     * or if the name is unknown or used by both kinds.
      */
     Kind memberKind() {
         String given = attributes.get("kind");
         if (!given.isEmpty()) {
-            return kindOf(given);
+            return parseKind(given);
         }
         boolean isBroker = fleet.members().containsKey(memberName());
         boolean isSearcher = fleet.searchers().containsKey(memberName());
@@ -73,7 +75,7 @@
         return isBroker ? Kind.BROKER : Kind.SEARCHER;
     }
 
-    private static Kind kindOf(String text) {
+    private static Kind parseKind(String text) {
         for (Kind kind : Kind.values()) {
             if (kind.lowerCase().equals(text)) {
                 return kind;
--- a/src/main/java/reeldeal/fleet/leader/AdminRequestHandler.java
+++ b/src/main/java/reeldeal/fleet/leader/AdminRequestHandler.java
@@ -8,13 +8,14 @@
 import reeldeal.fleet.disruption.DisruptionBudget;
 
 /**
- * Answers operators' requests on any node: each is decided on that node's copy, and a write that
- * results expects the versions it was decided from. Stateless; used on the state loop.
+ * Handles operators' requests on any node. Each request is decided on that node's copy of the
+ * fleet's state; a resulting write expects the versions that the decision was based on, so that it
+ * fails if the copy was outdated. Stateless; used on the state loop.
  */
 public final class AdminRequestHandler {
     private final Map<String, Function<AdminRequest, AdminResult>> operations;
 
-    /** A handler that grants permits from this budget. */
+    /** Creates a handler that grants permits from the given budget. */
     public AdminRequestHandler(DisruptionBudget budget) {
         FleetReports reports = new FleetReports(budget.limits());
         DrainOperations drains = new DrainOperations(budget);
@@ -37,9 +38,9 @@
     }
 
     /**
-     * Decides a request of the form {@code OPERATION [OPERATION] key=value ...}.
+     * Parses and decides a request of the form {@code OPERATION [OPERATION] key=value ...}.
      *
-     * @param silenceMs for how long a member was not heard, ms, -1 where that is not known
+     * @param silenceMs returns the time since a member's last heartbeat, ms, or -1 if it is unknown
      */
     public AdminResult handle(
             String text,
@@ -47,13 +48,13 @@
             DisruptionBudget.Observations observations,
             ToLongFunction<Member> silenceMs) {
         AdminRequest request = AdminRequest.parse(text, fleet, observations, silenceMs);
-        Function<AdminRequest, AdminResult> operation = operations.get(request.operation());
-        if (operation == null) {
+        Function<AdminRequest, AdminResult> operationHandler = operations.get(request.operation());
+        if (operationHandler == null) {
             return new AdminResult.Rejection(
-                    "expected members, permits, policy, drain, undrain, forget, or release plan,"
-                            + " start, show, pause, resume, halt, back; found "
+                    "fleet: expected members, permits, policy, config, drain, undrain, forget, or"
+                            + " release plan, start, show, pause, resume, halt, back; found "
                             + request.operation());
         }
-        return operation.apply(request);
+        return operationHandler.apply(request);
     }
 }
--- a/src/main/java/reeldeal/fleet/leader/AdminResult.java
+++ b/src/main/java/reeldeal/fleet/leader/AdminResult.java
@@ -2,15 +2,15 @@
 
 import reeldeal.fleet.ConditionalWrite;
 
-/** The outcome of an operator's request, as far as it is decided on one node's copy. */
+/** The outcome of an operator's request, decided on one node's copy of the fleet's state. */
 public sealed interface AdminResult {
 
-    /** Lines of {@link reeldeal.fleet.FormAttributes}, or one sentence. */
+    /** A complete answer: lines of {@link reeldeal.fleet.FormAttributes}, or one sentence. */
     record Answer(String text) implements AdminResult {}
 
-    /** A write to be committed first, and the answer for when it is. */
+    /** A write that has to be committed, and the answer to send after its commit. */
     record Write(String answer, ConditionalWrite write) implements AdminResult {}
 
-    /** The request cannot be done; one sentence says why and what to do instead. */
+    /** A rejected request, with the reason and, where possible, the remedy in one sentence. */
     record Rejection(String reason) implements AdminResult {}
 }
--- a/src/main/java/reeldeal/fleet/leader/ConfigOperation.java
+++ b/src/main/java/reeldeal/fleet/leader/ConfigOperation.java
@@ -3,7 +3,7 @@
 import reeldeal.fleet.ConditionalWrite;
 import reeldeal.fleet.FleetView;
 
-/** {@code config version=VERSION text=TEXT}: stores a configuration for later releases. */
+/** Handles {@code config version=VERSION text=TEXT}: stores a configuration for releases. */
 final class ConfigOperation {
     private static final String VERSION_PATTERN = "[0-9a-f]{12}";
 
@@ -21,7 +21,7 @@
         }
         return new AdminResult.Write(
                 "kept: " + version,
-                ConditionalWrite.because("configuration " + version + " kept")
+                ConditionalWrite.because("configuration " + version + " stored")
                         .expect(key, 0)
                         .put(key, request.attributes().get("text")));
     }
--- a/src/main/java/reeldeal/fleet/leader/DrainOperations.java
+++ b/src/main/java/reeldeal/fleet/leader/DrainOperations.java
@@ -9,7 +9,7 @@
 import reeldeal.fleet.FleetView.Release;
 import reeldeal.fleet.disruption.DisruptionBudget;
 
-/** {@code drain name=NAME [reason=TEXT]} and {@code undrain name=NAME}. */
+/** Handles {@code drain name=NAME [reason=TEXT]} and {@code undrain name=NAME}. */
 final class DrainOperations {
     private static final String REQUESTED_BY = "operator";
 
@@ -19,19 +19,21 @@
         this.budget = budget;
     }
 
-    /** Drains a member under a permit. */
+    /** Orders a member to drain if the disruption budget grants a permit for it. */
     AdminResult drain(AdminRequest request) {
         FleetView fleet = request.fleet();
         String name = request.memberName();
         Kind kind = request.memberKind();
         if (kind == null) {
             return new AdminResult.Rejection(
-                    "expected kind=broker or kind=searcher, and a name that is known: " + name);
+                    "drain: expected the name of a known member, and kind=broker or kind=searcher"
+                            + " if both have that name; found "
+                            + name);
         } else if (fleet.release() != null
                 && fleet.release().isRunning()
                 && isInRelease(fleet, kind, name)) {
             return new AdminResult.Rejection(
-                    name + " is part of the release that runs; pause or halt that first");
+                    name + " is part of the running release; pause or halt the release first");
         }
         String reason = request.reason().isEmpty() ? "operator" : request.reason();
         DisruptionBudget.PermitDecision decision =
@@ -40,27 +42,27 @@
             return new AdminResult.Rejection("not drained: " + decision.rejectionReason());
         }
         String key = FleetView.drainKey(kind, name);
-        String mark = fleet.processMark(kind, name);
+        String processMark = fleet.processMark(kind, name);
         return new AdminResult.Write(
                 "drains " + name,
                 decision.write()
                         .expect(key, fleet.version(key))
-                        .put(key, FleetCodec.encodeDrain(mark, REQUESTED_BY)));
+                        .put(key, FleetCodec.encodeDrain(processMark, REQUESTED_BY)));
     }
 
-    /** Takes a drain back, unless it is a release's. */
+    /** Deletes the drain order of a member, unless a release has given that order. */
     AdminResult undrain(AdminRequest request) {
         FleetView fleet = request.fleet();
         String name = request.memberName();
         Kind kind = request.memberKind();
         if (kind == null || fleet.drainMark(kind, name) == null) {
-            return new AdminResult.Rejection("no drain of " + name + " stands in the store");
+            return new AdminResult.Rejection("the store has no drain order for " + name);
         } else if (isDrainedByRelease(fleet, kind, name)) {
             return new AdminResult.Rejection(
                     name
                             + " is drained by release "
                             + fleet.release().id()
-                            + "; order the way back instead");
+                            + "; roll the release back instead");
         }
         String key = FleetView.drainKey(kind, name);
         return new AdminResult.Write(
--- a/src/main/java/reeldeal/fleet/leader/EjectionReports.java
+++ b/src/main/java/reeldeal/fleet/leader/EjectionReports.java
@@ -8,9 +8,10 @@
 import reeldeal.fleet.disruption.ObservedSearcher;
 
 /**
- * Which searchers the brokers have ejected as outliers, by their heartbeats. A searcher counts as
- * ejected where most brokers with a lease have ejected it: a fault between one broker and a
- * searcher is not the searcher's. Used on the state loop.
+ * Collects from the brokers' heartbeats which searchers each broker has ejected as outliers. A
+ * searcher counts as ejected if more than half of the brokers with a lease have ejected it: the
+ * report of a single broker may be due to a fault of its connection to a healthy searcher. Used on
+ * the state loop.
  */
 final class EjectionReports {
     private final Map<String, Set<String>> ejectedByBroker = new HashMap<>();
@@ -23,23 +24,23 @@
         ejectedByBroker.put(broker, ejected);
     }
 
-    /** The searchers with {@link ObservedSearcher#ejected} by what these members reported. */
-    Map<String, ObservedSearcher> apply(
+    /** Returns the searchers with {@link ObservedSearcher#ejected} set by the members' reports. */
+    Map<String, ObservedSearcher> withReportedEjections(
             Map<String, ObservedSearcher> searchers, Collection<Member> members) {
         if (ejectedByBroker.isEmpty()) {
             return searchers;
         }
-        long holders = members.stream().filter(Member::hasLease).count();
-        Map<String, ObservedSearcher> applied = new HashMap<>();
+        long leaseHolders = members.stream().filter(Member::hasLease).count();
+        Map<String, ObservedSearcher> updated = new HashMap<>();
         searchers.forEach(
                 (name, searcher) -> {
-                    boolean byMost = 2 * reportsOf(name, members) > holders;
-                    applied.put(name, searcher.withEjected(byMost));
+                    boolean isEjectedByMost = 2 * ejectingBrokers(name, members) > leaseHolders;
+                    updated.put(name, searcher.withEjected(isEjectedByMost));
                 });
-        return applied;
+        return updated;
     }
 
-    private long reportsOf(String searcher, Collection<Member> members) {
+    private long ejectingBrokers(String searcher, Collection<Member> members) {
         return members.stream()
                 .filter(Member::hasLease)
                 .filter(
--- a/src/main/java/reeldeal/fleet/leader/FleetController.java
+++ b/src/main/java/reeldeal/fleet/leader/FleetController.java
@@ -19,12 +19,13 @@
 import reeldeal.fleet.rollout.RolloutHealth;
 
 /**
- * What the store's leader does for the fleet: ends leases, records who is out and who is back,
- * carries recoveries and releases on. One write at a time; each is conditional, so that a former
- * leader, or one whose copy is behind, changes nothing. The state here lasts for one leadership,
- * and what is not known yet delays decisions.
+ * Makes the fleet's decisions on the node that leads the store: expires leases, records which
+ * members are out and which have returned, and advances recoveries and releases. Proposes one write
+ * at a time. Each write is conditional, so that a former leader, or a leader with an outdated copy,
+ * changes nothing. The state of this class lasts for one leadership; a decision is delayed until
+ * the observations that it needs are known.
  *
- * <p>No I/O; times are ms of the node's steady clock. Used on the state loop.
+ * <p>Does no I/O. Times are ms of the node's steady clock. Used on the state loop.
  */
 public class FleetController {
     private final DisruptionBudget budget;
@@ -45,14 +46,14 @@
     private long lastSerial = -1;
     private long grantSeenAt;
 
-    /** A controller of a fleet without a recovery plan. */
+    /** Creates a controller of a fleet without a recovery plan. */
     public FleetController(DisruptionBudget budget, RolloutController rollout, LeaseTable leases) {
         this(budget, rollout, leases, null, null);
     }
 
     /**
-     * A controller that does not lead yet; {@code outageClassifier} and {@code recovery} are null
-     * where the fleet has no recovery plan.
+     * Creates a controller of a node that does not lead; {@code outageClassifier} and {@code
+     * recovery} are null if the fleet has no recovery plan.
      */
     public FleetController(
             DisruptionBudget budget,
@@ -69,7 +70,7 @@
 
     // ---- inputs ----
 
-    /** This node leads from now on, after nobody was known to lead for {@code withoutLeaderMs}. */
+    /** Begins this node's leadership, after {@code withoutLeaderMs} without a known leader. */
     public void beginLeadership(long now, long withoutLeaderMs) {
         isLeading = true;
         writeInProgress = false;
@@ -89,13 +90,13 @@
         }
     }
 
-    /** This node leads no more. */
+    /** Ends this node's leadership. */
     public void endLeadership() {
         isLeading = false;
         leases.endLeadership();
     }
 
-    /** The store's state as this node has applied it. */
+    /** Updates this node's copy of the fleet's state after the store has applied a change. */
     public void onFleetChanged(long now, FleetView newFleet) {
         fleet = newFleet;
         if (newFleet.version(FleetView.SERIAL) != lastSerial) {
@@ -106,28 +107,28 @@
         stageTimer.onFleetChanged(newFleet, now);
     }
 
-    /** This node's endpoint list, null where it has none yet, and where shards are held. */
+    /** Sets this node's endpoint list, null if it has none yet, and the layout of shards. */
     public void setSearchers(
-            Map<String, ObservedSearcher> list, DisruptionBudget.ShardLayout layout) {
-        shards = layout;
+            Map<String, ObservedSearcher> endpointList, DisruptionBudget.ShardLayout shardLayout) {
+        shards = shardLayout;
         searchers =
-                list == null || fleet == null
-                        ? list
-                        : ejections.apply(list, fleet.members().values());
+                endpointList == null || fleet == null
+                        ? endpointList
+                        : ejections.withReportedEjections(endpointList, fleet.members().values());
     }
 
-    /** The store's voters, a majority of which must stay. */
+    /** Sets the store's voters; the disruption budget keeps a majority of them available. */
     public void setVoters(Set<String> newVoters) {
         voters = newVoters;
     }
 
     /**
-     * A member's heartbeat.
+     * Processes a member's heartbeat.
      *
-     * @param appliedVersion the version up to which it has applied the log
-     * @param counts what it has counted since its start
-     * @param ejectedSearchers the searchers that it has ejected
-     * @return whether it is to be answered, since the heartbeat renews its lease
+     * @param appliedVersion the version up to which the member has applied the log
+     * @param counts the member's request counts since its start
+     * @param ejectedSearchers the searchers that the member has ejected
+     * @return whether the heartbeat renews the member's lease and therefore has to be answered
      */
     public boolean onHeartbeat(
             long now,
@@ -151,8 +152,9 @@
     }
 
     /**
-     * A member's heartbeat says that it was sent after an answer of this leader. Only that proves
-     * that the process lives: a heartbeat alone may be delayed, and its sender dead.
+     * Records that a member has sent a heartbeat after it received an answer of this leader. Only
+     * such a heartbeat proves that the process is alive: any other one may have been delayed in the
+     * network while its sender died.
      */
     public void onHeartbeatAnswered(String name) {
         Member member = fleet == null ? null : fleet.members().get(name);
@@ -161,19 +163,19 @@
         }
     }
 
-    /** The write of {@link #nextWrite} has ended, with whatever outcome. */
+    /** Records that the last write of {@link #nextWrite} has ended, with any outcome. */
     public void onWriteEnded() {
         writeInProgress = false;
     }
 
     // ---- decisions ----
 
-    /** What this node knows beside the store. */
+    /** Returns the state that this node observes itself and the store does not hold. */
     public DisruptionBudget.Observations observations(long now) {
         return new DisruptionBudget.Observations(searchers, shards, voters, now - grantSeenAt);
     }
 
-    /** The next write, or null where there is none or the last one has not ended. */
+    /** Returns the next write, or null if none is due or the previous one has not ended. */
     public ConditionalWrite nextWrite(long now) {
         if (!isLeading || writeInProgress || fleet == null) {
             return null;
@@ -203,7 +205,7 @@
         List<ConditionalWrite> rolloutWrites =
                 rollout.nextWrites(fleet, observations, new LeaderObservations(now));
         if (fleet.release() == null || !fleet.release().isRunning()) {
-            leaderlessMs = 0; // a release that is resumed must not halt again for the same gap
+            leaderlessMs = 0; // the same gap must not halt a resumed release again
         }
         return rolloutWrites.isEmpty() ? null : rolloutWrites.get(0);
     }
@@ -216,7 +218,7 @@
                 .put(LocalMember.SESSION_PREFIX + member.session(), null);
     }
 
-    /** The share of the known searchers that are listed as ready, 1 where none is known. */
+    /** Returns the share of the known searchers that are listed as ready, 1 if none is known. */
     private double readySearcherShare() {
         Set<String> known = fleet.searchers().keySet();
         if (searchers == null || known.isEmpty()) {
@@ -231,7 +233,10 @@
         return observed != null && observed.ready();
     }
 
-    /** Whether it is certain what the fleet lost: nothing, or what the log says. */
+    /**
+     * Whether this leader is certain that the fleet has lost no more than single members and what
+     * the log already records as an outage. Always true without a recovery plan.
+     */
     public boolean hasClassifiedOutage() {
         if (outageClassifier == null) {
             return true;
@@ -240,17 +245,17 @@
         return isLeading && verdict.isCertain() && verdict.kind() == Epoch.Kind.NONE;
     }
 
-    /** For how long this leader has not heard a member, ms, or -1 where it never did. */
+    /** Returns the time since a member's last heartbeat, ms, or -1 if this leader had none. */
     public long silenceMs(Member member, long now) {
         return leases.silenceMs(member, now);
     }
 
-    /** Whether this node leads. */
+    /** Whether this node is the store's leader. */
     public boolean isLeading() {
         return isLeading;
     }
 
-    /** What a release is decided on beside the store, at one time. */
+    /** The leader's own observations at one time, on which a rollout's next write depends. */
     private final class LeaderObservations implements RolloutController.MemberObservations {
         private final long now;
 
--- a/src/main/java/reeldeal/fleet/leader/FleetReports.java
+++ b/src/main/java/reeldeal/fleet/leader/FleetReports.java
@@ -13,7 +13,7 @@
 import reeldeal.fleet.FormAttributes;
 import reeldeal.fleet.disruption.BudgetLimits;
 
-/** The operations that only report. */
+/** Handles the read-only operations: reports of members, permits and the release. */
 final class FleetReports {
     private final BudgetLimits limits;
 
@@ -21,7 +21,7 @@
         this.limits = limits;
     }
 
-    /** One line a broker. */
+    /** Reports one line for each broker. */
     AdminResult members(AdminRequest request) {
         List<String> lines = new ArrayList<>();
         for (Member member : request.fleet().members().values()) {
@@ -49,7 +49,7 @@
         return line.toString();
     }
 
-    /** One line a member that is out, and one for a limit that is exceeded. */
+    /** Reports one line for each member that is out, and one for a limit that is exceeded. */
     AdminResult permits(AdminRequest request) {
         FleetView fleet = request.fleet();
         List<String> lines = new ArrayList<>();
@@ -89,11 +89,11 @@
                 .toString();
     }
 
-    /** One line for the release and one for each of its members, by wave. */
+    /** Reports one line for the release and one for each of its members, ordered by wave. */
     AdminResult release(AdminRequest request) {
         Release release = request.fleet().release();
         if (release == null) {
-            return new AdminResult.Rejection("there is no release");
+            return new AdminResult.Rejection("no release has been planned");
         }
         List<String> lines = new ArrayList<>();
         lines.add(releaseLine(release));
--- a/src/main/java/reeldeal/fleet/leader/ForgetOperation.java
+++ b/src/main/java/reeldeal/fleet/leader/ForgetOperation.java
@@ -8,8 +8,8 @@
 import reeldeal.fleet.FleetView.Member;
 
 /**
- * {@code forget name=NAME reason=TEXT}: declares that a member will not return, the only way to
- * release a permit without evidence of a return.
+ * Handles {@code forget name=NAME reason=TEXT}: deletes all state of a member that will not return.
+ * No other operation releases a permit without evidence that its holder has returned.
  */
 final class ForgetOperation {
     private ForgetOperation() {}
@@ -19,10 +19,15 @@
         String name = request.memberName();
         Kind kind = request.memberKind();
         if (kind == null) {
-            return new AdminResult.Rejection("nobody of that name is known: " + name);
+            return new AdminResult.Rejection(
+                    "forget: expected the name of a known member, and kind=broker or kind=searcher"
+                            + " if both have that name; found "
+                            + name);
         } else if (request.reason().isEmpty()) {
             return new AdminResult.Rejection(
-                    "a reason is needed: the slot of " + name + " is freed on this word alone");
+                    "forget: expected a reason, since the permit of "
+                            + name
+                            + " is released without evidence of its return");
         }
         Member member = kind == Kind.BROKER ? fleet.members().get(name) : null;
         if (member != null && member.hasLease()) {
@@ -50,7 +55,7 @@
         return new AdminResult.Write("forgotten: " + name, write);
     }
 
-    /** All keys that the store has of a member. */
+    /** Returns all keys under which the store may hold state of a member. */
     private static List<String> keysOf(Kind kind, String name) {
         String permitKey = FleetView.permitKey(kind, name);
         String drainKey = FleetView.drainKey(kind, name);
--- a/src/main/java/reeldeal/fleet/leader/PolicyOperation.java
+++ b/src/main/java/reeldeal/fleet/leader/PolicyOperation.java
@@ -6,7 +6,7 @@
 import reeldeal.fleet.FleetView;
 import reeldeal.fleet.FormAttributes;
 
-/** {@code policy [SETTING=VALUE ...]}: shows or changes the disruption policy. */
+/** Handles {@code policy [SETTING=VALUE ...]}: shows or changes the disruption policy. */
 final class PolicyOperation {
     private PolicyOperation() {}
 
--- a/src/main/java/reeldeal/fleet/leader/RecoveryOrder.java
+++ b/src/main/java/reeldeal/fleet/leader/RecoveryOrder.java
@@ -9,13 +9,13 @@
 import reeldeal.fleet.recovery.RecoveryRamp;
 
 /**
- * Operators' orders in a recovery: {@code recovery hold|resume|force [reason=TEXT]} and {@code
- * recovery forget name=ZONE [reason=TEXT]}. Stateless; used on the state loop.
+ * Handles operators' orders in a recovery: {@code recovery hold|resume|force [reason=TEXT]} and
+ * {@code recovery forget name=ZONE [reason=TEXT]}. Stateless; used on the state loop.
  */
 public final class RecoveryOrder {
     private RecoveryOrder() {}
 
-    /** Decides an order on a node's copy; the answer of a write is its description. */
+    /** Decides an order on a node's copy of the fleet; a write's description is its answer. */
     public static AdminResult handle(
             FleetView fleet, RecoveryRamp ramp, String verb, FormAttributes attributes) {
         Epoch epoch = Epoch.of(fleet);
@@ -25,7 +25,7 @@
             return forgetZone(fleet, epoch, attributes.get("name"), orderedBy);
         }
         if (epoch.ended()) {
-            return new AdminResult.Rejection("no recovery is under way");
+            return new AdminResult.Rejection("no recovery is in progress");
         }
         return switch (verb) {
             case "hold" -> hold(epoch, orderedBy);
@@ -33,11 +33,12 @@
             case "force" -> force(epoch, ramp, orderedBy);
             default ->
                     new AdminResult.Rejection(
-                            "expected show, hold, resume, force or forget, found " + verb);
+                            "recovery: expected show, hold, resume, force or forget; found "
+                                    + verb);
         };
     }
 
-    /** A zone that will not return does not count as lost any more. */
+    /** Excludes a zone that will not return, so that its members no longer count as lost. */
     private static AdminResult forgetZone(
             FleetView fleet, Epoch epoch, String zone, String orderedBy) {
         List<Member> members =
@@ -45,32 +46,32 @@
                         .filter(member -> member.zone().equals(zone))
                         .toList();
         if (members.isEmpty()) {
-            return new AdminResult.Rejection("no member is of zone " + zone);
+            return new AdminResult.Rejection("no member is in zone " + zone);
         } else if (members.stream().anyMatch(Member::hasLease)) {
-            return new AdminResult.Rejection("members of zone " + zone + " are live");
+            return new AdminResult.Rejection("members of zone " + zone + " still hold leases");
         }
         return write(
-                epoch.withoutZone(zone, orderedBy),
+                epoch.withForgottenZone(zone, orderedBy),
                 "recovery: zone " + zone + " is not coming back, " + orderedBy);
     }
 
     private static AdminResult hold(Epoch epoch, String orderedBy) {
         return epoch.held()
-                ? new AdminResult.Rejection("it is held already")
+                ? new AdminResult.Rejection("the recovery is already held")
                 : write(
-                        epoch.withHold(true, orderedBy),
+                        epoch.withHeld(true, orderedBy),
                         "recovery " + epoch.number() + " is held, " + orderedBy);
     }
 
     private static AdminResult resume(Epoch epoch, String orderedBy) {
         return epoch.held()
                 ? write(
-                        epoch.withHold(false, orderedBy),
+                        epoch.withHeld(false, orderedBy),
                         "recovery " + epoch.number() + " goes on, " + orderedBy)
-                : new AdminResult.Rejection("it is not held");
+                : new AdminResult.Rejection("the recovery is not held");
     }
 
-    /** Takes the next step, or ends the recovery at its last. */
+    /** Advances the recovery to the next step, or ends it if it is at the last one. */
     private static AdminResult force(Epoch epoch, RecoveryRamp ramp, String orderedBy) {
         if (epoch.step() == ramp.steps()) {
             return write(
--- a/src/main/java/reeldeal/fleet/leader/ReleaseOrder.java
+++ b/src/main/java/reeldeal/fleet/leader/ReleaseOrder.java
@@ -8,7 +8,10 @@
 import reeldeal.fleet.recovery.Epoch;
 import reeldeal.fleet.rollout.RolloutOrders;
 
-/** {@code release start|pause|resume|halt|back [reason=TEXT]}: moves the current release. */
+/**
+ * An operator's order to the current release: {@code release start|pause|resume|halt|back
+ * [reason=TEXT]}.
+ */
 enum ReleaseOrder {
     START("start"),
     PAUSE("pause"),
@@ -26,7 +29,7 @@
         FleetView fleet = request.fleet();
         Release release = fleet.release();
         if (release == null) {
-            return new AdminResult.Rejection("there is no release");
+            return new AdminResult.Rejection("no release has been planned");
         }
         Epoch epoch = Epoch.of(fleet);
         if (!epoch.ended() && !isAllowedInRecovery()) {
@@ -35,17 +38,17 @@
                             + epoch.number()
                             + " is at step "
                             + epoch.step()
-                            + "; a release waits for its end");
+                            + "; until it ends a release can only be paused or halted");
         }
         if (!isPossible(release)) {
             return new AdminResult.Rejection(
                     "release "
                             + release.id()
-                            + (release.rollingBack() ? ", on its way back," : "")
+                            + (release.rollingBack() ? ", rolling back," : "")
                             + " is "
                             + release.progress().stored().toLowerCase(Locale.ROOT)
                             + "; it cannot "
-                            + (this == ROLL_BACK ? "go back" : verb));
+                            + (this == ROLL_BACK ? "roll back" : verb));
         }
         String reason = request.reason().isEmpty() ? "operator" : "operator: " + request.reason();
         return new AdminResult.Write("release " + release.id() + ": " + verb, write(fleet, reason));
--- a/src/main/java/reeldeal/fleet/leader/ReleasePlanOperation.java
+++ b/src/main/java/reeldeal/fleet/leader/ReleasePlanOperation.java
@@ -12,8 +12,8 @@
 import reeldeal.fleet.rollout.RolloutOrders;
 
 /**
- * {@code release plan what=config|program to=VERSION [kind=searcher] [members=A,B] [waves=1,2,4]
- * [settle_ms=N] [step_ms=N]}.
+ * Handles {@code release plan what=config|program to=VERSION [kind=searcher] [members=A,B]
+ * [waves=1,2,4] [settle_ms=N] [step_ms=N]}: plans a release to some or all members of a kind.
  */
 final class ReleasePlanOperation {
     private static final String DEFAULT_WAVES = "1,2,4";
@@ -54,13 +54,13 @@
                 RolloutOrders.plan(fleet, release, members, waveSizes));
     }
 
-    private static Set<String> known(FleetView fleet, Kind kind) {
+    private static Set<String> knownNames(FleetView fleet, Kind kind) {
         return kind == Kind.BROKER ? fleet.members().keySet() : fleet.searchers().keySet();
     }
 
     private static List<String> members(FleetView fleet, Kind kind, FormAttributes attributes) {
         String given = attributes.get("members");
-        return given.isEmpty() ? List.copyOf(known(fleet, kind)) : List.of(given.split(","));
+        return given.isEmpty() ? List.copyOf(knownNames(fleet, kind)) : List.of(given.split(","));
     }
 
     private static List<String> waves(FormAttributes attributes) {
@@ -77,33 +77,33 @@
                     + current.id()
                     + " is "
                     + current.progress().stored().toLowerCase(Locale.ROOT)
-                    + "; end it, or go the way back, first";
+                    + "; complete it or roll it back first";
         }
         String artifact = attributes.get("what");
         String version = attributes.get("to");
         boolean isConfig = artifact.equals("config");
         if ((!isConfig && !artifact.equals("program")) || version.isEmpty()) {
-            return "plan: expected a configuration or a program version";
+            return "plan: expected what=config or what=program, and to=VERSION";
         } else if (isConfig && kind == Kind.SEARCHER) {
             return "plan: searchers have no configuration in the store";
         } else if (isConfig && fleet.version(FleetView.CONFIG + version) == 0) {
-            return "plan: configuration " + version + " is not kept in the store";
+            return "plan: configuration " + version + " is not in the store";
         }
         return null;
     }
 
     private static String invalidReason(
             FleetView fleet, Kind kind, List<String> members, List<String> waves) {
-        List<String> unknown = new ArrayList<>(members);
-        unknown.removeAll(known(fleet, kind));
-        if (!unknown.isEmpty()) {
-            return "plan: no " + kind.lowerCase() + " " + unknown.get(0) + " is known";
+        List<String> unknownNames = new ArrayList<>(members);
+        unknownNames.removeAll(knownNames(fleet, kind));
+        if (!unknownNames.isEmpty()) {
+            return "plan: unknown " + kind.lowerCase() + " " + unknownNames.get(0);
         }
         for (String wave : waves) {
             if (!wave.matches(WAVE_PATTERN)) {
-                return "plan: waves are whole numbers above 0, found " + wave;
+                return "plan: expected waves from 1 to 9999, found " + wave;
             }
         }
-        return members.isEmpty() ? "plan: there are no members" : null;
+        return members.isEmpty() ? "plan: no member of this kind is known" : null;
     }
 }
--- a/src/main/java/reeldeal/fleet/leader/StageTimer.java
+++ b/src/main/java/reeldeal/fleet/leader/StageTimer.java
@@ -6,13 +6,16 @@
 import reeldeal.fleet.FleetView.Step;
 
 /**
- * For how long this leader has observed each step of a release at its stage. The time of a step
- * begins again where the release was resumed. Times are ms of the leader's steady clock; used on
- * the state loop.
+ * Measures for how long this leader has observed each step of a release at its present stage. Any
+ * later write of the release itself, such as its resumption, restarts the measurement. Times are ms
+ * of the leader's steady clock; used on the state loop.
  */
 final class StageTimer {
-    /** A stage as it was first observed; {@code version} is of the write that began it. */
-    private record ObservedStage(long version, long at) {}
+    /**
+     * The time at which a stage was first observed; {@code version} is that of the step's last
+     * write, or of the release's if that is later.
+     */
+    private record ObservedStage(long version, long firstObservedAt) {}
 
     private final Map<String, ObservedStage> stages = new HashMap<>();
 
@@ -30,9 +33,13 @@
         }
     }
 
-    /** How long a step has been at its stage, ms; 0 where it has just changed. */
+    /**
+     * Returns how long a step has been at its stage, ms; 0 if a newer stage is not recorded yet.
+     */
     long stageMs(Step step, long now) {
         ObservedStage observed = stages.get(step.name());
-        return observed == null || observed.version() < step.version() ? 0 : now - observed.at();
+        return observed == null || observed.version() < step.version()
+                ? 0
+                : now - observed.firstObservedAt();
     }
 }
--- a/src/main/java/reeldeal/fleet/leader/package-info.java
+++ b/src/main/java/reeldeal/fleet/leader/package-info.java
@@ -1,10 +1,10 @@
 /**
- * What the store's leader does for the fleet, and operators' requests.
+ * The fleet's decisions on the node that leads the store, and operators' requests on any node.
  *
  * <p>{@link reeldeal.fleet.leader.FleetController} is the leader's state machine; {@link
- * reeldeal.fleet.leader.AdminRequestHandler} answers operators on any node, one handler an
- * operation. Imports the other packages of the fleet but {@code fleet.node} and {@code
- * fleet.takeover}. The controller owns its state, in the memory of one leadership; all is used on
- * the state loop.
+ * reeldeal.fleet.leader.AdminRequestHandler} dispatches operators' requests to one handler per
+ * operation. Imports the other packages of the fleet except {@code fleet.node} and {@code
+ * fleet.takeover}. The controller owns its state, which is in memory and lasts for one leadership;
+ * all classes are used on the state loop.
  */
 package reeldeal.fleet.leader;
--- a/src/main/java/reeldeal/fleet/node/FleetAdminEndpoint.java
+++ b/src/main/java/reeldeal/fleet/node/FleetAdminEndpoint.java
@@ -16,8 +16,8 @@
  * results, and answers once it is committed. Used on the state loop.
  */
 final class FleetAdminEndpoint {
-    private static final String PREFIX = "fleet";
-    private static final String RECOVERY = "recovery";
+    private static final String REQUEST_PREFIX = "fleet";
+    private static final String RECOVERY_PREFIX = "recovery";
     private static final int MAX_ATTEMPTS = 5;
     private static final int RETRY_MS = 100;
     private static final int MAX_APPLY_WAIT_MS = 2_000;
@@ -63,9 +63,9 @@
 
     /** Answers a request, the word {@code fleet} included. */
     void handle(String text, StoreNode.AdminReply reply) {
-        String request = text.substring(PREFIX.length()).trim();
-        if (request.startsWith(RECOVERY)) {
-            handleRecovery(request.substring(RECOVERY.length()).trim(), reply);
+        String request = text.substring(REQUEST_PREFIX.length()).trim();
+        if (request.startsWith(RECOVERY_PREFIX)) {
+            handleRecovery(request.substring(RECOVERY_PREFIX.length()).trim(), reply);
         } else if (request.equals("self")) {
             reply.answer(node.describe());
         } else {
@@ -93,9 +93,11 @@
                     outcome -> {
                         if (outcome instanceof StoreNode.Committed committed) {
                             log.accept("fleet: " + write.write().reason());
-                            long until = now + MAX_APPLY_WAIT_MS;
+                            long deadlineMs = now + MAX_APPLY_WAIT_MS;
                             whenApplied(
-                                    committed.version(), until, () -> reply.answer(write.answer()));
+                                    committed.version(),
+                                    deadlineMs,
+                                    () -> reply.answer(write.answer()));
                         } else if (attemptsLeft > 1 && isConflict(outcome)) {
                             loop.schedule(
                                     () -> handle(request, reply, attemptsLeft - 1),
@@ -103,7 +105,7 @@
                                     TimeUnit.MILLISECONDS);
                         } else {
                             reply.reject(
-                                    failure(
+                                    failureMessage(
                                             outcome,
                                             "unknown: begun, but no majority has it in time;"
                                                     + " look again"));
@@ -118,19 +120,19 @@
                 && rejected.reason().contains(" is at version ");
     }
 
-    private static String failure(StoreNode.Result outcome, String unknown) {
+    private static String failureMessage(StoreNode.Result outcome, String unknownOutcomeMessage) {
         return outcome instanceof StoreNode.Rejected rejected
                 ? "not done: " + rejected.reason()
-                : unknown;
+                : unknownOutcomeMessage;
     }
 
     /** Runs an action once this node has applied a version, or after a time. */
-    private void whenApplied(long version, long until, Runnable action) {
-        if (store.version() >= version || FleetClock.nowMs() >= until) {
+    private void whenApplied(long version, long deadlineMs, Runnable action) {
+        if (store.version() >= version || FleetClock.nowMs() >= deadlineMs) {
             action.run();
         } else {
             loop.schedule(
-                    () -> whenApplied(version, until, action),
+                    () -> whenApplied(version, deadlineMs, action),
                     APPLY_POLL_MS,
                     TimeUnit.MILLISECONDS);
         }
@@ -165,7 +167,7 @@
                             log.accept("fleet: " + write.write().reason());
                             reply.answer(write.answer());
                         } else {
-                            reply.reject(failure(outcome, "unknown: look again"));
+                            reply.reject(failureMessage(outcome, "unknown: look again"));
                         }
                     });
         }
--- a/src/main/java/reeldeal/fleet/node/FleetClock.java
+++ b/src/main/java/reeldeal/fleet/node/FleetClock.java
@@ -6,7 +6,7 @@
  */
 final class FleetClock {
     /** By which the fault injection lets this process's steady clock run faster or slower. */
-    private static final double RATE =
+    private static final double CLOCK_RATE =
             Double.parseDouble(System.getProperty("reeldeal.drill.clock_rate", "1"));
 
     private static final double NANOS_PER_MS = 1e6;
@@ -17,7 +17,7 @@
 
     /** The steady clock, ms; from any thread. */
     static long nowMs() {
-        return (long) (System.nanoTime() * RATE / NANOS_PER_MS);
+        return (long) (System.nanoTime() * CLOCK_RATE / NANOS_PER_MS);
     }
 
     /**
--- a/src/main/java/reeldeal/fleet/node/FleetConfig.java
+++ b/src/main/java/reeldeal/fleet/node/FleetConfig.java
@@ -12,7 +12,7 @@
  * @param recovery how the fleet recovers from an outage, null where it has no plan for that
  */
 public record FleetConfig(
-        String zone, String program, LocalMember.Timing times, RecoveryRamp recovery) {
+        String zone, String program, LocalMember.Timing timing, RecoveryRamp recovery) {
     /** With the number of starts that the data directory counts, this one included. */
     public record Counted(FleetConfig config, long starts) {}
 }
--- a/src/main/java/reeldeal/fleet/node/FleetLeadership.java
+++ b/src/main/java/reeldeal/fleet/node/FleetLeadership.java
@@ -30,12 +30,12 @@
     private final FleetNode.Host host;
     private final Consumer<String> log;
     private final FleetController controller;
-    private final ClockMedian clocks = new ClockMedian();
+    private final ClockMedian clockMedian = new ClockMedian();
     private final List<Runnable> pendingAnswers = new ArrayList<>();
     private FleetView fleet = new FleetView(Map.of());
     private boolean answersScheduled;
     private long leaderSeenAt = FleetClock.nowMs();
-    private String nonce = "";
+    private String leadershipNonce = "";
 
     /** A node that does not lead yet. */
     FleetLeadership(
@@ -54,8 +54,8 @@
     /** This node leads from now on. */
     void begin() {
         long now = FleetClock.nowMs();
-        nonce = store.session() + "-" + now;
-        clocks.clear();
+        leadershipNonce = store.session() + "-" + now;
+        clockMedian.clear();
         controller.beginLeadership(now, now - leaderSeenAt);
     }
 
@@ -88,7 +88,7 @@
         if (write != null) {
             store.write(
                     new KeyValueState.Command(
-                            "", 0, StoreWrites.expects(write), StoreWrites.changes(write)),
+                            "", 0, StoreWrites.preconditions(write), StoreWrites.changes(write)),
                     result -> onWriteEnded(write, result instanceof StoreNode.Committed));
         }
     }
@@ -110,8 +110,8 @@
     // ---- heartbeats ----
 
     /** A member's heartbeat; it is answered if it renews the member's lease. */
-    void onHeartbeat(String member, Heartbeat heartbeat, Consumer<Answer> send) {
-        boolean isRenewed =
+    void onHeartbeat(String member, Heartbeat heartbeat, Consumer<Answer> sendAnswer) {
+        boolean isLeaseRenewed =
                 controller.onHeartbeat(
                         FleetClock.nowMs(),
                         member,
@@ -119,23 +119,23 @@
                         heartbeat.appliedVersion(),
                         heartbeat.counts(),
                         heartbeat.ejected());
-        if (!isRenewed) {
+        if (!isLeaseRenewed) {
             return;
         }
-        clocks.retainMembers(fleet.members().keySet());
+        clockMedian.retainMembers(fleet.members().keySet());
         if (heartbeat.wallMs() > 0) {
-            clocks.recordOffset(member, heartbeat.wallMs(), WallClock.now());
+            clockMedian.recordOffset(member, heartbeat.wallMs(), WallClock.now());
         }
-        if (heartbeat.leaderNonce().equals(nonce)) {
+        if (heartbeat.leaderNonce().equals(leadershipNonce)) {
             controller.onHeartbeatAnswered(member);
         }
         pendingAnswers.add(
                 () ->
-                        send.accept(
+                        sendAnswer.accept(
                                 new Answer(
                                         heartbeat.incarnation(),
                                         heartbeat.sentAtMs(),
-                                        nonce,
+                                        leadershipNonce,
                                         controller.hasClassifiedOutage(),
                                         fleetWallMs())));
         scheduleAnswers();
@@ -158,9 +158,9 @@
 
     /** The fleet's wall clock, Unix ms; 0 while too few members were heard to know it. */
     private long fleetWallMs() {
-        int holders = (int) fleet.members().values().stream().filter(Member::hasLease).count();
-        return clocks.hasQuorum(store.node(), holders)
-                ? WallClock.now() + clocks.medianOffsetMs(store.node())
+        int leaseHolders = (int) fleet.members().values().stream().filter(Member::hasLease).count();
+        return clockMedian.hasQuorum(store.node(), leaseHolders)
+                ? WallClock.now() + clockMedian.medianOffsetMs(store.node())
                 : 0;
     }
 
--- a/src/main/java/reeldeal/fleet/node/FleetNode.java
+++ b/src/main/java/reeldeal/fleet/node/FleetNode.java
@@ -51,7 +51,7 @@
         void serve();
 
         /** Begins a graceful shutdown of the process; returns without waiting for it. */
-        void exit(String why);
+        void exit(String reason);
 
         /**
          * Admits a share of the load.
@@ -60,7 +60,7 @@
          * @param comeBackMs the Retry-After of rejected requests, ms
          * @param brokers the number of serving brokers, 0 where it is not known
          */
-        void setAdmissionQuota(double share, double comeBackMs, int brokers);
+        void setAdmissionQuota(double share, double retryAfterMs, int brokers);
 
         /**
          * Assumes that the searchers of a zone, "" for all, have just restarted where the endpoint
@@ -122,7 +122,7 @@
         this.log = log;
         starts = counted.starts();
         FleetConfig config = counted.config();
-        LocalMember.Timing timing = config.times();
+        LocalMember.Timing timing = config.timing();
         exitTimeoutMs = timing.exitWaitMs() + EXIT_GRACE_RETRIES * timing.retryMs();
         DisruptionBudget budget = new DisruptionBudget();
         self = localMember(store, counted, configVersion, budget);
@@ -157,7 +157,7 @@
                         config.program(),
                         configVersion,
                         counted.starts());
-        return new LocalMember(identity, config.times(), budget);
+        return new LocalMember(identity, config.timing(), budget);
     }
 
     private static FleetController controller(
@@ -389,8 +389,8 @@
      * Calls back on the state loop whenever the fleet or this process as a member, null while it is
      * none, may have changed.
      */
-    public void addListener(BiConsumer<FleetView, FleetView.Member> view) {
-        viewListeners.add(view);
+    public void addListener(BiConsumer<FleetView, FleetView.Member> listener) {
+        viewListeners.add(listener);
     }
 
     /** The broker accepts clients; from any thread. */
--- a/src/main/java/reeldeal/fleet/node/RecoveryProgress.java
+++ b/src/main/java/reeldeal/fleet/node/RecoveryProgress.java
@@ -47,17 +47,20 @@
      * @param name this broker's name, which counts as serving
      * @param isCurrent whether this node's copy is current
      */
-    void update(FleetView fleet, Member me, String name, boolean isCurrent) {
+    void update(FleetView fleet, Member self, String brokerName, boolean isCurrent) {
         groupHeard |= isCurrent;
         int brokerCount =
                 (int)
                         fleet.members().values().stream()
-                                .filter(member -> member.isServing() || member.name().equals(name))
+                                .filter(
+                                        member ->
+                                                member.isServing()
+                                                        || member.name().equals(brokerName))
                                 .count();
         boolean hasChanged =
                 status.update(
                         fleet,
-                        me,
+                        self,
                         new BrokerRecoveryStatus.Inputs(
                                 groupHeard,
                                 servingStale,
--- a/src/main/java/reeldeal/fleet/node/RollbackCheck.java
+++ b/src/main/java/reeldeal/fleet/node/RollbackCheck.java
@@ -107,12 +107,13 @@
     /** How many starts of a node the log here has, whether applied yet or not. */
     private long startsKnown(String node) {
         String key = FleetView.BOOT + node;
-        long most = FleetCodec.decodeStarts(store.get(key));
+        long mostStartsKnown = FleetCodec.decodeStarts(store.get(key));
         for (Change change : store.unappliedChanges()) {
             if (change.key().equals(key)) {
-                most = Math.max(most, FleetCodec.decodeStarts(change.value()));
+                mostStartsKnown =
+                        Math.max(mostStartsKnown, FleetCodec.decodeStarts(change.value()));
             }
         }
-        return most;
+        return mostStartsKnown;
     }
 }
--- a/src/main/java/reeldeal/fleet/node/StoreWrites.java
+++ b/src/main/java/reeldeal/fleet/node/StoreWrites.java
@@ -13,11 +13,11 @@
 
     /** Sends a write to the store's leader; {@code then} is called with its outcome. */
     public static void submit(
-            StoreNode store, ConditionalWrite write, Consumer<StoreNode.Result> then) {
-        store.submit(expects(write), changes(write), then);
+            StoreNode store, ConditionalWrite write, Consumer<StoreNode.Result> onOutcome) {
+        store.submit(preconditions(write), changes(write), onOutcome);
     }
 
-    static List<KeyValueState.Precondition> expects(ConditionalWrite write) {
+    static List<KeyValueState.Precondition> preconditions(ConditionalWrite write) {
         return write.expectedVersions().entrySet().stream()
                 .map(entry -> new KeyValueState.Precondition(entry.getKey(), entry.getValue()))
                 .toList();
--- a/src/main/java/reeldeal/fleet/recovery/BrokerRecoveryStatus.java
+++ b/src/main/java/reeldeal/fleet/recovery/BrokerRecoveryStatus.java
@@ -4,26 +4,26 @@
 import reeldeal.fleet.FleetView.Member;
 
 /**
- * One broker's progress after its start, and the share of its load that it admits meanwhile. It
- * serves all once the leader has classified its start as that of a single broker; in a recovery
- * that affects it, it follows the recovery's steps; while the group is out of reach it serves a
- * configured share. A broker that once served all is not restricted any more: without a majority it
- * serves on.
+ * One broker's progress after its start, and the share of the incoming load that it admits until it
+ * serves all of it. The broker serves all once the leader has classified its start as that of a
+ * single broker. In a recovery that affects its zone it follows the recovery's steps, and while it
+ * cannot reach the group it serves a configured share. A broker that has once served all is never
+ * restricted again, and keeps serving if the group loses its majority.
  *
- * <p>In the memory of one process, used on the state loop.
+ * <p>The state is in the memory of one process; used on the state loop.
  */
 public class BrokerRecoveryStatus {
-    /** The stages on the way to {@link #SERVING}. */
+    /** The stages of a start, of which {@link #SERVING} is the last. */
     public enum Stage {
-        /** The data directory is read, the group not heard. */
+        /** The data directory has been read; the group has not been heard yet. */
         AWAITING_GROUP("group"),
-        /** The group was not reached in time: it serves from its old copy. */
+        /** The group was not reached in time; the broker serves from its old copy. */
         SERVING_STALE("alone"),
-        /** The group was heard; the leader has not classified this start yet. */
+        /** The group has been heard; the leader has not classified this start yet. */
         AWAITING_CLASSIFICATION("judging"),
-        /** There is no endpoint list yet. */
+        /** The broker has no endpoint list yet. */
         AWAITING_SEARCHERS("list"),
-        /** A recovery admits a share. */
+        /** A recovery limits the admitted load to a share. */
         RAMPING_UP("opening"),
         /** All of the load is admitted. */
         SERVING("serving");
@@ -34,20 +34,20 @@
             this.label = label;
         }
 
-        /** The name that operators see. */
+        /** Returns the name of the stage in operators' reports and in the log. */
         public String label() {
             return label;
         }
     }
 
     /**
-     * What this node knows beside the store.
+     * State that this node observes itself and the store does not hold.
      *
-     * @param groupHeard whether the group was heard since the start
-     * @param servingStale whether the store gave out its old copy, the group being out of reach
-     * @param startClassified whether the leader has told this incarnation that it is certain what
-     *     was lost
-     * @param searchersListed whether there is an endpoint list
+     * @param groupHeard whether the group has been heard since the start
+     * @param servingStale whether the store serves its old copy, because the group is unreachable
+     * @param startClassified whether an answer of the leader to this incarnation has said that the
+     *     extent of the loss is certain
+     * @param searchersListed whether the broker has an endpoint list
      */
     public record Inputs(
             boolean groupHeard,
@@ -65,22 +65,22 @@
     private long restartedSearchersEpoch;
     private String restartedSearchersZone = "";
 
-    /** The status of a broker of this zone that has just started. */
+    /** Creates the status of a broker in the given zone that has just started. */
     public BrokerRecoveryStatus(RecoveryRamp ramp, String zone) {
         this.ramp = ramp;
         this.zone = zone;
     }
 
     /**
-     * Updates the status.
+     * Updates the stage and the admitted share.
      *
-     * @param fleet this node's copy
-     * @param me this process as a member, or null while it has not registered
+     * @param fleet this node's copy of the fleet's state
+     * @param self this process as a member, or null while it has not registered
      * @return whether the stage or the admitted share has changed
      */
-    public boolean update(FleetView fleet, Member me, Inputs inputs) {
+    public boolean update(FleetView fleet, Member self, Inputs inputs) {
         Epoch epoch = Epoch.of(fleet);
-        startClassified |= inputs.startClassified() && me != null;
+        startClassified |= inputs.startClassified() && self != null;
         Stage previousStage = stage;
         double previousShare = admittedShare;
         if (!inputs.groupHeard()) {
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Follows the recovery's steps; only the first one until the leader has classified this start,
-     * which may be part of another outage.
+     * Follows the recovery's steps. Stays at the share of the first step until the leader has
+     * classified this start, which may be part of another outage.
      */
     private void followRecovery(Epoch epoch) {
         restartedSearchersEpoch = epoch.number();
@@ -139,30 +139,30 @@
         reason = newReason;
     }
 
-    /** The present stage. */
+    /** Returns the present stage. */
     public Stage stage() {
         return stage;
     }
 
-    /** The share of the incoming load that is admitted, 0 to 1. */
+    /** Returns the share of the incoming load that is admitted, from 0 to 1. */
     public double admittedShare() {
         return admittedShare;
     }
 
     /**
-     * The number of the last recovery in which searchers have to be assumed restarted, 0 where
-     * there was none.
+     * Returns the number of the last recovery that this broker followed, in which its searchers
+     * have to be assumed restarted, or 0 if it has followed none.
      */
     public long restartedSearchersEpoch() {
         return restartedSearchersEpoch;
     }
 
-    /** The zone whose searchers have to be assumed restarted, "" for all. */
+    /** Returns the zone whose searchers have to be assumed restarted, "" for all zones. */
     public String restartedSearchersZone() {
         return restartedSearchersZone;
     }
 
-    /** One line of attributes for operators. */
+    /** Returns the status as one line of attributes, for operators and the log. */
     public String describe() {
         return "stage="
                 + stage.label()
--- a/src/main/java/reeldeal/fleet/recovery/Epoch.java
+++ b/src/main/java/reeldeal/fleet/recovery/Epoch.java
@@ -8,19 +8,20 @@
 import reeldeal.fleet.StoredIdentifier;
 
 /**
- * A recovery, the one in progress or the last, as it is stored: begun once and carried on by
- * whoever leads. Immutable.
+ * The stored state of a recovery, either the one in progress or the last. One leader begins a
+ * recovery and each later leader continues it from this state. Immutable.
  *
- * @param number counts recoveries from 1, 0 where there never was one
- * @param kind what was lost
- * @param zone the zone that was lost, "" where it was not one zone
+ * @param number the number of the recovery, from 1; 0 if there has never been one
+ * @param kind the extent of the loss
+ * @param zone the zone that was lost, "" unless the loss was that of one zone
  * @param step the step of the {@link RecoveryRamp}, from 1
- * @param held whether an operator holds it at its step
- * @param ended whether it is over
- * @param forgotten zones that an operator declared not to return
- * @param reason why it is at this step
- * @param sinceVersion the version before the first registration of a process that returned in it
- * @param version the version of its last write, 0 where there never was one
+ * @param held whether an operator holds the recovery at its step
+ * @param ended whether the recovery has ended
+ * @param forgotten the zones that an operator has declared not to return
+ * @param reason why the recovery is at this step
+ * @param sinceVersion the store's version before the first registration of a process that returned
+ *     in this recovery
+ * @param version the store's version at the last write of this state, 0 if it was never written
  */
 public record Epoch(
         long number,
@@ -33,13 +34,13 @@
         String reason,
         long sinceVersion,
         long version) {
-    /** The key under which it is stored. */
+    /** The key under which the recovery is stored. */
     public static final String KEY = FleetView.ROOT + "recovery";
 
-    private static final Epoch NEVER =
+    private static final Epoch NO_RECOVERY =
             new Epoch(0, Kind.NONE, "", 0, false, true, Set.of(), "", 0, 0);
 
-    /** What was lost. */
+    /** The extent of a loss: none, one zone or the whole fleet. */
     public enum Kind implements StoredIdentifier {
         NONE("none"),
         ZONE("zone"),
@@ -57,11 +58,11 @@
         }
     }
 
-    /** The stored recovery, or an ended one with number 0 where there never was one. */
+    /** Returns the stored recovery, or an ended one with number 0 if there has never been one. */
     public static Epoch of(FleetView fleet) {
         String text = fleet.get(KEY);
         if (text == null) {
-            return NEVER;
+            return NO_RECOVERY;
         }
         FormAttributes attributes = FormAttributes.of(text);
         return new Epoch(
@@ -87,7 +88,7 @@
         return zones;
     }
 
-    /** The stored form. */
+    /** Returns the attributes in which the recovery is stored. */
     public FormAttributes toAttributes() {
         return new FormAttributes()
                 .with("epoch", number)
@@ -101,17 +102,17 @@
                 .with("since", sinceVersion);
     }
 
-    /** The write that replaces the stored epoch by this; {@code description} is for the log. */
+    /** Returns the write that stores this epoch; {@code description} is for the log. */
     public ConditionalWrite write(String description) {
         return ConditionalWrite.because(description).expect(KEY, version).put(KEY, toAttributes());
     }
 
-    /** Whether it restricts brokers of a zone. */
-    public boolean affects(String brokersZone) {
-        return !ended && (kind == Kind.FLEET || (kind == Kind.ZONE && zone.equals(brokersZone)));
+    /** Whether this recovery is in progress and restricts the brokers of a zone. */
+    public boolean affects(String brokerZone) {
+        return !ended && (kind == Kind.FLEET || (kind == Kind.ZONE && zone.equals(brokerZone)));
     }
 
-    /** The epoch after this one, at its first step. */
+    /** Returns the following epoch, at its first step, which keeps the forgotten zones. */
     Epoch next(Kind newKind, String newZone, String newReason, long newSinceVersion) {
         return new Epoch(
                 number + 1,
@@ -126,7 +127,7 @@
                 version);
     }
 
-    /** This epoch at another step. */
+    /** Returns this epoch at another step. */
     public Epoch atStep(int newStep, String newReason) {
         return new Epoch(
                 number,
@@ -141,8 +142,8 @@
                 version);
     }
 
-    /** This epoch, held by an operator or not. */
-    public Epoch withHold(boolean isHeld, String newReason) {
+    /** Returns this epoch, held at its step by an operator or no longer held. */
+    public Epoch withHeld(boolean isHeld, String newReason) {
         return new Epoch(
                 number,
                 kind,
@@ -156,17 +157,26 @@
                 version);
     }
 
-    /** This epoch after its end. */
+    /** Returns this epoch as ended. */
     public Epoch asEnded(String newReason) {
         return new Epoch(
                 number, kind, zone, step, false, true, forgotten, newReason, sinceVersion, version);
     }
 
-    /** This epoch, with a zone declared not to return. */
-    public Epoch withoutZone(String newlyForgotten, String newReason) {
-        Set<String> all = new TreeSet<>(forgotten);
-        all.add(newlyForgotten);
+    /** Returns this epoch with one more zone declared not to return. */
+    public Epoch withForgottenZone(String zoneToForget, String newReason) {
+        Set<String> allForgotten = new TreeSet<>(forgotten);
+        allForgotten.add(zoneToForget);
         return new Epoch(
-                number, kind, zone, step, held, ended, all, newReason, sinceVersion, version);
+                number,
+                kind,
+                zone,
+                step,
+                held,
+                ended,
+                allForgotten,
+                newReason,
+                sinceVersion,
+                version);
     }
 }
--- a/src/main/java/reeldeal/fleet/recovery/OnTimeCounter.java
+++ b/src/main/java/reeldeal/fleet/recovery/OnTimeCounter.java
@@ -6,21 +6,21 @@
 import reeldeal.fleet.rollout.RolloutHealth.Counts;
 
 /**
- * The on-time share of all members' answers since a reset, from counts that each process keeps
- * since its start. Used on the state loop.
+ * Computes the share of all members' answers that were on time since the last reset, from counts
+ * that each process keeps since its start. Used on the state loop.
  */
 final class OnTimeCounter {
-    private final Map<String, Counts> latest = new HashMap<>();
-    private final Map<String, Counts> atReset = new HashMap<>();
+    private final Map<String, Counts> latestCounts = new HashMap<>();
+    private final Map<String, Counts> countsAtReset = new HashMap<>();
 
     /** The requests since the reset that were not rejected, and the late answers among them. */
     record Total(long requests, long late) {
-        /** The share of answers on time, 1 where there were no requests. */
+        /** Returns the share of answers on time, 1 if there were no requests. */
         double onTimeShare() {
             return requests == 0 ? 1 : 1 - (double) late / requests;
         }
 
-        /** For the log: the share in percent. */
+        /** Returns the share in percent and the number of requests, for the log. */
         String describe() {
             return String.format(Locale.ROOT, "%.1f%%", onTimeShare() * 100)
                     + " of "
@@ -29,32 +29,32 @@
         }
     }
 
-    /** Forgets all processes. */
+    /** Removes the counts of all processes. */
     void clear() {
-        latest.clear();
-        atReset.clear();
+        latestCounts.clear();
+        countsAtReset.clear();
     }
 
-    /** The counts of a process; one that is new counts from now. */
+    /** Records a process's counts; the first ones of a process are its baseline. */
     void record(String boot, Counts counts) {
-        latest.put(boot, counts);
-        atReset.putIfAbsent(boot, counts);
+        latestCounts.put(boot, counts);
+        countsAtReset.putIfAbsent(boot, counts);
     }
 
-    /** Counts from now on. */
+    /** Makes the latest counts the baseline of each process. */
     void reset() {
-        atReset.clear();
-        atReset.putAll(latest);
+        countsAtReset.clear();
+        countsAtReset.putAll(latestCounts);
     }
 
     Total sinceReset() {
         long requests = 0;
         long late = 0;
-        for (Map.Entry<String, Counts> process : latest.entrySet()) {
-            Counts to = process.getValue();
-            Counts from = atReset.getOrDefault(process.getKey(), to);
-            requests += accepted(to) - accepted(from);
-            late += to.late() - from.late();
+        for (Map.Entry<String, Counts> process : latestCounts.entrySet()) {
+            Counts current = process.getValue();
+            Counts baseline = countsAtReset.getOrDefault(process.getKey(), current);
+            requests += accepted(current) - accepted(baseline);
+            late += current.late() - baseline.late();
         }
         return new Total(requests, late);
     }
--- a/src/main/java/reeldeal/fleet/recovery/OutageClassifier.java
+++ b/src/main/java/reeldeal/fleet/recovery/OutageClassifier.java
@@ -9,31 +9,35 @@
 import reeldeal.fleet.FleetView.State;
 
 /**
- * Classifies crashes of members: single brokers, a zone, or the whole fleet. The evidence is in the
- * log, so that it outlives leaders: a registration names the preceding process if that ended
- * without deregistering. An ended lease alone does not prove a crash, since a network partition
- * ends leases too; what counts is that most of the members present were restarted, and that these
- * and the missing ones are at least {@link RecoveryRamp#outageShare} of all.
+ * Classifies crashes of members as those of single brokers, of a zone, or of the whole fleet. The
+ * evidence is in the log, so that it outlives leaders: a registration names the preceding process
+ * if that process ended without deregistering. An ended lease alone does not prove a crash, since a
+ * network partition ends leases too. An outage therefore requires that most of the present members
+ * were restarted, and that the restarted and missing members together are at least {@link
+ * RecoveryRamp#outageShare} of all.
  *
- * <p>Only which processes were heard is in the leader's memory; used on the state loop. Protected
- * methods are rules that the simulation overrides to check that it notices.
+ * <p>The leader's memory holds only which processes have proved to be alive. Used on the state
+ * loop. The simulation overrides the protected methods with broken rules, to verify that its checks
+ * detect them.
  */
 public class OutageClassifier {
     /**
-     * Written when crashes were classified as those of single brokers, or a recovery ended: crashes
-     * before its version count no more.
+     * The key that is written when crashes were classified as those of single brokers, or when a
+     * recovery ended. Crashes before the version of that write no longer count.
      */
     public static final String CLASSIFIED_KEY = FleetView.ROOT + "judged";
 
     private static final int MIN_MEMBERS = 2;
 
     /**
-     * What happened.
+     * The result of a classification.
      *
-     * @param isCertain whether it cannot become more by members that were not heard yet
-     * @param lost how many members crashed or are missing
-     * @param total of how many
-     * @param sinceVersion the version before the first registration of a restarted process
+     * @param kind the extent of the loss
+     * @param zone the zone of the loss, "" unless the loss is that of one zone
+     * @param isCertain whether the result holds whatever happened to members not heard yet
+     * @param lost the number of members that were restarted after a crash or are missing
+     * @param total the number of members counted
+     * @param sinceVersion the store's version before the first registration of a restarted process
      */
     public record Verdict(
             Epoch.Kind kind,
@@ -43,7 +47,7 @@
             int total,
             long sinceVersion) {}
 
-    /** How the members of the fleet or of a zone are counted. */
+    /** Counts the members of the fleet or of a zone by their state. */
     private static final class Census {
         int total;
         int restarted;
@@ -54,25 +58,25 @@
 
     private final RecoveryRamp ramp;
     private final Set<String> heardProcesses = new HashSet<>();
-    private long newestCrash;
+    private long newestCrashIncarnation;
 
-    /** A classifier with the ramp's threshold. */
+    /** Creates a classifier that uses the outage threshold of a ramp. */
     public OutageClassifier(RecoveryRamp ramp) {
         this.ramp = ramp;
     }
 
-    /** This node leads from now on. */
+    /** Resets the classifier at the beginning of this node's leadership. */
     public void beginLeadership() {
         heardProcesses.clear();
-        newestCrash = 0;
+        newestCrashIncarnation = 0;
     }
 
-    /** A process has proved to be alive since this node leads. */
+    /** Records that a process has proved to be alive during this leadership. */
     public void recordHeartbeat(String boot) {
         heardProcesses.add(boot);
     }
 
-    /** Whether a member was restarted after a crash that has not been classified yet. */
+    /** Whether a member was restarted after a crash that has not been classified so far. */
     public boolean isUnclassifiedCrash(FleetView fleet, Epoch epoch, Member member) {
         return member.hasLease()
                 && member.crashedIncarnation() > 0
@@ -80,47 +84,48 @@
                 && isNewLoss(epoch, member.crashedIncarnation(), member.zone());
     }
 
-    /** What happened, as far as is known. */
+    /** Classifies all crashes that are known and not classified yet. */
     public Verdict classify(FleetView fleet) {
         Epoch epoch = Epoch.of(fleet);
         requireNewHeartbeats(fleet, epoch);
         Set<String> zones = new TreeSet<>();
         fleet.members().values().forEach(member -> zones.add(member.zone()));
-        Verdict ofFleet = classify(fleet, epoch, Epoch.Kind.FLEET, "", member -> true);
-        if (ofFleet.kind() == Epoch.Kind.FLEET || zones.size() < 2) {
-            return ofFleet;
+        Verdict fleetVerdict = classify(fleet, epoch, Epoch.Kind.FLEET, "", member -> true);
+        if (fleetVerdict.kind() == Epoch.Kind.FLEET || zones.size() < 2) {
+            return fleetVerdict;
         }
-        Verdict uncertain = null;
+        Verdict uncertainZoneVerdict = null;
         for (String zone : zones) {
-            Verdict ofZone =
+            Verdict zoneVerdict =
                     classify(
                             fleet,
                             epoch,
                             Epoch.Kind.ZONE,
                             zone,
                             member -> member.zone().equals(zone));
-            if (ofZone.kind() == Epoch.Kind.ZONE && ofZone.isCertain()) {
-                return ofZone;
+            if (zoneVerdict.kind() == Epoch.Kind.ZONE && zoneVerdict.isCertain()) {
+                return zoneVerdict;
             }
-            uncertain = ofZone.isCertain() ? uncertain : ofZone;
+            uncertainZoneVerdict = zoneVerdict.isCertain() ? uncertainZoneVerdict : zoneVerdict;
         }
-        return uncertain == null ? ofFleet : uncertain;
+        return uncertainZoneVerdict == null ? fleetVerdict : uncertainZoneVerdict;
     }
 
     /**
-     * With each new restart after a crash all members have to be heard again: one that was heard
-     * before may have crashed in the same outage, its lease not ended yet. Otherwise the first
-     * process to return within a lease's term would be classified as a single crash.
+     * Requires new heartbeats of all members after each new restart that follows a crash. A member
+     * that was heard before may have crashed in the same outage while its lease has not expired
+     * yet. Without this rule the first process to return within a lease's term would be classified
+     * as a single crash.
      */
     protected void requireNewHeartbeats(FleetView fleet, Epoch epoch) {
-        long newest =
+        long newestIncarnation =
                 fleet.members().values().stream()
                         .filter(member -> isUnclassifiedCrash(fleet, epoch, member))
                         .mapToLong(Member::incarnation)
                         .max()
                         .orElse(0);
-        if (newest > newestCrash) {
-            newestCrash = newest;
+        if (newestIncarnation > newestCrashIncarnation) {
+            newestCrashIncarnation = newestIncarnation;
             heardProcesses.clear();
         }
     }
@@ -141,8 +146,9 @@
                         && areMostRestarted(census.restarted, present);
         boolean mayBeOutage =
                 isOutage || (census.unheard > 0 && lost + census.unheard >= threshold);
-        // Before any member has returned it is uncertain while most have not been heard: the first
-        // to start after an outage must not be told that there was none.
+        // Even before any member has returned the result is uncertain while most members have not
+        // been heard: the first process to start after an outage must not learn that there was
+        // none.
         boolean hasEvidence = census.restarted > 0 || census.unheard > 0;
         return census.total < MIN_MEMBERS || !hasEvidence || !mayBeOutage
                 ? new Verdict(Epoch.Kind.NONE, "", true, lost, census.total, census.sinceVersion)
@@ -175,20 +181,20 @@
         return census;
     }
 
-    /** In a recovery only a member that returned in it can be lost again. */
+    /** Whether a lapsed member is a new loss; in a recovery, only if it had returned in it. */
     private boolean isMissing(FleetView fleet, Epoch epoch, Member lapsed) {
         return lapsed.stateVersion() > fleet.version(CLASSIFIED_KEY)
                 && isNewLoss(epoch, lapsed.incarnation(), lapsed.zone());
     }
 
-    /** Whether most of the members present were restarted; a partition alone restarts none. */
+    /** Whether most of the present members were restarted; a partition restarts none of them. */
     protected boolean areMostRestarted(int restarted, int present) {
         return restarted * 2 > present;
     }
 
     /**
-     * Whether a loss is not part of the recovery in progress, or the last: that of a process that
-     * returned in it, or of another zone.
+     * Whether a loss is not covered by the recovery in progress or the last one, because the lost
+     * process had returned in that recovery or belongs to a zone other than the recovery's.
      */
     protected boolean isNewLoss(Epoch epoch, long incarnation, String zone) {
         return incarnation > epoch.sinceVersion()
--- a/src/main/java/reeldeal/fleet/recovery/RecoveryController.java
+++ b/src/main/java/reeldeal/fleet/recovery/RecoveryController.java
@@ -8,45 +8,46 @@
 import reeldeal.fleet.rollout.RolloutOrders;
 
 /**
- * Carries a recovery on for the leader: begins an epoch, takes its steps, takes one back where the
- * on-time share falls, ends it. Each write expects the epoch as it was seen, so that each step is
- * taken once whoever leads. Counts begin again with each step and with each leader.
+ * Advances a recovery on behalf of the leader: begins an epoch, takes its steps, takes a step back
+ * if the on-time share falls, and ends the epoch. Each write expects the version of the epoch that
+ * it was decided on, so that each step is taken only once even if the leader changes. Counts start
+ * again with each step and with each leader.
  *
- * <p>Times are ms of the leader's steady clock; used on the state loop. Protected methods are rules
- * that the simulation overrides to check that it notices.
+ * <p>Times are ms of the leader's steady clock; used on the state loop. The simulation overrides
+ * the protected methods with broken rules, to verify that its checks detect them.
  */
 public class RecoveryController {
-    /** The least share of ready searchers from which any step may be taken. */
+    /** The share of ready searchers that is sufficient for any step. */
     private static final double SUFFICIENT_SEARCHER_SHARE = 0.5;
 
     private final RecoveryRamp ramp;
     private final OnTimeCounter counter = new OnTimeCounter();
     private long stepVersion = -1;
-    private long stepSince;
-    private long countedSince;
+    private long stepStartedAt;
+    private long countingStartedAt;
 
-    /** A controller that follows this ramp. */
+    /** Creates a controller that follows a ramp. */
     public RecoveryController(RecoveryRamp ramp) {
         this.ramp = ramp;
     }
 
-    /** This node leads from now on. */
+    /** Resets counts and times at the beginning of this node's leadership. */
     public void beginLeadership(long now) {
         counter.clear();
         stepVersion = -1;
-        stepSince = now;
-        countedSince = now;
+        stepStartedAt = now;
+        countingStartedAt = now;
     }
 
-    /** What a process has counted since its start. */
+    /** Records a process's request counts since its start. */
     public void recordCounts(String boot, RolloutHealth.Counts counts) {
         counter.record(boot, counts);
     }
 
     /**
-     * The next write, or null.
+     * Returns the next write, or null if none is due.
      *
-     * @param readySearcherShare the share of the known searchers that are listed as ready, 1 where
+     * @param readySearcherShare the share of the known searchers that are listed as ready, 1 if
      *     none is known
      */
     public ConditionalWrite nextWrite(
@@ -55,7 +56,7 @@
         Epoch epoch = Epoch.of(fleet);
         if (epoch.version() != stepVersion) {
             stepVersion = epoch.version();
-            stepSince = now;
+            stepStartedAt = now;
             resetCounts(now);
         }
         if (verdict.kind() != Epoch.Kind.NONE && verdict.isCertain()) {
@@ -68,11 +69,14 @@
     }
 
     private void resetCounts(long now) {
-        countedSince = now;
+        countingStartedAt = now;
         counter.reset();
     }
 
-    /** Written once for crashes of single brokers, so that they do not add up with later ones. */
+    /**
+     * Returns the write that marks crashes of single brokers as classified, so that they are not
+     * added to later ones, or null if there are none or the verdict is uncertain.
+     */
     private static ConditionalWrite classifySingleCrashes(
             FleetView fleet,
             OutageClassifier classifier,
@@ -91,7 +95,7 @@
                                 + verdict.lost()
                                 + " of "
                                 + verdict.total()
-                                + " members were lost, each by itself"));
+                                + " members were lost, classified as single crashes"));
     }
 
     private static ConditionalWrite markClassified(FleetView fleet, ConditionalWrite write) {
@@ -99,15 +103,15 @@
         return write.expect(key, fleet.version(key)).put(key, "");
     }
 
-    /** The next step, the last one again, or the end. */
+    /** Returns the write of the next step, the previous step or the end; null if none is due. */
     private ConditionalWrite advance(
             long now,
             FleetView fleet,
             Epoch epoch,
             OutageClassifier.Verdict verdict,
             double readySearcherShare) {
-        long atStepMs = now - stepSince;
-        long countedMs = now - countedSince;
+        long atStepMs = now - stepStartedAt;
+        long countedMs = now - countingStartedAt;
         OnTimeCounter.Total total = counter.sinceReset();
         boolean isConclusive = total.requests() >= ramp.minimumRequests();
         if (isConclusive
@@ -116,8 +120,8 @@
                 && epoch.step() > 1) {
             return changeStep(epoch, epoch.step() - 1, "taken back: " + total.describe());
         }
-        // While there may have been another outage, no step and no end: the end would classify
-        // all crashes.
+        // The recovery neither advances nor ends while another outage is possible: its end would
+        // mark all crashes as classified.
         boolean mayAdvance =
                 isOutageCertain(verdict)
                         && mayAdvance(atStepMs, countedMs, isConclusive, total.onTimeShare());
@@ -129,10 +133,11 @@
                             .write("recovery " + epoch.number() + " is over: " + reason));
         }
         if (!mayAdvance && isConclusive && countedMs >= ramp.idleMs()) {
-            resetCounts(now); // late answers of some time ago say nothing about now
+            resetCounts(now); // earlier late answers do not show the present state
         }
-        // Brokers that do not return are not waited for, but searchers are: somebody has to serve
-        // what the next step admits.
+        // The next step does not wait for missing brokers, but it waits for searchers, which have
+        // to
+        // serve the additional load.
         double requiredShare =
                 Math.min(SUFFICIENT_SEARCHER_SHARE, ramp.share(epoch.step() + 1) / 2);
         return mayAdvance && readySearcherShare >= requiredShare
@@ -140,12 +145,15 @@
                 : null;
     }
 
-    /** Whether it is certain that no more was lost than this recovery is for. */
+    /** Whether it is certain that this recovery covers all that was lost. */
     protected boolean isOutageCertain(OutageClassifier.Verdict verdict) {
         return verdict.isCertain();
     }
 
-    /** Whether a step has lasted for long enough, with answers on time. */
+    /**
+     * Whether a step has lasted long enough: the dwell time with answers on time, or the idle time
+     * with too few requests for an on-time share.
+     */
     protected boolean mayAdvance(
             long atStepMs, long countedMs, boolean isConclusive, double onTimeShare) {
         if (atStepMs < ramp.dwellMs()) {
@@ -154,10 +162,12 @@
         return isConclusive ? onTimeShare >= ramp.goodShare() : countedMs >= ramp.idleMs();
     }
 
-    /** The write of a new epoch; the same write halts a release in progress. */
+    /** Returns the write that begins a new epoch and halts a release that is running or paused. */
     protected ConditionalWrite beginEpoch(
             FleetView fleet, Epoch epoch, OutageClassifier.Verdict verdict) {
-        // A zone that is lost in another recovery leaves that unfinished: both go on as one.
+        // If another zone is lost before this recovery has ended, one recovery of the fleet
+        // replaces
+        // both.
         boolean isSameZone = epoch.kind() == Epoch.Kind.ZONE && epoch.zone().equals(verdict.zone());
         boolean isWidened = !epoch.ended() && !isSameZone;
         Epoch next =
@@ -173,7 +183,7 @@
         String zone = next.kind() == Epoch.Kind.ZONE ? "zone " + next.zone() + ", " : "";
         ConditionalWrite write =
                 next.write("recovery " + next.number() + " begins: " + zone + next.reason());
-        // An operator may resume the release at the same time.
+        // Fails the write if an operator changes the release, for example resumes it, meanwhile.
         write.expect(FleetView.RELEASE, fleet.version(FleetView.RELEASE));
         Release release = fleet.release();
         if (release != null && (release.isRunning() || release.progress() == Progress.PAUSED)) {
@@ -183,13 +193,13 @@
         return write;
     }
 
-    /** The write of the epoch at another step. */
+    /** Returns the write that moves the epoch to another step. */
     protected ConditionalWrite changeStep(Epoch epoch, int newStep, String reason) {
         return epoch.atStep(newStep, reason)
                 .write(
                         "recovery "
                                 + epoch.number()
-                                + " step "
+                                + " moves from step "
                                 + epoch.step()
                                 + " to "
                                 + newStep
--- a/src/main/java/reeldeal/fleet/recovery/RollbackDetector.java
+++ b/src/main/java/reeldeal/fleet/recovery/RollbackDetector.java
@@ -4,26 +4,26 @@
 import java.util.TreeSet;
 
 /**
- * Detects a data directory that was emptied or restored from a backup, and may therefore have
- * forgotten a vote or a write that it acknowledged. Before its first vote a node asks the others
- * how many starts on its data directory they know of. If one knows as many as the directory counts,
- * or more, it has met a later process of the node. A node's count is in the log before it serves,
- * whether committed or not, and only the node itself writes it.
+ * Detects a data directory that was emptied or restored from a backup, and may therefore lack a
+ * vote or a write that the node has acknowledged. Before its first vote a node asks its peers how
+ * many starts on its data directory they know of. A peer that knows at least as many starts as the
+ * directory counts has met a later process of the node. A node's count is in the log, committed or
+ * not, before the node serves, and only the node itself writes it.
  *
- * <p>All other voters are awaited, but only for some time after the first was heard: one that is
- * down, or runs a version that does not answer, must not keep the others from electing a leader.
- * What only that one knows is not detected.
+ * <p>The detector waits for all other voters, but only for a limited time after the first one was
+ * heard: a voter that is down, or runs a version that does not answer, must not prevent the others
+ * from electing a leader. A later start that only such a voter knows is not detected.
  *
  * <p>Times are ms of the node's steady clock; used on the state loop.
  */
 public final class RollbackDetector {
     /** Whether the data directory can be trusted. */
     public enum Verdict {
-        /** Not known yet; the node must not vote. */
+        /** The answers are not complete yet; the node must not vote. */
         WAIT,
-        /** No later start is known; the node may vote. */
+        /** No peer that answered knows a later start; the node may vote. */
         SOUND,
-        /** A later start is known; the node must neither vote nor write. */
+        /** A peer knows a later start; the node must neither vote nor write. */
         ROLLED_BACK
     }
 
@@ -34,14 +34,14 @@
     private final Set<String> awaitedVoters;
     private long firstHeardAt = NEVER;
     private long mostStartsKnown = -1;
-    private String knownBy;
+    private String mostStartsKnownBy;
 
     /**
-     * A detector that has heard nobody yet.
+     * Creates a detector that has not heard any peer.
      *
-     * @param starts how many starts the data directory counts, this one included
+     * @param starts the number of starts that the data directory counts, including this one
      * @param otherVoters the voters to wait for
-     * @param maxWaitMs how long to wait after the first voter was heard
+     * @param maxWaitMs the maximum time to wait after the first voter was heard, ms
      */
     public RollbackDetector(long starts, Set<String> otherVoters, long maxWaitMs) {
         this.starts = starts;
@@ -49,25 +49,31 @@
         awaitedVoters = new TreeSet<>(otherVoters);
     }
 
-    /** Another voter was heard, with any message. */
+    /** Records that another voter was heard, with any message. */
     public void onPeerHeard(long now) {
         if (firstHeardAt < 0) {
             firstHeardAt = now;
         }
     }
 
-    /** Another node, voter or not, knows of so many starts, 0 where it never met this node. */
+    /**
+     * Records the number of this node's starts that a peer, voter or learner, knows of; 0 if it has
+     * never met this node.
+     */
     public void onStartsReported(long now, String peer, long startsKnown) {
         if (awaitedVoters.remove(peer)) {
             onPeerHeard(now);
         }
         if (startsKnown > mostStartsKnown) {
             mostStartsKnown = startsKnown;
-            knownBy = peer;
+            mostStartsKnownBy = peer;
         }
     }
 
-    /** Whether this node may vote; SOUND and ROLLED_BACK are final. */
+    /**
+     * Returns whether this node may vote. ROLLED_BACK is final; the caller acts on the first
+     * verdict other than WAIT.
+     */
     public Verdict verdict(long now) {
         if (mostStartsKnown >= starts) {
             return Verdict.ROLLED_BACK;
@@ -76,17 +82,17 @@
         return awaitedVoters.isEmpty() || waitedEnough ? Verdict.SOUND : Verdict.WAIT;
     }
 
-    /** Why the data directory is not trusted, and what to do; for the operators' log. */
+    /** Returns why the data directory is not trusted and what to do about it, for the log. */
     public String reason(String node) {
         return "this folder went back: "
-                + knownBy
+                + mostStartsKnownBy
                 + " knows start "
                 + mostStartsKnown
                 + " of "
                 + node
-                + ", and this is start "
+                + ", and this process is start "
                 + starts
-                + "; it votes and writes no more. Rebuild the node under a new name:"
+                + "; the node no longer votes or writes. Rebuild it under a new name:"
                 + " docs/operators/store.md";
     }
 }
--- a/src/main/java/reeldeal/fleet/recovery/StateTrustPolicy.java
+++ b/src/main/java/reeldeal/fleet/recovery/StateTrustPolicy.java
@@ -1,52 +1,55 @@
 package reeldeal.fleet.recovery;
 
-/** Which state from before an outage is trusted, item by item, and where it is taken from. */
+/** The source of each item of state after an outage, and the maximum age at which it is trusted. */
 public enum StateTrustPolicy {
-    /** The copy on this disk until the group's is known: without one a broker cannot serve. */
+    /** The copy on this disk until the group's is known; a broker cannot serve without any. */
     CONFIGURATION(Source.DISK),
-    /** As the configuration; later data of discovery or of a primary replaces it. */
+    /** The copy on this disk, until later data of discovery or of a primary replaces it. */
     ZONES(Source.DISK),
-    /** Read from their file again. */
+    /** Read again from the file of overrides. */
     ADMINISTRATIVE_OVERRIDES(Source.DISK),
-    /** From the copy, and for as long as this node is not current: a drain outlives an outage. */
+    /** The copy on this disk, also while this node is not current: a drain outlives an outage. */
     DRAINS(Source.DISK),
-    /** Permits are decided by conditional writes only. */
+    /** Read from the store, since only conditional writes grant permits. */
     POLICY(Source.MAJORITY),
-    /** A permit is held until its holder is seen to be back; an outage is no evidence of that. */
+    /** Kept until there is evidence of the holder's return; an outage is not such evidence. */
     PERMITS(Source.MAJORITY),
-    /** Halted by the write that begins the recovery. */
+    /** Read from the store; the write that begins the recovery halts a release. */
     RELEASE(Source.MAJORITY),
-    /** Each process registers again; the leader heard nobody, so that old leases have a term. */
+    /**
+     * Not kept: each process registers again. Old leases expire after a whole term, since the new
+     * leader has not heard their holders.
+     */
     LEASES(Source.DROP),
-    /** Of the same process of the searcher only. */
+    /** Kept up to a maximum age, only for a searcher that has not restarted. */
     EJECTIONS(Source.AGE, 600_000),
-    /** Of the same process of the searcher only. */
+    /** Kept up to a maximum age, only for a searcher that has not restarted. */
     LATENCY_ESTIMATES(Source.AGE, 600_000),
-    /** From discovery and zones: the earlier list may name searchers that are gone. */
+    /** Requested from discovery and zones: the earlier list may name searchers that are gone. */
     SEARCHERS(Source.REQUEST),
     /**
-     * Run again only within the deduplication window and where each searcher of its shards is the
-     * same process; otherwise the outcome is unknown.
+     * Run again only within the deduplication window and if no searcher of the request's shards has
+     * restarted; otherwise the outcome is unknown.
      */
     OPEN_REQUESTS(Source.MAJORITY),
-    /** Answered as recorded, for as long as they are kept. */
+    /** Returned to clients as recorded, for as long as the store keeps them. */
     OUTCOMES(Source.MAJORITY),
-    /** A client connects again. */
+    /** Not kept: a client connects again. */
     CONNECTIONS(Source.DROP),
-    /** On-time shares begin again with each step. */
+    /** Not kept: the on-time share is counted from zero at each step. */
     COUNTS(Source.DROP);
 
-    /** Where an item is taken from. */
+    /** The source of an item of state. */
     public enum Source {
-        /** This disk alone. */
+        /** The copy on this node's disk. */
         DISK,
-        /** The store, once a majority confirms. */
+        /** The store, once a majority confirms that it is current. */
         MAJORITY,
-        /** What is known, up to an age. */
+        /** State known from before the outage, up to a maximum age. */
         AGE,
         /** A new request to peers, searchers or discovery. */
         REQUEST,
-        /** Nowhere. */
+        /** No source: the item is discarded. */
         DROP
     }
 
@@ -57,17 +60,17 @@
         this(source, 0);
     }
 
-    StateTrustPolicy(Source source, long ageMs) {
+    StateTrustPolicy(Source source, long maxAgeMs) {
         this.source = source;
-        this.maxAgeMs = ageMs;
+        this.maxAgeMs = maxAgeMs;
     }
 
-    /** Where it is taken from. */
+    /** Returns the source of this item. */
     public Source source() {
         return source;
     }
 
-    /** The greatest age at which it is trusted, ms; 0 where age does not count. */
+    /** Returns the maximum age at which this item is trusted, ms; 0 if its age does not matter. */
     public long maxAgeMs() {
         return maxAgeMs;
     }
--- a/src/main/java/reeldeal/fleet/recovery/package-info.java
+++ b/src/main/java/reeldeal/fleet/recovery/package-info.java
@@ -1,11 +1,12 @@
 /**
- * How a whole fleet recovers from a power outage: what was lost ({@link
- * reeldeal.fleet.recovery.OutageClassifier}), in which steps service is restored ({@link
+ * Recovery of a whole fleet from a power outage: determines what was lost ({@link
+ * reeldeal.fleet.recovery.OutageClassifier}), restores service in steps ({@link
  * reeldeal.fleet.recovery.RecoveryController}, {@link
- * reeldeal.fleet.recovery.BrokerRecoveryStatus}) and which earlier state is trusted ({@link
+ * reeldeal.fleet.recovery.BrokerRecoveryStatus}) and defines which earlier state is trusted ({@link
  * reeldeal.fleet.recovery.StateTrustPolicy}, {@link reeldeal.fleet.recovery.RollbackDetector}).
  *
- * <p>No I/O: {@code fleet.node} wires it to the store and to timers. Imports {@code reeldeal.fleet}
- * and {@code reeldeal.fleet.rollout}. State is in the memory of one node, used on the state loop.
+ * <p>Does no I/O: {@code fleet.node} connects this package to the store and to timers. Imports
+ * {@code reeldeal.fleet} and {@code reeldeal.fleet.rollout}. State is in the memory of one node;
+ * used on the state loop.
  */
 package reeldeal.fleet.recovery;
--- a/src/test/java/reeldeal/fleet/leader/AdminRequestHandlerTest.java
+++ b/src/test/java/reeldeal/fleet/leader/AdminRequestHandlerTest.java
@@ -13,7 +13,7 @@
 import reeldeal.fleet.FleetView.State;
 import reeldeal.fleet.disruption.DisruptionBudget;
 
-/** Operators' requests and their answers. */
+/** Tests operators' requests: their answers, rejections and resulting writes. */
 public class AdminRequestHandlerTest {
     private final AdminRequestHandler handler = new AdminRequestHandler(new DisruptionBudget());
     private final FleetValues fleet = new FleetValues().broker("a", "x", State.SERVING);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    public void whoIsOutIsListedWithAndWithoutAPermit() {
+    public void membersThatAreOutAreListedWithAndWithoutAPermit() {
         fleet.broker("b", "x", State.LAPSED).permit(Kind.BROKER, "a", "a1");
         assertEquals(
                 "kind=broker name=a by=operator planned=true version=14 reason=\n"
@@ -58,7 +58,7 @@
 
     @Test
     public void theReleaseIsShownWithItsMembers() {
-        assertEquals("there is no release", rejection("release show"));
+        assertEquals("no release has been planned", rejection("release show"));
         fleet.release().step("a", Stage.DRAIN, "a1");
         assertEquals(
                 "id=r1 kind=broker what=config to=c2 way=forward progress=running reason="
@@ -83,7 +83,8 @@
     @Test
     public void aDrainNeedsAPermitAndAKnownMember() {
         assertEquals(
-                "expected kind=broker or kind=searcher, and a name that is known: nobody",
+                "drain: expected the name of a known member, and kind=broker or kind=searcher"
+                        + " if both have that name; found nobody",
                 rejection("drain name=nobody"));
         AdminResult.Write drain = write("drain name=a");
         assertEquals("drains a", drain.answer());
@@ -95,22 +96,23 @@
     }
 
     @Test
-    public void theDrainOfAReleaseIsNotTakenBackByHand() {
-        assertEquals("no drain of a stands in the store", rejection("undrain name=a"));
+    public void anOperatorCannotUndrainAMemberThatAReleaseDrains() {
+        assertEquals("the store has no drain order for a", rejection("undrain name=a"));
         fleet.with(FleetView.drainKey(Kind.BROKER, "a"), "mark=a1 by=operator");
         assertEquals("the drain of a is taken back", write("undrain name=a").answer());
         fleet.release()
                 .step("a", Stage.DRAIN, "a1")
                 .with(FleetView.permitKey(Kind.BROKER, "a"), "mark=a1 by=release");
         assertEquals(
-                "a is drained by release r1; order the way back instead",
+                "a is drained by release r1; roll the release back instead",
                 rejection("undrain name=a"));
     }
 
     @Test
     public void onlyAMemberWithoutALeaseIsForgotten() {
         assertEquals(
-                "a reason is needed: the slot of a is freed on this word alone",
+                "forget: expected a reason, since the permit of a is released without evidence of"
+                        + " its return",
                 rejection("forget name=a"));
         assertEquals("a is serving; stop it first", rejection("forget name=a reason=r"));
         fleet.broker("a", "x", State.GONE);
@@ -130,23 +132,23 @@
     }
 
     @Test
-    public void aPlanIsRejectedForWhatIsNotKnown() {
+    public void aPlanWithUnknownOrInvalidAttributesIsRejected() {
         assertEquals(
-                "plan: expected a configuration or a program version", rejection("release plan"));
+                "plan: expected what=config or what=program, and to=VERSION",
+                rejection("release plan"));
         assertEquals(
-                "plan: configuration c2 is not kept in the store",
+                "plan: configuration c2 is not in the store",
                 rejection("release plan what=config to=c2"));
         assertEquals(
-                "plan: no broker x is known",
-                rejection("release plan what=program to=p2 members=a,x"));
+                "plan: unknown broker x", rejection("release plan what=program to=p2 members=a,x"));
         assertEquals(
-                "plan: waves are whole numbers above 0, found 0",
+                "plan: expected waves from 1 to 9999, found 0",
                 rejection("release plan what=program to=p2 waves=0"));
         assertEquals("planned: r1, 1 members", write("release plan what=program to=p2").answer());
     }
 
     @Test
-    public void aReleaseFollowsOnlyOrdersThatFitItsState() {
+    public void aReleaseAcceptsOnlyOrdersThatItsProgressAllows() {
         fleet.release().step("a", Stage.DRAIN, "a1");
         assertEquals("release r1 is running; it cannot start", rejection("release start"));
         assertEquals("release r1: pause", write("release pause").answer());
@@ -154,10 +156,11 @@
     }
 
     @Test
-    public void aReleaseIsOnlyStoppedInARecovery() {
+    public void aReleaseCanOnlyBePausedOrHaltedInARecovery() {
         fleet.release().with("fleet/recovery", "epoch=3 kind=whole step=2 ended=false");
         assertEquals(
-                "recovery 3 is at step 2; a release waits for its end", rejection("release back"));
+                "recovery 3 is at step 2; until it ends a release can only be paused or halted",
+                rejection("release back"));
         assertEquals("release r1: halt", write("release halt").answer());
     }
 
--- a/src/test/java/reeldeal/fleet/leader/EjectionReportsTest.java
+++ b/src/test/java/reeldeal/fleet/leader/EjectionReportsTest.java
@@ -11,7 +11,7 @@
 import reeldeal.fleet.FleetView.State;
 import reeldeal.fleet.disruption.ObservedSearcher;
 
-/** When a searcher counts as ejected. */
+/** Tests how many brokers' reports make a searcher count as ejected. */
 public class EjectionReportsTest {
     private final EjectionReports reports = new EjectionReports();
     private final FleetView fleet =
@@ -25,11 +25,13 @@
     private boolean isEjected() {
         ObservedSearcher searcher =
                 new ObservedSearcher("s", "z", "k", 0, 1_000, true, true, false);
-        return reports.apply(Map.of("s", searcher), fleet.members().values()).get("s").ejected();
+        return reports.withReportedEjections(Map.of("s", searcher), fleet.members().values())
+                .get("s")
+                .ejected();
     }
 
     @Test
-    public void aSearcherIsEjectedByMostBrokersWithALease() {
+    public void aSearcherCountsAsEjectedIfMostBrokersWithALeaseEjectedIt() {
         reports.record("a", Set.of("s"));
         reports.record("d", Set.of("s"));
         assertFalse(isEjected());
@@ -38,7 +40,7 @@
     }
 
     @Test
-    public void aReportIsReplacedByTheNext() {
+    public void aBrokersLaterReportReplacesItsEarlierOne() {
         reports.record("a", Set.of("s"));
         reports.record("b", Set.of("s"));
         reports.record("b", Set.of());
--- a/src/test/java/reeldeal/fleet/leader/RecoveryOrderTest.java
+++ b/src/test/java/reeldeal/fleet/leader/RecoveryOrderTest.java
@@ -13,7 +13,7 @@
 import reeldeal.fleet.recovery.Epoch;
 import reeldeal.fleet.recovery.RecoveryRamp;
 
-/** Operators' orders in a recovery. */
+/** Tests operators' orders in a recovery: their rejections and the resulting writes. */
 public class RecoveryOrderTest {
     private static final String SECOND_STEP = "epoch=3 kind=whole step=2 held=false ended=false";
     private static final String LAST_STEP = "epoch=3 kind=whole step=4 held=false ended=false";
@@ -22,7 +22,7 @@
         return new FleetValues().broker("a", "x", state);
     }
 
-    private static FleetView recovering(String epoch) {
+    private static FleetView fleetInRecovery(String epoch) {
         return fleet(State.SERVING).with(Epoch.KEY, epoch).view();
     }
 
@@ -45,40 +45,42 @@
 
     @Test
     public void onlyAKnownZoneWithoutLeasesIsForgotten() {
-        assertRejected("members of zone x are live", handle(fleet(State.SERVING).view(), "forget"));
         assertRejected(
-                "no member is of zone y", handle(fleet(State.SERVING).view(), "forget", "y"));
+                "members of zone x still hold leases",
+                handle(fleet(State.SERVING).view(), "forget"));
+        assertRejected(
+                "no member is in zone y", handle(fleet(State.SERVING).view(), "forget", "y"));
         ConditionalWrite write = write(handle(fleet(State.LAPSED).view(), "forget"));
         assertTrue(write.changes().get(Epoch.KEY).contains("forgotten=x"));
         assertTrue(write.reason(), write.reason().contains("operator: test"));
     }
 
     @Test
-    public void withoutARecoveryThereIsNothingToHold() {
-        assertRejected("no recovery is under way", handle(fleet(State.SERVING).view(), "hold"));
+    public void aHoldIsRejectedWithoutARecoveryInProgress() {
+        assertRejected("no recovery is in progress", handle(fleet(State.SERVING).view(), "hold"));
     }
 
     @Test
-    public void aRecoveryIsHeldAtTheStepThatWasSeen() {
-        ConditionalWrite write = write(handle(recovering(SECOND_STEP), "hold"));
+    public void aHoldExpectsTheVersionOfTheEpochItWasDecidedOn() {
+        ConditionalWrite write = write(handle(fleetInRecovery(SECOND_STEP), "hold"));
         assertEquals(Map.of(Epoch.KEY, 12L), write.expectedVersions());
         assertTrue(write.changes().get(Epoch.KEY).contains("held=true"));
     }
 
     @Test
     public void onlyAHeldRecoveryIsResumed() {
-        assertRejected("it is not held", handle(recovering(SECOND_STEP), "resume"));
+        assertRejected("the recovery is not held", handle(fleetInRecovery(SECOND_STEP), "resume"));
     }
 
     @Test
-    public void theNextStepIsForcedOrTheEnd() {
+    public void aForceTakesTheNextStepOrEndsTheRecoveryAtTheLastOne() {
         assertTrue(
-                write(handle(recovering(SECOND_STEP), "force"))
+                write(handle(fleetInRecovery(SECOND_STEP), "force"))
                         .changes()
                         .get(Epoch.KEY)
                         .contains("step=3"));
         assertTrue(
-                write(handle(recovering(LAST_STEP), "force"))
+                write(handle(fleetInRecovery(LAST_STEP), "force"))
                         .changes()
                         .get(Epoch.KEY)
                         .contains("ended=true"));
--- a/src/test/java/reeldeal/fleet/leader/StageTimerTest.java
+++ b/src/test/java/reeldeal/fleet/leader/StageTimerTest.java
@@ -7,29 +7,30 @@
 import reeldeal.fleet.FleetView;
 import reeldeal.fleet.FleetView.Stage;
 
-/** For how long a step has been at its stage. */
+/** Tests the time that a step of a release has been at its stage. */
 public class StageTimerTest {
     private final StageTimer timer = new StageTimer();
-    private final FleetValues values = new FleetValues().release().step("a", Stage.DRAIN, "a1");
+    private final FleetValues fleetValues =
+            new FleetValues().release().step("a", Stage.DRAIN, "a1");
 
     private long stageMs(long now) {
-        FleetView fleet = values.view();
+        FleetView fleet = fleetValues.view();
         timer.onFleetChanged(fleet, now);
         return timer.stageMs(fleet.steps().get("a"), now);
     }
 
     @Test
-    public void theTimeBeginsWithTheStage() {
+    public void theTimeStartsAtZeroWithEachStage() {
         assertEquals(0, stageMs(1_000));
         assertEquals(500, stageMs(1_500));
-        values.step("a", Stage.RESTART, "a1");
+        fleetValues.step("a", Stage.RESTART, "a1");
         assertEquals(0, stageMs(2_000));
     }
 
     @Test
-    public void theTimeBeginsAgainWhereTheReleaseIsResumed() {
+    public void aLaterWriteOfTheReleaseRestartsTheTime() {
         assertEquals(0, stageMs(1_000));
-        values.release();
+        fleetValues.release();
         assertEquals(0, stageMs(2_000));
         assertEquals(100, stageMs(2_100));
     }
--- a/src/test/java/reeldeal/fleet/node/RecoveryProgressTest.java
+++ b/src/test/java/reeldeal/fleet/node/RecoveryProgressTest.java
@@ -35,10 +35,10 @@
         public void serve() {}
 
         @Override
-        public void exit(String why) {}
+        public void exit(String reason) {}
 
         @Override
-        public void setAdmissionQuota(double share, double comeBackMs, int brokers) {
+        public void setAdmissionQuota(double share, double retryAfterMs, int brokers) {
             calls.add("admit " + share + " of " + brokers);
         }
 
--- a/src/test/java/reeldeal/fleet/recovery/BrokerRecoveryStatusTest.java
+++ b/src/test/java/reeldeal/fleet/recovery/BrokerRecoveryStatusTest.java
@@ -10,7 +10,7 @@
 import reeldeal.fleet.recovery.BrokerRecoveryStatus.Inputs;
 import reeldeal.fleet.recovery.BrokerRecoveryStatus.Stage;
 
-/** The progress of one broker after its start. */
+/** Tests the stages and admitted shares of one broker after its start. */
 public class BrokerRecoveryStatusTest {
     private static final Inputs COMPLETE = new Inputs(true, false, true, true);
     private static final Inputs UNCLASSIFIED = new Inputs(true, false, false, true);
@@ -41,7 +41,7 @@
     }
 
     @Test
-    public void nothingRestrictsABrokerThatServedAll() {
+    public void aBrokerThatHasServedAllIsNeverRestrictedAgain() {
         assertUpdate(Stage.SERVING, 1, fleet(), COMPLETE);
         FleetView recovery = fleet("epoch=1 kind=whole step=1 held=false ended=false");
         assertUpdate(Stage.SERVING, 1, recovery, COMPLETE);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    public void operatorsSeeTheStageByItsLabel() {
+    public void theStatusLineAndTheStageLabelsAreFixed() {
         assertEquals("stage=group share=0.0 why=the_group_was_not_heard_yet", status.describe());
         assertEquals("alone", Stage.SERVING_STALE.label());
         assertEquals("judging", Stage.AWAITING_CLASSIFICATION.label());
--- a/src/test/java/reeldeal/fleet/recovery/OutageClassifierTest.java
+++ b/src/test/java/reeldeal/fleet/recovery/OutageClassifierTest.java
@@ -9,13 +9,13 @@
 import reeldeal.fleet.FleetView;
 import reeldeal.fleet.FleetView.State;
 
-/** Which crashes are an outage. */
+/** Tests which crashes count as an outage of a zone or of the fleet. */
 public class OutageClassifierTest {
     private final OutageClassifier classifier = new OutageClassifier(RecoveryRamp.DEFAULT);
     private final FleetValues fleet = new FleetValues();
 
     /** Adds a broker that was restarted after a crash. */
-    private void restarted(String name, String zone) {
+    private void addRestartedBroker(String name, String zone) {
         fleet.with(FleetView.BOOT + name, "boot=" + name + "2 zone=" + zone + " after=3");
     }
 
@@ -24,22 +24,22 @@
     }
 
     @Test
-    public void allBrokersRestartedAreAFullOutage() {
-        restarted("a", "x");
-        restarted("b", "y");
+    public void restartsOfAllBrokersAreAnOutageOfTheFleet() {
+        addRestartedBroker("a", "x");
+        addRestartedBroker("b", "y");
         OutageClassifier.Verdict verdict = classify();
         assertEquals(Epoch.Kind.FLEET, verdict.kind());
         assertTrue(verdict.isCertain());
         assertEquals(2, verdict.lost());
-        assertEquals("before the first registration", 9, verdict.sinceVersion());
+        assertEquals("the version before the first registration", 9, verdict.sinceVersion());
     }
 
     @Test
-    public void allBrokersOfAZoneRestartedAreAnOutageOfTheZone() {
-        restarted("a", "x");
-        restarted("b", "x");
+    public void restartsOfAllBrokersOfAZoneAreAnOutageOfTheZone() {
+        addRestartedBroker("a", "x");
+        addRestartedBroker("b", "x");
         fleet.broker("c", "y", State.SERVING).broker("d", "y", State.SERVING);
-        classify(); // after the restarts were seen all have to be heard
+        classify(); // the new restarts require new heartbeats of all members
         classifier.recordHeartbeat("c1");
         classifier.recordHeartbeat("d1");
         assertEquals(Epoch.Kind.ZONE, classify().kind());
@@ -47,8 +47,8 @@
     }
 
     @Test
-    public void oneRestartedBrokerOfManyIsNoOutage() {
-        restarted("a", "x");
+    public void aSingleRestartedBrokerIsNotAnOutage() {
+        addRestartedBroker("a", "x");
         fleet.broker("b", "x", State.SERVING).broker("c", "x", State.SERVING);
         classify();
         classifier.recordHeartbeat("b1");
@@ -58,24 +58,24 @@
     }
 
     @Test
-    public void aRestartIsNotClassifiedBeforeTheOthersAreHeard() {
-        restarted("a", "x");
+    public void heartbeatsBeforeARestartDoNotMakeItsClassificationCertain() {
+        addRestartedBroker("a", "x");
         fleet.broker("b", "x", State.SERVING).broker("c", "x", State.SERVING);
         classifier.recordHeartbeat("b1");
         classifier.recordHeartbeat("c1");
-        assertFalse("heard before the restart", classify().isCertain());
+        assertFalse("the heartbeats came before the restart", classify().isCertain());
     }
 
     @Test
-    public void endedLeasesWithoutARestartAreNoOutage() {
+    public void endedLeasesWithoutARestartAreNotAnOutage() {
         fleet.broker("a", "x", State.LAPSED).broker("b", "x", State.LAPSED);
         assertEquals(Epoch.Kind.NONE, classify().kind());
     }
 
     @Test
     public void crashesBeforeTheLastClassificationDoNotCount() {
-        restarted("a", "x");
-        restarted("b", "x");
+        addRestartedBroker("a", "x");
+        addRestartedBroker("b", "x");
         fleet.with(OutageClassifier.CLASSIFIED_KEY, "");
         classifier.recordHeartbeat("a2");
         classifier.recordHeartbeat("b2");
@@ -83,10 +83,10 @@
     }
 
     @Test
-    public void processesThatReturnedInARecoveryAreLostOnlyByAnother() {
+    public void crashesThatTheRecoveryCoversAreNotANewOutage() {
         fleet.with(Epoch.KEY, "epoch=1 kind=whole step=1 since=50");
-        restarted("a", "x");
-        restarted("b", "x");
+        addRestartedBroker("a", "x");
+        addRestartedBroker("b", "x");
         classifier.recordHeartbeat("a2");
         classifier.recordHeartbeat("b2");
         assertEquals(Epoch.Kind.NONE, classify().kind());
--- a/src/test/java/reeldeal/fleet/recovery/RecoveryControllerTest.java
+++ b/src/test/java/reeldeal/fleet/recovery/RecoveryControllerTest.java
@@ -11,25 +11,25 @@
 import reeldeal.fleet.FleetView.State;
 import reeldeal.fleet.rollout.RolloutHealth.Counts;
 
-/** The steps of a recovery; the default ramp has 4 steps of at least 500 ms. */
+/** Tests the steps of a recovery with the default ramp, which has 4 steps of at least 500 ms. */
 public class RecoveryControllerTest {
     private static final RecoveryRamp RAMP = RecoveryRamp.DEFAULT;
     private final RecoveryController controller = new RecoveryController(RAMP);
     private final OutageClassifier classifier = new OutageClassifier(RAMP);
 
-    private static FleetView atStep(int step) {
+    private static FleetView fleetAtStep(int step) {
         return new FleetValues()
                 .broker("a", "x", State.SERVING)
                 .with(Epoch.KEY, "epoch=1 kind=whole step=" + step + " since=50")
                 .view();
     }
 
-    private String next(long now, FleetView fleet, double readyShare) {
-        ConditionalWrite write = controller.nextWrite(now, fleet, classifier, readyShare);
+    private String nextWriteReason(long now, FleetView fleet, double readySearcherShare) {
+        ConditionalWrite write = controller.nextWrite(now, fleet, classifier, readySearcherShare);
         return write == null ? null : write.reason();
     }
 
-    private void answers(long requests, long late) {
+    private void recordAnswers(long requests, long late) {
         controller.recordCounts("a1", new Counts(requests, late, 0, 0, 0));
     }
 
@@ -48,41 +48,47 @@
     }
 
     @Test
-    public void aStepIsTakenAfterItsTimeWithAnswersOnTime() {
-        answers(0, 0);
-        assertNull(next(0, atStep(2), 1));
-        answers(100, 2);
-        assertNull(next(499, atStep(2), 1));
-        assertEquals("recovery 1 step 2 to 3 of 4: 98.0% of 100 on time", next(500, atStep(2), 1));
+    public void theNextStepIsTakenAfterTheDwellTimeIfAnswersAreOnTime() {
+        recordAnswers(0, 0);
+        assertNull(nextWriteReason(0, fleetAtStep(2), 1));
+        recordAnswers(100, 2);
+        assertNull(nextWriteReason(499, fleetAtStep(2), 1));
+        assertEquals(
+                "recovery 1 moves from step 2 to 3 of 4: 98.0% of 100 on time",
+                nextWriteReason(500, fleetAtStep(2), 1));
     }
 
     @Test
-    public void aStepWithFewRequestsIsLeftAfterTheIdleTime() {
-        assertNull(next(0, atStep(1), 1));
-        assertNull(next(1_999, atStep(1), 1));
-        assertEquals("recovery 1 step 1 to 2 of 4: quiet", next(2_000, atStep(1), 1));
+    public void theNextStepIsTakenAfterTheIdleTimeIfRequestsAreFew() {
+        assertNull(nextWriteReason(0, fleetAtStep(1), 1));
+        assertNull(nextWriteReason(1_999, fleetAtStep(1), 1));
+        assertEquals(
+                "recovery 1 moves from step 1 to 2 of 4: quiet",
+                nextWriteReason(2_000, fleetAtStep(1), 1));
     }
 
     @Test
     public void aStepWithLateAnswersIsTakenBack() {
-        answers(0, 0);
-        assertNull(next(0, atStep(3), 1));
-        answers(100, 40);
+        recordAnswers(0, 0);
+        assertNull(nextWriteReason(0, fleetAtStep(3), 1));
+        recordAnswers(100, 40);
         assertEquals(
-                "recovery 1 step 3 to 2 of 4: taken back: 60.0% of 100 on time",
-                next(500, atStep(3), 1));
+                "recovery 1 moves from step 3 to 2 of 4: taken back: 60.0% of 100 on time",
+                nextWriteReason(500, fleetAtStep(3), 1));
     }
 
     @Test
-    public void noStepIsTakenBeforeEnoughSearchersAreBack() {
-        assertNull(next(0, atStep(1), 0.1));
-        assertNull(next(2_000, atStep(1), 0.24));
-        assertEquals("recovery 1 step 1 to 2 of 4: quiet", next(2_000, atStep(1), 0.25));
+    public void noStepIsTakenBeforeEnoughSearchersAreReady() {
+        assertNull(nextWriteReason(0, fleetAtStep(1), 0.1));
+        assertNull(nextWriteReason(2_000, fleetAtStep(1), 0.24));
+        assertEquals(
+                "recovery 1 moves from step 1 to 2 of 4: quiet",
+                nextWriteReason(2_000, fleetAtStep(1), 0.25));
     }
 
     @Test
     public void theRecoveryEndsAfterTheLastStep() {
-        assertNull(next(0, atStep(4), 1));
-        assertEquals("recovery 1 is over: quiet", next(2_000, atStep(4), 1));
+        assertNull(nextWriteReason(0, fleetAtStep(4), 1));
+        assertEquals("recovery 1 is over: quiet", nextWriteReason(2_000, fleetAtStep(4), 1));
     }
 }
--- a/src/test/java/reeldeal/fleet/recovery/RollbackDetectorTest.java
+++ b/src/test/java/reeldeal/fleet/recovery/RollbackDetectorTest.java
@@ -7,7 +7,7 @@
 import org.junit.Test;
 import reeldeal.fleet.recovery.RollbackDetector.Verdict;
 
-/** When a node may vote with its data directory. */
+/** Tests when a node may vote, and when its data directory counts as rolled back. */
 public class RollbackDetectorTest {
     private static final Set<String> OTHER_VOTERS = Set.of("b", "c");
     private static final long MAX_WAIT_MS = 500;
@@ -17,9 +17,9 @@
     }
 
     @Test
-    public void aVoterThatIsDownIsAwaitedOnlyForATime() {
+    public void theDetectorWaitsForAVoterThatIsDownOnlyForALimitedTime() {
         RollbackDetector detector = detector(3);
-        assertEquals("nobody was heard", Verdict.WAIT, detector.verdict(60_000));
+        assertEquals("no voter was heard", Verdict.WAIT, detector.verdict(60_000));
         detector.onStartsReported(60_000, "b", 2);
         detector.onStartsReported(60_010, "learner", 1);
         assertEquals(Verdict.WAIT, detector.verdict(60_499));
@@ -35,14 +35,11 @@
     }
 
     @Test
-    public void aLaterStartThatAnybodyKnowsIsFinal() {
+    public void aLaterStartThatAnyPeerKnowsIsFinal() {
         RollbackDetector detector = detector(2);
         detector.onPeerHeard(5);
         detector.onStartsReported(20, "learner", 2);
-        assertEquals(
-                "one that does not vote knows the same count",
-                Verdict.ROLLED_BACK,
-                detector.verdict(20));
+        assertEquals("a learner knows the same count", Verdict.ROLLED_BACK, detector.verdict(20));
         detector.onStartsReported(21, "b", 1);
         detector.onStartsReported(22, "c", 1);
         assertEquals(Verdict.ROLLED_BACK, detector.verdict(600));
@@ -50,6 +47,7 @@
                 detector.reason("a"),
                 detector.reason("a")
                         .startsWith(
-                                "this folder went back: learner knows start 2 of a, and this is start 2"));
+                                "this folder went back: learner knows start 2 of a, and this process is"
+                                        + " start 2"));
     }
 }
