--- a/src/main/java/reeldeal/fleet/leader/AdminRequest.java
+++ b/src/main/java/reeldeal/fleet/leader/AdminRequest.java
@@ -63,9 +63,9 @@
      * or if the name is unknown or used by both kinds.
      */
     Kind memberKind() {
-        String given = attributes.get("kind");
-        if (!given.isEmpty()) {
-            return parseKind(given);
+        String kindAttribute = attributes.get("kind");
+        if (!kindAttribute.isEmpty()) {
+            return parseKind(kindAttribute);
         }
         boolean isBroker = fleet.members().containsKey(memberName());
         boolean isSearcher = fleet.searchers().containsKey(memberName());
--- a/src/main/java/reeldeal/fleet/leader/DrainOperations.java
+++ b/src/main/java/reeldeal/fleet/leader/DrainOperations.java
@@ -56,7 +56,7 @@
         String name = request.memberName();
         Kind kind = request.memberKind();
         if (kind == null || fleet.drainMark(kind, name) == null) {
-            return new AdminResult.Rejection("the store has no drain order for " + name);
+            return new AdminResult.Rejection("no drain order for " + name + " is in the store");
         } else if (isDrainedByRelease(fleet, kind, name)) {
             return new AdminResult.Rejection(
                     name
--- a/src/main/java/reeldeal/fleet/leader/EjectionReports.java
+++ b/src/main/java/reeldeal/fleet/leader/EjectionReports.java
@@ -34,13 +34,14 @@
         Map<String, ObservedSearcher> updated = new HashMap<>();
         searchers.forEach(
                 (name, searcher) -> {
-                    boolean isEjectedByMost = 2 * ejectingBrokers(name, members) > leaseHolders;
+                    boolean isEjectedByMost =
+                            2 * countEjectingBrokers(name, members) > leaseHolders;
                     updated.put(name, searcher.withEjected(isEjectedByMost));
                 });
         return updated;
     }
 
-    private long ejectingBrokers(String searcher, Collection<Member> members) {
+    private long countEjectingBrokers(String searcher, Collection<Member> members) {
         return members.stream()
                 .filter(Member::hasLease)
                 .filter(
--- a/src/main/java/reeldeal/fleet/leader/ReleasePlanOperation.java
+++ b/src/main/java/reeldeal/fleet/leader/ReleasePlanOperation.java
@@ -27,11 +27,11 @@
         FleetView fleet = request.fleet();
         FormAttributes attributes = request.attributes();
         Kind kind = attributes.get("kind").equals("searcher") ? Kind.SEARCHER : Kind.BROKER;
-        List<String> members = members(fleet, kind, attributes);
+        List<String> memberNames = memberNames(fleet, kind, attributes);
         List<String> waves = waves(attributes);
         String invalidReason = invalidReason(fleet, kind, attributes);
         if (invalidReason == null) {
-            invalidReason = invalidReason(fleet, kind, members, waves);
+            invalidReason = invalidReason(fleet, kind, memberNames, waves);
         }
         if (invalidReason != null) {
             return new AdminResult.Rejection(invalidReason);
@@ -50,15 +50,15 @@
                         0);
         List<Integer> waveSizes = waves.stream().map(Integer::valueOf).toList();
         return new AdminResult.Write(
-                "planned: " + release.id() + ", " + members.size() + " members",
-                RolloutOrders.plan(fleet, release, members, waveSizes));
+                "planned: " + release.id() + ", " + memberNames.size() + " members",
+                RolloutOrders.plan(fleet, release, memberNames, waveSizes));
     }
 
     private static Set<String> knownNames(FleetView fleet, Kind kind) {
         return kind == Kind.BROKER ? fleet.members().keySet() : fleet.searchers().keySet();
     }
 
-    private static List<String> members(FleetView fleet, Kind kind, FormAttributes attributes) {
+    private static List<String> memberNames(FleetView fleet, Kind kind, FormAttributes attributes) {
         String given = attributes.get("members");
         return given.isEmpty() ? List.copyOf(knownNames(fleet, kind)) : List.of(given.split(","));
     }
@@ -93,17 +93,17 @@
     }
 
     private static String invalidReason(
-            FleetView fleet, Kind kind, List<String> members, List<String> waves) {
-        List<String> unknownNames = new ArrayList<>(members);
+            FleetView fleet, Kind kind, List<String> memberNames, List<String> waves) {
+        List<String> unknownNames = new ArrayList<>(memberNames);
         unknownNames.removeAll(knownNames(fleet, kind));
         if (!unknownNames.isEmpty()) {
-            return "plan: unknown " + kind.lowerCase() + " " + unknownNames.get(0);
+            return "plan: " + kind.lowerCase() + " " + unknownNames.get(0) + " is unknown";
         }
         for (String wave : waves) {
             if (!wave.matches(WAVE_PATTERN)) {
                 return "plan: expected waves from 1 to 9999, found " + wave;
             }
         }
-        return members.isEmpty() ? "plan: no member of this kind is known" : null;
+        return memberNames.isEmpty() ? "plan: no member of this kind is known" : null;
     }
 }
--- a/src/main/java/reeldeal/fleet/node/FleetAdminEndpoint.java
+++ b/src/main/java/reeldeal/fleet/node/FleetAdminEndpoint.java
@@ -12,8 +12,8 @@
 import reeldeal.store.StoreNode;
 
 /**
- * Operators' requests that begin with {@code fleet}: decides them on this node's copy, writes what
- * results, and answers once it is committed. Used on the state loop.
+ * Handles operators' requests that begin with {@code fleet}: decides them on this node's copy of
+ * the fleet, submits the resulting write and answers after its commit. Used on the state loop.
  */
 final class FleetAdminEndpoint {
     private static final String REQUEST_PREFIX = "fleet";
@@ -23,15 +23,15 @@
     private static final int MAX_APPLY_WAIT_MS = 2_000;
     private static final int APPLY_POLL_MS = 10;
 
-    /** This node, as the requests need it. */
+    /** The state of this node that the requests depend on. */
     interface Node {
-        /** The fleet as this node has last read it. */
+        /** Returns the fleet as this node last read it from the store. */
         FleetView fleet();
 
-        /** The fleet by all that this node has applied by now, its own writes included. */
+        /** Reads the fleet again from all that this node has applied, including its own writes. */
         FleetView refreshedFleet();
 
-        /** One line for {@code fleet self}. */
+        /** Returns the answer to {@code fleet self}, one line. */
         String describe();
     }
 
@@ -43,7 +43,7 @@
     private final RecoveryProgress recovery;
     private final Node node;
 
-    /** {@code recovery} is null where the fleet has no recovery plan. */
+    /** Creates an endpoint; {@code recovery} is null if the fleet has no recovery plan. */
     FleetAdminEndpoint(
             EventLoop loop,
             StoreNode store,
@@ -61,7 +61,7 @@
         this.node = node;
     }
 
-    /** Answers a request, the word {@code fleet} included. */
+    /** Answers a request; its text begins with the word {@code fleet}. */
     void handle(String text, StoreNode.AdminReply reply) {
         String request = text.substring(REQUEST_PREFIX.length()).trim();
         if (request.startsWith(RECOVERY_PREFIX)) {
@@ -107,14 +107,15 @@
                             reply.reject(
                                     failureMessage(
                                             outcome,
-                                            "unknown: begun, but no majority has it in time;"
-                                                    + " look again"));
+                                            "unknown: the write was proposed, but no majority has"
+                                                    + " confirmed it in time; check the state"
+                                                    + " before repeating the request"));
                         }
                     });
         }
     }
 
-    /** Whether a write was decided on a copy that another write had outdated. */
+    /** Whether a write was rejected because it was decided on an outdated copy of the fleet. */
     private static boolean isConflict(StoreNode.Result outcome) {
         return outcome instanceof StoreNode.Rejected rejected
                 && rejected.reason().contains(" is at version ");
@@ -126,7 +127,7 @@
                 : unknownOutcomeMessage;
     }
 
-    /** Runs an action once this node has applied a version, or after a time. */
+    /** Runs an action once this node has applied a version, or at the deadline. */
     private void whenApplied(long version, long deadlineMs, Runnable action) {
         if (store.version() >= version || FleetClock.nowMs() >= deadlineMs) {
             action.run();
@@ -141,7 +142,7 @@
     private void handleRecovery(String request, StoreNode.AdminReply reply) {
         String verb = request.split(" ")[0];
         if (recovery == null) {
-            reply.reject("this fleet has no plan for a loss of power");
+            reply.reject("recovery is disabled: fleet.recovery.steps is off");
         } else if (verb.equals("show")) {
             String epoch =
                     Epoch.of(node.fleet())
@@ -167,7 +168,10 @@
                             log.accept("fleet: " + write.write().reason());
                             reply.answer(write.answer());
                         } else {
-                            reply.reject(failureMessage(outcome, "unknown: look again"));
+                            reply.reject(
+                                    failureMessage(
+                                            outcome,
+                                            "unknown: no majority has confirmed the write in time; check with recovery show"));
                         }
                     });
         }
--- a/src/main/java/reeldeal/fleet/node/FleetClock.java
+++ b/src/main/java/reeldeal/fleet/node/FleetClock.java
@@ -1,11 +1,11 @@
 package reeldeal.fleet.node;
 
 /**
- * This node's clocks as a member of the fleet: a steady clock, and by how much the wall clock is
- * off the fleet's. Updated on the state loop.
+ * The clocks of this node as a member of the fleet: a steady clock, and the deviation of the wall
+ * clock from the fleet's. Updated on the state loop.
  */
 final class FleetClock {
-    /** By which the fault injection lets this process's steady clock run faster or slower. */
+    /** The factor by which fault injection speeds up or slows down this process's steady clock. */
     private static final double CLOCK_RATE =
             Double.parseDouble(System.getProperty("reeldeal.drill.clock_rate", "1"));
 
@@ -15,17 +15,19 @@
     private long errorMs = UNKNOWN;
     private long fleetAheadMs;
 
-    /** The steady clock, ms; from any thread. */
+    /** Returns the time of the steady clock, ms; callable from any thread. */
     static long nowMs() {
         return (long) (System.nanoTime() * CLOCK_RATE / NANOS_PER_MS);
     }
 
     /**
-     * The leader sent the fleet's wall clock at some time in the last {@code roundTripMs}; what
-     * lies outside of that interval is error.
+     * Updates the deviation of this node's wall clock. The leader read the fleet's clock at some
+     * time in the last {@code roundTripMs}, so that only a difference outside of that interval
+     * counts as an error.
      *
-     * @param fleetWallMs the fleet's clock, Unix ms; 0 or less where the leader does not know it
+     * @param fleetWallMs the fleet's clock, Unix ms; 0 or less if the leader does not know it
      * @param wallMs this node's clock now, Unix ms
+     * @param roundTripMs the time from the heartbeat to its answer, ms
      */
     void onFleetWallClock(long fleetWallMs, long wallMs, long roundTripMs) {
         if (fleetWallMs <= 0) {
@@ -41,12 +43,16 @@
         }
     }
 
-    /** By how much the wall clock is off the fleet's at the least, ms; negative while unknown. */
+    /**
+     * Returns the minimum deviation of the wall clock from the fleet's, ms; negative if unknown.
+     */
     long errorMs() {
         return errorMs;
     }
 
-    /** By how much the fleet's wall clock is surely ahead of this node's, ms; may be negative. */
+    /**
+     * Returns by how much the fleet's wall clock is at least ahead, ms; negative if it is behind.
+     */
     long fleetAheadMs() {
         return fleetAheadMs;
     }
--- a/src/main/java/reeldeal/fleet/node/FleetConfig.java
+++ b/src/main/java/reeldeal/fleet/node/FleetConfig.java
@@ -6,13 +6,13 @@
 /**
  * The configuration of a broker as a member of its fleet. Immutable.
  *
- * @param zone its availability zone
- * @param program the program's version as operators call it
- * @param times the durations of membership
- * @param recovery how the fleet recovers from an outage, null where it has no plan for that
+ * @param zone the broker's availability zone
+ * @param program the version of the program, as named in releases
+ * @param timing the durations of the lease, of heartbeats, of retries and of an exit
+ * @param recovery the steps of a recovery after an outage, null if the fleet has no recovery plan
  */
 public record FleetConfig(
         String zone, String program, LocalMember.Timing timing, RecoveryRamp recovery) {
-    /** With the number of starts that the data directory counts, this one included. */
+    /** A configuration with the number of starts on the data directory, including this one. */
     public record Counted(FleetConfig config, long starts) {}
 }
--- a/src/main/java/reeldeal/fleet/node/FleetLeadership.java
+++ b/src/main/java/reeldeal/fleet/node/FleetLeadership.java
@@ -19,8 +19,8 @@
 import reeldeal.store.StoreNode;
 
 /**
- * What this node does for the fleet while it leads the store: answers heartbeats and carries out
- * the writes of its {@link FleetController}. Used on the state loop.
+ * The duties of this node towards the fleet while it leads the store: answers heartbeats and
+ * proposes the writes of its {@link FleetController}. Used on the state loop.
  */
 final class FleetLeadership {
     private static final int ANSWER_DELAY_MS = 50;
@@ -37,7 +37,7 @@
     private long leaderSeenAt = FleetClock.nowMs();
     private String leadershipNonce = "";
 
-    /** A node that does not lead yet. */
+    /** Creates the leadership of a node that does not lead. */
     FleetLeadership(
             EventLoop loop,
             StoreNode store,
@@ -51,7 +51,7 @@
         this.controller = controller;
     }
 
-    /** This node leads from now on. */
+    /** Begins this node's leadership. */
     void begin() {
         long now = FleetClock.nowMs();
         leadershipNonce = store.session() + "-" + now;
@@ -59,14 +59,14 @@
         controller.beginLeadership(now, now - leaderSeenAt);
     }
 
-    /** This node's copy of the fleet. */
+    /** Updates the copy of the fleet after the store has applied a change. */
     void onFleetChanged(FleetView newFleet) {
         fleet = newFleet;
         controller.setVoters(store.configuration().voters());
         controller.onFleetChanged(FleetClock.nowMs(), newFleet);
     }
 
-    /** Notes whether the store has a leader, and whether this node still is. */
+    /** Records when the store last had a leader, and ends a leadership that this node has lost. */
     void updateLeader() {
         if (store.leader() != null) {
             leaderSeenAt = FleetClock.nowMs();
@@ -78,7 +78,7 @@
 
     // ---- writes ----
 
-    /** Proposes the next write, and after its commit the one after that. */
+    /** Proposes the controller's next write; each commit triggers the following write. */
     void proposeNextWrite() {
         if (!controller.isLeading() || !store.acceptsWrites()) {
             return;
@@ -97,19 +97,19 @@
         if (committed) {
             log.accept("fleet: " + write.reason());
         }
-        // Executed once this node has applied the change.
+        // Deferred until this node has applied the committed change.
         loop.execute(
                 () -> {
                     controller.onWriteEnded();
                     if (committed) {
-                        proposeNextWrite(); // a rejected write is decided again at the next tick
+                        proposeNextWrite(); // after a rejection the next tick decides again
                     }
                 });
     }
 
     // ---- heartbeats ----
 
-    /** A member's heartbeat; it is answered if it renews the member's lease. */
+    /** Processes a member's heartbeat, and answers it if it renews the member's lease. */
     void onHeartbeat(String member, Heartbeat heartbeat, Consumer<Answer> sendAnswer) {
         boolean isLeaseRenewed =
                 controller.onHeartbeat(
@@ -141,7 +141,7 @@
         scheduleAnswers();
     }
 
-    /** Heartbeats that came together are answered by one confirmation of the leadership. */
+    /** Schedules one confirmation of the leadership for all heartbeats of a short interval. */
     private void scheduleAnswers() {
         if (!answersScheduled) {
             answersScheduled = true;
@@ -156,7 +156,7 @@
         store.confirmLeadership(() -> answers.forEach(Runnable::run));
     }
 
-    /** The fleet's wall clock, Unix ms; 0 while too few members were heard to know it. */
+    /** Returns the fleet's wall clock, Unix ms; 0 if too few members' clocks are known. */
     private long fleetWallMs() {
         int leaseHolders = (int) fleet.members().values().stream().filter(Member::hasLease).count();
         return clockMedian.hasQuorum(store.node(), leaseHolders)
@@ -164,15 +164,15 @@
                 : 0;
     }
 
-    // ---- for operators ----
+    // ---- operators' requests ----
 
-    /** What this node knows beside the store, with its present endpoint list. */
+    /** Returns the state that this node observes itself, with its present endpoint list. */
     DisruptionBudget.Observations observations(long now) {
         controller.setSearchers(host.searchers(), host.shards());
         return controller.observations(now);
     }
 
-    /** For how long this leader has not heard a member, ms, or -1 where that is not known. */
+    /** Returns the time since a member's last heartbeat, ms, or -1 if it is unknown here. */
     long silenceMs(Member member, long now) {
         return controller.isLeading() ? controller.silenceMs(member, now) : -1;
     }
--- a/src/main/java/reeldeal/fleet/node/FleetNode.java
+++ b/src/main/java/reeldeal/fleet/node/FleetNode.java
@@ -30,21 +30,21 @@
 import reeldeal.store.StoreNode;
 
 /**
- * One node of the fleet. Owns this process's membership: keeps it up to date with the store, sends
- * its heartbeats and carries out its actions at the broker. Used on the state loop, unless a method
- * says otherwise.
+ * One node of the fleet. Owns this process's membership: updates it from the store, sends its
+ * heartbeats and applies its actions to the broker. Used on the state loop, unless documented
+ * otherwise at a method.
  */
 public final class FleetNode {
     private static final char TOPIC = 'F';
     private static final int TICK_MS = 100;
     private static final int DEREGISTRATION_TIMEOUT_MS = 1_500;
 
-    /** How many retry delays {@link #terminate} waits beyond the time for a permit. */
+    /** The number of retry delays that {@link #terminate} waits beyond the time for a permit. */
     private static final int EXIT_GRACE_RETRIES = 5;
 
-    /** The broker that is a member; called on the state loop. */
+    /** The broker whose membership this node manages; called on the state loop. */
     public interface Host {
-        /** Accepts no more clients. */
+        /** Stops accepting clients. */
         void drain();
 
         /** Accepts clients again. */
@@ -54,30 +54,30 @@
         void exit(String reason);
 
         /**
-         * Admits a share of the load.
+         * Limits the admitted load to a share.
          *
-         * @param share from 0 to 1
-         * @param comeBackMs the Retry-After of rejected requests, ms
-         * @param brokers the number of serving brokers, 0 where it is not known
+         * @param share the admitted share, from 0 to 1
+         * @param retryAfterMs the Retry-After of rejected requests, ms
+         * @param brokers the number of serving brokers, 0 if it is unknown
          */
         void setAdmissionQuota(double share, double retryAfterMs, int brokers);
 
         /**
-         * Assumes that the searchers of a zone, "" for all, have just restarted where the endpoint
-         * list has an earlier start.
+         * Assumes that the searchers of a zone have just restarted, unless the endpoint list has a
+         * later start of them; "" for all zones.
          */
         void assumeRestarted(String zone);
 
-        /** What was counted since the start. */
+        /** Returns the broker's request counts since its start. */
         RolloutHealth.Counts counts();
 
-        /** The searchers that this broker has ejected. */
+        /** Returns the searchers that this broker has ejected. */
         Set<String> ejected();
 
-        /** The endpoint list without the fleet's own drains, null where there is none. */
+        /** Returns the endpoint list without the fleet's own drains, null if there is none yet. */
         Map<String, ObservedSearcher> searchers();
 
-        /** Where shards are held. */
+        /** Returns the layout of shards. */
         DisruptionBudget.ShardLayout shards();
     }
 
@@ -104,9 +104,10 @@
     private volatile long leaseUntil = Long.MIN_VALUE;
 
     /**
-     * For a store that has not begun yet.
+     * Creates a node on a store that has not been started.
      *
      * @param loop the state loop
+     * @param counted the configuration and the number of starts on the data directory
      * @param configVersion the version of the configuration that the broker runs with
      */
     public FleetNode(
@@ -170,7 +171,7 @@
                 ramp == null ? null : new RecoveryController(ramp));
     }
 
-    /** Begins to take part in the fleet. */
+    /** Registers the node's callbacks at the store and begins its periodic ticks. */
     public void start() {
         store.onChange(
                 changes -> {
@@ -197,7 +198,7 @@
         loop.scheduleAtFixedRate(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
-    // ---- the store ----
+    // ---- state from the store ----
 
     private void scheduleRefresh() {
         if (!refreshScheduled) {
@@ -231,8 +232,8 @@
     }
 
     /**
-     * Checks once, before anything is written, that the group does not know a later start of this
-     * node than its data directory counts.
+     * Checks once, as soon as this node's copy is current and before it writes anything, that the
+     * group does not already know this or a later start of the node from another process.
      */
     private boolean isDataDirectoryTrusted() {
         if (dataDirectoryChecked || !store.isCurrent()) {
@@ -250,9 +251,9 @@
                         + startsKnown
                         + " of "
                         + store.node()
-                        + ", and this is start "
+                        + ", and this process is start "
                         + starts
-                        + "; it votes and writes no more. Rebuild the node under a new name:"
+                        + "; the node no longer votes or writes. Rebuild it under a new name:"
                         + " docs/operators/store.md");
         return false;
     }
@@ -280,7 +281,7 @@
         }
     }
 
-    // ---- this member ----
+    // ---- membership of this process ----
 
     private void executeMemberActions() {
         leaseUntil = self.leaseUntil();
@@ -359,41 +360,41 @@
         executeMemberActions();
     }
 
-    /** Whether this member surely holds its lease; from any thread. */
+    /** Whether this member is certain to hold its lease; callable from any thread. */
     public boolean holdsLease() {
         return FleetClock.nowMs() < leaseUntil;
     }
 
     /**
-     * By how much this node's wall clock is off the fleet's at the least, ms; negative while that
-     * is not known.
+     * Returns the minimum deviation of this node's wall clock from the fleet's, ms; negative while
+     * it is unknown.
      */
     public long wallClockErrorMs() {
         return clock.errorMs();
     }
 
     /**
-     * The fleet's wall clock as far as this node knows it, Unix ms: its own, less what that is
-     * surely off.
+     * Returns this node's estimate of the fleet's wall clock, Unix ms: its own wall clock,
+     * corrected by its minimum deviation.
      */
     public long fleetWallMs() {
         return WallClock.now() + clock.fleetAheadMs();
     }
 
-    /** The fleet by this node's copy of the store. */
+    /** Returns the fleet as this node last read it from its copy of the store. */
     public FleetView fleet() {
         return fleet;
     }
 
     /**
-     * Calls back on the state loop whenever the fleet or this process as a member, null while it is
-     * none, may have changed.
+     * Adds a listener that is called on the state loop whenever the fleet or this member may have
+     * changed; the member is null while this process is not registered.
      */
     public void addListener(BiConsumer<FleetView, FleetView.Member> listener) {
         viewListeners.add(listener);
     }
 
-    /** The broker accepts clients; from any thread. */
+    /** Reports that the broker accepts clients; callable from any thread. */
     public void ready() {
         loop.execute(
                 () -> {
@@ -403,8 +404,8 @@
     }
 
     /**
-     * SIGTERM: blocks until the process may end, for a configured time at the most; not on the
-     * state loop.
+     * Handles SIGTERM: blocks until the process may end, at most for a configured time. Must not be
+     * called on the state loop.
      */
     public void terminate() throws InterruptedException {
         loop.execute(
@@ -412,11 +413,14 @@
                     self.terminate(FleetClock.nowMs());
                     executeMemberActions();
                 });
-        // Times out where the process is told to end before it has begun.
+        // Times out if the node has not been started: without ticks no exit is ordered.
         exitOrdered.await(exitTimeoutMs, TimeUnit.MILLISECONDS);
     }
 
-    /** The process has drained and ends: blocks while it deregisters; not on the state loop. */
+    /**
+     * Deregisters the process after it has drained, and blocks until the write has ended or timed
+     * out. Must not be called on the state loop.
+     */
     public void deregister() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(
@@ -432,7 +436,7 @@
         done.await(DEREGISTRATION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** This node, for operators' requests. */
+    /** Gives operators' requests access to this node's state. */
     private final class AdminNode implements FleetAdminEndpoint.Node {
         @Override
         public FleetView fleet() {
--- a/src/main/java/reeldeal/fleet/node/HeartbeatCodec.java
+++ b/src/main/java/reeldeal/fleet/node/HeartbeatCodec.java
@@ -7,8 +7,8 @@
 import reeldeal.fleet.rollout.RolloutHealth;
 
 /**
- * Heartbeats of members and the leader's answers, as they are sent. The attribute names are part of
- * the messages between nodes and never change. Stateless, callable from any thread.
+ * Encodes and decodes members' heartbeats and the leader's answers. The attribute names are part of
+ * the protocol between nodes and must not change. Stateless, callable from any thread.
  */
 final class HeartbeatCodec {
     private static final int MAX_EJECTED = 100;
@@ -19,12 +19,13 @@
     /**
      * A member's heartbeat.
      *
-     * @param leaderNonce of the last answer that it had, "" where it had none
-     * @param sentAtMs by the member's steady clock, returned in the answer
-     * @param appliedVersion the version up to which it has applied the log
-     * @param wallMs its wall clock, Unix ms; 0 from a version of the program that sends none
-     * @param counts what it has counted since its start
-     * @param ejected the searchers that it has ejected
+     * @param incarnation the member's incarnation
+     * @param leaderNonce the nonce of the last answer that the member received, "" if it had none
+     * @param sentAtMs the time by the member's steady clock, returned in the answer
+     * @param appliedVersion the version up to which the member has applied the log
+     * @param wallMs the member's wall clock, Unix ms; 0 from earlier program versions without it
+     * @param counts the member's request counts since its start
+     * @param ejected the searchers that the member has ejected
      */
     record Heartbeat(
             long incarnation,
@@ -37,12 +38,13 @@
             implements Message {}
 
     /**
-     * The leader's answer.
+     * The leader's answer to a heartbeat.
      *
-     * @param incarnation and {@code sentAtMs} as in the heartbeat
+     * @param incarnation the incarnation in the heartbeat
+     * @param sentAtMs the sending time in the heartbeat
      * @param leaderNonce identifies this leadership
-     * @param outageClassified whether the leader is certain what was lost
-     * @param fleetWallMs the fleet's wall clock, Unix ms; 0 where the leader does not know it
+     * @param outageClassified whether the leader is certain of the extent of the last loss
+     * @param fleetWallMs the fleet's wall clock, Unix ms; 0 if the leader does not know it
      */
     record Answer(
             long incarnation,
@@ -58,7 +60,7 @@
         RolloutHealth.Counts counts = heartbeat.counts();
         String ejected =
                 heartbeat.ejected().stream().limit(MAX_EJECTED).collect(Collectors.joining(","));
-        return bytes(
+        return toBytes(
                 new FormAttributes()
                         .with("beat", heartbeat.incarnation())
                         .with("by", heartbeat.leaderNonce())
@@ -74,7 +76,7 @@
     }
 
     static byte[] encode(Answer answer) {
-        return bytes(
+        return toBytes(
                 new FormAttributes()
                         .with("held", answer.incarnation())
                         .with("sent", answer.sentAtMs())
@@ -83,11 +85,11 @@
                         .with("wall", answer.fleetWallMs()));
     }
 
-    private static byte[] bytes(FormAttributes attributes) {
+    private static byte[] toBytes(FormAttributes attributes) {
         return attributes.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The message, or null where it is none that this version knows. */
+    /** Returns the decoded message, or null if this version does not know its type. */
     static Message decode(byte[] bytes) {
         FormAttributes attributes = FormAttributes.of(new String(bytes, StandardCharsets.UTF_8));
         if (!attributes.get("beat").isEmpty()) {
--- a/src/main/java/reeldeal/fleet/node/RecoveryProgress.java
+++ b/src/main/java/reeldeal/fleet/node/RecoveryProgress.java
@@ -7,8 +7,8 @@
 import reeldeal.fleet.recovery.RecoveryRamp;
 
 /**
- * This node's recovery after its start: what it has heard so far, and what the broker admits by
- * that. Used on the state loop.
+ * Tracks this node's recovery after its start, from what it has received so far, and limits the
+ * load that the broker admits accordingly. Used on the state loop.
  */
 final class RecoveryProgress {
     private final RecoveryRamp ramp;
@@ -22,7 +22,7 @@
     private long lastRestartedEpoch;
     private boolean allAssumedRestarted;
 
-    /** The recovery of a broker of this zone. */
+    /** Creates the recovery of a broker in the given zone. */
     RecoveryProgress(RecoveryRamp ramp, String zone, FleetNode.Host host, Consumer<String> log) {
         this.ramp = ramp;
         status = new BrokerRecoveryStatus(ramp, zone);
@@ -30,12 +30,15 @@
         this.log = log;
     }
 
-    /** The store gives out its old copy, the group being out of reach. */
+    /** Records that the store serves its old copy, because the group is unreachable. */
     void onServingStale() {
         servingStale = true;
     }
 
-    /** The leader is certain what was lost, by its answer to this incarnation. */
+    /**
+     * Records that the leader's answer to this incarnation has said that the extent of the loss is
+     * certain.
+     */
     void onStartClassified() {
         startClassified = true;
     }
@@ -43,9 +46,9 @@
     /**
      * Updates the share of the load that the broker admits.
      *
-     * @param me this process as a member, or null
-     * @param name this broker's name, which counts as serving
-     * @param isCurrent whether this node's copy is current
+     * @param self this process as a member, or null while it has not registered
+     * @param brokerName this broker's name; the broker counts as serving in any state
+     * @param isCurrent whether this node's copy of the store is current
      */
     void update(FleetView fleet, Member self, String brokerName, boolean isCurrent) {
         groupHeard |= isCurrent;
@@ -83,18 +86,18 @@
             host.assumeRestarted(status.restartedSearchersZone());
         } else if (status.stage() == BrokerRecoveryStatus.Stage.SERVING_STALE
                 && !allAssumedRestarted) {
-            // Searchers of the old copy may have restarted in the same outage as this process.
+            // The searchers in the old copy may have restarted in the same outage as this process.
             allAssumedRestarted = true;
             host.assumeRestarted("");
         }
     }
 
-    /** The steps that it follows. */
+    /** Returns the steps that this recovery follows. */
     RecoveryRamp ramp() {
         return ramp;
     }
 
-    /** One line of attributes for operators. */
+    /** Returns the recovery as one line of attributes, for operators. */
     String describe() {
         return status.describe() + " judged=" + startClassified;
     }
--- a/src/main/java/reeldeal/fleet/node/RollbackCheck.java
+++ b/src/main/java/reeldeal/fleet/node/RollbackCheck.java
@@ -14,15 +14,15 @@
 import reeldeal.store.StoreNode;
 
 /**
- * Before this node votes, asks the others how many of its starts they know of, and has its data
- * directory marked untrusted where that shows a rollback; answers the same question for others.
- * Used on the state loop.
+ * Asks all other nodes, before this node votes, how many of its starts they know of, and marks its
+ * data directory as untrusted if an answer proves a rollback. Also answers the same question for
+ * other nodes. Used on the state loop.
  */
 public final class RollbackCheck {
     private static final char TOPIC = 'V';
     private static final int POLL_INTERVAL_MS = 50;
 
-    /** Shorter than the time after which a node would start an election. */
+    /** Must be shorter than the time after which a node would start an election. */
     private static final int MAX_WAIT_MS = 500;
 
     private static final String QUESTION = "asks";
@@ -36,9 +36,9 @@
     private ScheduledFuture<?> polling;
 
     /**
-     * For a store that has not begun yet.
+     * Creates a check for a store that has not been started.
      *
-     * @param starts how many starts the node's data directory counts, this one included
+     * @param starts the number of starts that the node's data directory counts, including this one
      */
     public RollbackCheck(EventLoop loop, StoreNode store, long starts) {
         this.loop = loop;
@@ -46,7 +46,7 @@
         this.starts = starts;
     }
 
-    /** Begins; before the store does. */
+    /** Begins the check and withholds this node's votes; must be called before the store starts. */
     public void begin() {
         store.onPeerMessage(TOPIC, this::onPeerMessage);
         Set<String> voters = new TreeSet<>(store.configuration().voters());
@@ -65,7 +65,9 @@
         return System.nanoTime() / 1_000_000;
     }
 
-    /** Asks all other nodes: what learners know counts too, though they are not awaited. */
+    /**
+     * Asks all other nodes; learners' answers count too, although the check does not wait for them.
+     */
     private void poll() {
         if (otherVoters.stream().anyMatch(voter -> store.levelOf(voter) > 0)) {
             detector.onPeerHeard(nowMs());
@@ -104,7 +106,7 @@
         }
     }
 
-    /** How many starts of a node the log here has, whether applied yet or not. */
+    /** Returns the number of a node's starts in this node's log, including unapplied entries. */
     private long startsKnown(String node) {
         String key = FleetView.BOOT + node;
         long mostStartsKnown = FleetCodec.decodeStarts(store.get(key));
--- a/src/main/java/reeldeal/fleet/node/StoreWrites.java
+++ b/src/main/java/reeldeal/fleet/node/StoreWrites.java
@@ -7,11 +7,11 @@
 import reeldeal.store.KeyValueState;
 import reeldeal.store.StoreNode;
 
-/** Sends the writes of the fleet's state machines to the store; on the store's loop. */
+/** Submits the writes of the fleet's state machines to the store; used on the store's loop. */
 public final class StoreWrites {
     private StoreWrites() {}
 
-    /** Sends a write to the store's leader; {@code then} is called with its outcome. */
+    /** Sends a write to the store's leader and calls {@code onOutcome} with its outcome. */
     public static void submit(
             StoreNode store, ConditionalWrite write, Consumer<StoreNode.Result> onOutcome) {
         store.submit(preconditions(write), changes(write), onOutcome);
--- a/src/main/java/reeldeal/fleet/recovery/Epoch.java
+++ b/src/main/java/reeldeal/fleet/recovery/Epoch.java
@@ -72,13 +72,13 @@
                 (int) attributes.number("step", 1),
                 attributes.get("held").equals("true"),
                 attributes.get("ended").equals("true"),
-                zones(attributes.get("forgotten")),
+                parseZones(attributes.get("forgotten")),
                 attributes.get("reason"),
                 attributes.number("since", 0),
                 fleet.version(KEY));
     }
 
-    private static Set<String> zones(String commaSeparated) {
+    private static Set<String> parseZones(String commaSeparated) {
         Set<String> zones = new TreeSet<>();
         for (String zone : commaSeparated.split(",")) {
             if (!zone.isEmpty()) {
--- a/src/main/java/reeldeal/fleet/recovery/OnTimeCounter.java
+++ b/src/main/java/reeldeal/fleet/recovery/OnTimeCounter.java
@@ -53,13 +53,13 @@
         for (Map.Entry<String, Counts> process : latestCounts.entrySet()) {
             Counts current = process.getValue();
             Counts baseline = countsAtReset.getOrDefault(process.getKey(), current);
-            requests += accepted(current) - accepted(baseline);
+            requests += acceptedRequests(current) - acceptedRequests(baseline);
             late += current.late() - baseline.late();
         }
         return new Total(requests, late);
     }
 
-    private static long accepted(Counts counts) {
+    private static long acceptedRequests(Counts counts) {
         return counts.requests() - counts.rejected();
     }
 }
--- a/src/main/java/reeldeal/fleet/recovery/StateTrustPolicy.java
+++ b/src/main/java/reeldeal/fleet/recovery/StateTrustPolicy.java
@@ -2,7 +2,7 @@
 
 /** The source of each item of state after an outage, and the maximum age at which it is trusted. */
 public enum StateTrustPolicy {
-    /** The copy on this disk until the group's is known; a broker cannot serve without any. */
+    /** The copy on this disk until the group's is known; a broker cannot serve without one. */
     CONFIGURATION(Source.DISK),
     /** The copy on this disk, until later data of discovery or of a primary replaces it. */
     ZONES(Source.DISK),
--- a/src/test/java/reeldeal/fleet/leader/AdminRequestHandlerTest.java
+++ b/src/test/java/reeldeal/fleet/leader/AdminRequestHandlerTest.java
@@ -97,7 +97,7 @@
 
     @Test
     public void anOperatorCannotUndrainAMemberThatAReleaseDrains() {
-        assertEquals("the store has no drain order for a", rejection("undrain name=a"));
+        assertEquals("no drain order for a is in the store", rejection("undrain name=a"));
         fleet.with(FleetView.drainKey(Kind.BROKER, "a"), "mark=a1 by=operator");
         assertEquals("the drain of a is taken back", write("undrain name=a").answer());
         fleet.release()
@@ -140,7 +140,8 @@
                 "plan: configuration c2 is not in the store",
                 rejection("release plan what=config to=c2"));
         assertEquals(
-                "plan: unknown broker x", rejection("release plan what=program to=p2 members=a,x"));
+                "plan: broker x is unknown",
+                rejection("release plan what=program to=p2 members=a,x"));
         assertEquals(
                 "plan: expected waves from 1 to 9999, found 0",
                 rejection("release plan what=program to=p2 waves=0"));
--- a/src/test/java/reeldeal/fleet/node/FleetClockTest.java
+++ b/src/test/java/reeldeal/fleet/node/FleetClockTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.Test;
 
-/** By how much a node's wall clock is off the fleet's; the round trip takes 40 ms. */
+/** Tests the deviation of a node's wall clock from the fleet's, with a round trip of 40 ms. */
 public class FleetClockTest {
     private static final long ROUND_TRIP_MS = 40;
     private final FleetClock clock = new FleetClock();
@@ -22,23 +22,23 @@
     }
 
     @Test
-    public void aClockWithinTheRoundTripIsRight() {
+    public void aDifferenceWithinTheRoundTripIsNotAnError() {
         assertClock(10_000, 10_000, 0, 0);
         assertClock(10_000, 10_040, 0, 0);
     }
 
     @Test
-    public void aClockThatIsBehindIsOffByTheDifference() {
+    public void theErrorOfAClockThatIsBehindIsTheDifference() {
         assertClock(10_000, 9_700, 300, 300);
     }
 
     @Test
-    public void aClockThatIsAheadIsOffByWhatTheRoundTripDoesNotExplain() {
+    public void theErrorOfAClockThatIsAheadExcludesTheRoundTrip() {
         assertClock(10_000, 10_340, 300, -300);
     }
 
     @Test
-    public void aLeaderThatDoesNotKnowTheFleetsClockChangesNothing() {
+    public void anAnswerWithoutTheFleetsClockChangesNothing() {
         assertClock(10_000, 9_700, 300, 300);
         assertClock(0, 50_000, 300, 300);
     }
--- a/src/test/java/reeldeal/fleet/node/HeartbeatCodecTest.java
+++ b/src/test/java/reeldeal/fleet/node/HeartbeatCodecTest.java
@@ -10,7 +10,7 @@
 import reeldeal.fleet.node.HeartbeatCodec.Heartbeat;
 import reeldeal.fleet.rollout.RolloutHealth;
 
-/** Heartbeats and answers as they are sent between nodes, of other versions too. */
+/** Tests the encoding of heartbeats and answers, also those of other program versions. */
 public class HeartbeatCodecTest {
     private static final Heartbeat HEARTBEAT =
             new Heartbeat(
@@ -36,26 +36,26 @@
     }
 
     @Test
-    public void aHeartbeatHasItsRecordedForm() {
+    public void aHeartbeatIsEncodedAndDecodedInItsFixedForm() {
         assertEquals(HEARTBEAT_TEXT, text(HeartbeatCodec.encode(HEARTBEAT)));
         assertEquals(HEARTBEAT, HeartbeatCodec.decode(bytes(HEARTBEAT_TEXT)));
     }
 
     @Test
-    public void anAnswerHasItsRecordedForm() {
+    public void anAnswerIsEncodedAndDecodedInItsFixedForm() {
         assertEquals(ANSWER_TEXT, text(HeartbeatCodec.encode(ANSWER)));
         assertEquals(ANSWER, HeartbeatCodec.decode(bytes(ANSWER_TEXT)));
     }
 
     @Test
-    public void anEarlierVersionSendsNoClock() {
+    public void aMessageOfAnEarlierVersionWithoutAClockIsDecoded() {
         assertEquals(
                 0, ((Heartbeat) HeartbeatCodec.decode(bytes("beat=1 sent=2 seen=3"))).wallMs());
         assertEquals(0, ((Answer) HeartbeatCodec.decode(bytes("held=1 sent=2"))).fleetWallMs());
     }
 
     @Test
-    public void anUnknownMessageIsIgnored() {
+    public void anUnknownMessageIsDecodedAsNull() {
         assertNull(HeartbeatCodec.decode(bytes("later=1")));
     }
 }
--- a/src/test/java/reeldeal/fleet/node/RecoveryProgressTest.java
+++ b/src/test/java/reeldeal/fleet/node/RecoveryProgressTest.java
@@ -15,7 +15,7 @@
 import reeldeal.fleet.recovery.RecoveryRamp;
 import reeldeal.fleet.rollout.RolloutHealth;
 
-/** What a node tells its broker in its recovery. */
+/** Tests the calls that a node makes to its broker during its recovery. */
 public class RecoveryProgressTest {
     private final List<String> calls = new ArrayList<>();
     private final RecoveryProgress progress =
@@ -75,7 +75,7 @@
     }
 
     @Test
-    public void aBrokerThatServesItsOldCopyAssumesThatAllSearchersRestarted() {
+    public void aBrokerThatServesFromItsOldCopyAssumesThatAllSearchersRestarted() {
         progress.onServingStale();
         assertEquals(
                 List.of(
