--- a/src/main/java/reeldeal/fleet/node/FleetAdminEndpoint.java
+++ b/src/main/java/reeldeal/fleet/node/FleetAdminEndpoint.java
@@ -12,26 +12,26 @@
 import reeldeal.store.StoreNode;
 
 /**
- * Operators' requests that begin with {@code fleet}: decides them on this node's copy, writes what
- * results, and answers once it is committed. Used on the state loop.
+ * Handles operators' requests that begin with {@code fleet}: decides them on this node's copy of
+ * the fleet, submits the resulting write and answers after its commit. Used on the state loop.
  */
 final class FleetAdminEndpoint {
-    private static final String PREFIX = "fleet";
-    private static final String RECOVERY = "recovery";
+    private static final String REQUEST_PREFIX = "fleet";
+    private static final String RECOVERY_PREFIX = "recovery";
     private static final int MAX_ATTEMPTS = 5;
     private static final int RETRY_MS = 100;
     private static final int MAX_APPLY_WAIT_MS = 2_000;
     private static final int APPLY_POLL_MS = 10;
 
-    /** This node, as the requests need it. */
+    /** The state of this node that the requests depend on. */
     interface Node {
-        /** The fleet as this node has last read it. */
+        /** Returns the fleet as this node last read it from the store. */
         FleetView fleet();
 
-        /** The fleet by all that this node has applied by now, its own writes included. */
+        /** Reads the fleet again from all that this node has applied, including its own writes. */
         FleetView refreshedFleet();
 
-        /** One line for {@code fleet self}. */
+        /** Returns the answer to {@code fleet self}, one line. */
         String describe();
     }
 
@@ -43,7 +43,7 @@
     private final RecoveryProgress recovery;
     private final Node node;
 
-    /** {@code recovery} is null where the fleet has no recovery plan. */
+    /** Creates an endpoint; {@code recovery} is null if the fleet has no recovery plan. */
     FleetAdminEndpoint(
             EventLoop loop,
             StoreNode store,
@@ -61,11 +61,11 @@
         this.node = node;
     }
 
-    /** Answers a request, the word {@code fleet} included. */
+    /** Answers a request; its text begins with the word {@code fleet}. */
     void handle(String text, StoreNode.AdminReply reply) {
-        String request = text.substring(PREFIX.length()).trim();
-        if (request.startsWith(RECOVERY)) {
-            handleRecovery(request.substring(RECOVERY.length()).trim(), reply);
+        String request = text.substring(REQUEST_PREFIX.length()).trim();
+        if (request.startsWith(RECOVERY_PREFIX)) {
+            handleRecovery(request.substring(RECOVERY_PREFIX.length()).trim(), reply);
         } else if (request.equals("self")) {
             reply.answer(node.describe());
         } else {
@@ -93,9 +93,11 @@
                     outcome -> {
                         if (outcome instanceof StoreNode.Committed committed) {
                             log.accept("fleet: " + write.write().reason());
-                            long until = now + MAX_APPLY_WAIT_MS;
+                            long deadlineMs = now + MAX_APPLY_WAIT_MS;
                             whenApplied(
-                                    committed.version(), until, () -> reply.answer(write.answer()));
+                                    committed.version(),
+                                    deadlineMs,
+                                    () -> reply.answer(write.answer()));
                         } else if (attemptsLeft > 1 && isConflict(outcome)) {
                             loop.schedule(
                                     () -> handle(request, reply, attemptsLeft - 1),
@@ -103,34 +105,35 @@
                                     TimeUnit.MILLISECONDS);
                         } else {
                             reply.reject(
-                                    failure(
+                                    failureMessage(
                                             outcome,
-                                            "unknown: begun, but no majority has it in time;"
-                                                    + " look again"));
+                                            "unknown: the write was proposed, but no majority has"
+                                                    + " confirmed it in time; check the state"
+                                                    + " before repeating the request"));
                         }
                     });
         }
     }
 
-    /** Whether a write was decided on a copy that another write had outdated. */
+    /** Whether a write was rejected because it was decided on an outdated copy of the fleet. */
     private static boolean isConflict(StoreNode.Result outcome) {
         return outcome instanceof StoreNode.Rejected rejected
                 && rejected.reason().contains(" is at version ");
     }
 
-    private static String failure(StoreNode.Result outcome, String unknown) {
+    private static String failureMessage(StoreNode.Result outcome, String unknownOutcomeMessage) {
         return outcome instanceof StoreNode.Rejected rejected
                 ? "not done: " + rejected.reason()
-                : unknown;
+                : unknownOutcomeMessage;
     }
 
-    /** Runs an action once this node has applied a version, or after a time. */
-    private void whenApplied(long version, long until, Runnable action) {
-        if (store.version() >= version || FleetClock.nowMs() >= until) {
+    /** Runs an action once this node has applied a version, or at the deadline. */
+    private void whenApplied(long version, long deadlineMs, Runnable action) {
+        if (store.version() >= version || FleetClock.nowMs() >= deadlineMs) {
             action.run();
         } else {
             loop.schedule(
-                    () -> whenApplied(version, until, action),
+                    () -> whenApplied(version, deadlineMs, action),
                     APPLY_POLL_MS,
                     TimeUnit.MILLISECONDS);
         }
@@ -139,7 +142,7 @@
     private void handleRecovery(String request, StoreNode.AdminReply reply) {
         String verb = request.split(" ")[0];
         if (recovery == null) {
-            reply.reject("this fleet has no plan for a loss of power");
+            reply.reject("recovery is disabled: fleet.recovery.steps is off");
         } else if (verb.equals("show")) {
             String epoch =
                     Epoch.of(node.fleet())
@@ -165,7 +168,10 @@
                             log.accept("fleet: " + write.write().reason());
                             reply.answer(write.answer());
                         } else {
-                            reply.reject(failure(outcome, "unknown: look again"));
+                            reply.reject(
+                                    failureMessage(
+                                            outcome,
+                                            "unknown: no majority has confirmed the write in time; check with recovery show"));
                         }
                     });
         }
--- a/src/main/java/reeldeal/fleet/node/FleetLeadership.java
+++ b/src/main/java/reeldeal/fleet/node/FleetLeadership.java
@@ -19,8 +19,8 @@
 import reeldeal.store.StoreNode;
 
 /**
- * What this node does for the fleet while it leads the store: answers heartbeats and carries out
- * the writes of its {@link FleetController}. Used on the state loop.
+ * The duties of this node towards the fleet while it leads the store: answers heartbeats and
+ * proposes the writes of its {@link FleetController}. Used on the state loop.
  */
 final class FleetLeadership {
     private static final int ANSWER_DELAY_MS = 50;
@@ -30,14 +30,14 @@
     private final FleetNode.Host host;
     private final Consumer<String> log;
     private final FleetController controller;
-    private final ClockMedian clocks = new ClockMedian();
+    private final ClockMedian clockMedian = new ClockMedian();
     private final List<Runnable> pendingAnswers = new ArrayList<>();
     private FleetView fleet = new FleetView(Map.of());
     private boolean answersScheduled;
     private long leaderSeenAt = FleetClock.nowMs();
-    private String nonce = "";
+    private String leadershipNonce = "";
 
-    /** A node that does not lead yet. */
+    /** Creates the leadership of a node that does not lead. */
     FleetLeadership(
             EventLoop loop,
             StoreNode store,
@@ -51,22 +51,22 @@
         this.controller = controller;
     }
 
-    /** This node leads from now on. */
+    /** Begins this node's leadership. */
     void begin() {
         long now = FleetClock.nowMs();
-        nonce = store.session() + "-" + now;
-        clocks.clear();
+        leadershipNonce = store.session() + "-" + now;
+        clockMedian.clear();
         controller.beginLeadership(now, now - leaderSeenAt);
     }
 
-    /** This node's copy of the fleet. */
+    /** Updates the copy of the fleet after the store has applied a change. */
     void onFleetChanged(FleetView newFleet) {
         fleet = newFleet;
         controller.setVoters(store.configuration().voters());
         controller.onFleetChanged(FleetClock.nowMs(), newFleet);
     }
 
-    /** Notes whether the store has a leader, and whether this node still is. */
+    /** Records when the store last had a leader, and ends a leadership that this node has lost. */
     void updateLeader() {
         if (store.leader() != null) {
             leaderSeenAt = FleetClock.nowMs();
@@ -78,7 +78,7 @@
 
     // ---- writes ----
 
-    /** Proposes the next write, and after its commit the one after that. */
+    /** Proposes the controller's next write; each commit triggers the following write. */
     void proposeNextWrite() {
         if (!controller.isLeading() || !store.acceptsWrites()) {
             return;
@@ -88,7 +88,7 @@
         if (write != null) {
             store.write(
                     new KeyValueState.Command(
-                            "", 0, StoreWrites.expects(write), StoreWrites.changes(write)),
+                            "", 0, StoreWrites.preconditions(write), StoreWrites.changes(write)),
                     result -> onWriteEnded(write, result instanceof StoreNode.Committed));
         }
     }
@@ -97,21 +97,21 @@
         if (committed) {
             log.accept("fleet: " + write.reason());
         }
-        // Executed once this node has applied the change.
+        // Deferred until this node has applied the committed change.
         loop.execute(
                 () -> {
                     controller.onWriteEnded();
                     if (committed) {
-                        proposeNextWrite(); // a rejected write is decided again at the next tick
+                        proposeNextWrite(); // after a rejection the next tick decides again
                     }
                 });
     }
 
     // ---- heartbeats ----
 
-    /** A member's heartbeat; it is answered if it renews the member's lease. */
-    void onHeartbeat(String member, Heartbeat heartbeat, Consumer<Answer> send) {
-        boolean isRenewed =
+    /** Processes a member's heartbeat, and answers it if it renews the member's lease. */
+    void onHeartbeat(String member, Heartbeat heartbeat, Consumer<Answer> sendAnswer) {
+        boolean isLeaseRenewed =
                 controller.onHeartbeat(
                         FleetClock.nowMs(),
                         member,
@@ -119,29 +119,29 @@
                         heartbeat.appliedVersion(),
                         heartbeat.counts(),
                         heartbeat.ejected());
-        if (!isRenewed) {
+        if (!isLeaseRenewed) {
             return;
         }
-        clocks.retainMembers(fleet.members().keySet());
+        clockMedian.retainMembers(fleet.members().keySet());
         if (heartbeat.wallMs() > 0) {
-            clocks.recordOffset(member, heartbeat.wallMs(), WallClock.now());
+            clockMedian.recordOffset(member, heartbeat.wallMs(), WallClock.now());
         }
-        if (heartbeat.leaderNonce().equals(nonce)) {
+        if (heartbeat.leaderNonce().equals(leadershipNonce)) {
             controller.onHeartbeatAnswered(member);
         }
         pendingAnswers.add(
                 () ->
-                        send.accept(
+                        sendAnswer.accept(
                                 new Answer(
                                         heartbeat.incarnation(),
                                         heartbeat.sentAtMs(),
-                                        nonce,
+                                        leadershipNonce,
                                         controller.hasClassifiedOutage(),
                                         fleetWallMs())));
         scheduleAnswers();
     }
 
-    /** Heartbeats that came together are answered by one confirmation of the leadership. */
+    /** Schedules one confirmation of the leadership for all heartbeats of a short interval. */
     private void scheduleAnswers() {
         if (!answersScheduled) {
             answersScheduled = true;
@@ -156,23 +156,23 @@
         store.confirmLeadership(() -> answers.forEach(Runnable::run));
     }
 
-    /** The fleet's wall clock, Unix ms; 0 while too few members were heard to know it. */
+    /** Returns the fleet's wall clock, Unix ms; 0 if too few members' clocks are known. */
     private long fleetWallMs() {
-        int holders = (int) fleet.members().values().stream().filter(Member::hasLease).count();
-        return clocks.hasQuorum(store.node(), holders)
-                ? WallClock.now() + clocks.medianOffsetMs(store.node())
+        int leaseHolders = (int) fleet.members().values().stream().filter(Member::hasLease).count();
+        return clockMedian.hasQuorum(store.node(), leaseHolders)
+                ? WallClock.now() + clockMedian.medianOffsetMs(store.node())
                 : 0;
     }
 
-    // ---- for operators ----
+    // ---- operators' requests ----
 
-    /** What this node knows beside the store, with its present endpoint list. */
+    /** Returns the state that this node observes itself, with its present endpoint list. */
     DisruptionBudget.Observations observations(long now) {
         controller.setSearchers(host.searchers(), host.shards());
         return controller.observations(now);
     }
 
-    /** For how long this leader has not heard a member, ms, or -1 where that is not known. */
+    /** Returns the time since a member's last heartbeat, ms, or -1 if it is unknown here. */
     long silenceMs(Member member, long now) {
         return controller.isLeading() ? controller.silenceMs(member, now) : -1;
     }
--- a/src/main/java/reeldeal/fleet/node/StoreWrites.java
+++ b/src/main/java/reeldeal/fleet/node/StoreWrites.java
@@ -7,17 +7,17 @@
 import reeldeal.store.KeyValueState;
 import reeldeal.store.StoreNode;
 
-/** Sends the writes of the fleet's state machines to the store; on the store's loop. */
+/** Submits the writes of the fleet's state machines to the store; used on the store's loop. */
 public final class StoreWrites {
     private StoreWrites() {}
 
-    /** Sends a write to the store's leader; {@code then} is called with its outcome. */
+    /** Sends a write to the store's leader and calls {@code onOutcome} with its outcome. */
     public static void submit(
-            StoreNode store, ConditionalWrite write, Consumer<StoreNode.Result> then) {
-        store.submit(expects(write), changes(write), then);
+            StoreNode store, ConditionalWrite write, Consumer<StoreNode.Result> onOutcome) {
+        store.submit(preconditions(write), changes(write), onOutcome);
     }
 
-    static List<KeyValueState.Precondition> expects(ConditionalWrite write) {
+    static List<KeyValueState.Precondition> preconditions(ConditionalWrite write) {
         return write.expectedVersions().entrySet().stream()
                 .map(entry -> new KeyValueState.Precondition(entry.getKey(), entry.getValue()))
                 .toList();
