--- a/src/main/java/reeldeal/discovery/DiscoveryWatcher.java
+++ b/src/main/java/reeldeal/discovery/DiscoveryWatcher.java
@@ -13,10 +13,11 @@
 import reeldeal.http.HttpMessage;
 
 /**
- * Watches discovery's endpoint list by long polling. Each answer is followed by the next poll
- * immediately, so that the watch never lapses; a reply that cannot be parsed leaves the list as it
- * was. A poll that is not answered once its wait is over is given up with its connection, which may
- * be dead, and the next one waits for a short time only.
+ * Watches discovery's endpoint list by long polling. The next poll follows each valid answer
+ * immediately, so that a poll is always waiting for changes. A reply that cannot be parsed leaves
+ * the list unchanged. If a poll is not answered within its wait and the answer timeout, it fails
+ * and its connection is closed, since the connection may be dead. The poll after a failure uses a
+ * short wait.
  *
  * <p>Not thread-safe: all methods are called on the event loop of the group, as are the consumers.
  */
@@ -26,26 +27,32 @@
     private static final int CONNECT_TIMEOUT_MS = 1_000;
 
     /**
-     * A change must have arrived so long after discovery had it and could be reached, in
-     * milliseconds.
+     * The deadline for receiving a change, in milliseconds after discovery has the change and is
+     * reachable.
      */
     static final int CHANGE_DEADLINE_MS = 6_000;
 
     /**
-     * How long discovery holds a poll while nothing changes: short enough that two watches in a row
-     * may be lost before the deadline.
+     * How long discovery holds a poll while nothing changes, in milliseconds. It is short enough
+     * that two consecutive polls may be lost before the deadline.
      */
     static final int POLL_WAIT_MS = CHANGE_DEADLINE_MS / 2;
 
-    /** Time in which discovery answers a poll whose wait is over. */
+    /** The time in which discovery must answer a poll after its wait is over, in milliseconds. */
     static final int ANSWER_TIMEOUT_MS = 1_000;
 
     static final int RETRY_DELAY_MS = 100;
 
-    /** The wait of a poll after a failed one, which only has to show that discovery is back. */
+    /**
+     * The wait of a poll after a failed one, in milliseconds. That poll only checks whether
+     * discovery is reachable again.
+     */
     private static final int WAIT_AFTER_FAILURE_MS = 100;
 
-    /** Waits are shortened by up to this fraction, so that brokers do not poll in step. */
+    /**
+     * The maximum fraction by which waits are shortened at random, so that brokers do not poll in
+     * sync.
+     */
     private static final double JITTER = 0.25;
 
     private static final int STATUS_OK = 200;
@@ -104,12 +111,12 @@
         this.log = log;
     }
 
-    /** Discovery's address. */
+    /** Returns discovery's address. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Polls for the complete list, then for changes, until stopped. */
+    /** Starts polling: for the complete list first, then for changes, until stopped. */
     public void start() {
         if (stopped) {
             return;
@@ -154,7 +161,10 @@
         }
     }
 
-    /** Logs a failure once: while discovery is down each retry would repeat it. */
+    /**
+     * Logs a failure unless it is the same as the last one logged. Otherwise each retry would log
+     * it again while discovery is down.
+     */
     private void logFailure(String failure) {
         if (!failure.equals(lastLoggedFailure)) {
             lastLoggedFailure = failure;
@@ -162,10 +172,10 @@
         }
     }
 
-    /** Passes on the list in a response; returns whether there was one. */
+    /** Publishes the list in a response. Returns whether the response had a valid list. */
     private boolean accept(HttpMessage response) {
         if (response.status() != STATUS_OK) {
-            logFailure("status " + response.status());
+            logFailure("unexpected HTTP status " + response.status());
             if (response.status() < STATUS_SERVER_ERROR) {
                 index = NO_INDEX;
             }
@@ -175,7 +185,8 @@
         try {
             list = EndpointListParser.parse(response.body());
         } catch (IOException e) {
-            // The old list stays; what a bad reply hid comes with a complete list.
+            // The old list stays in use. The next poll asks for a complete list, which includes any
+            // changes in this reply.
             logFailure("bad reply: " + e.getMessage().lines().findFirst().orElse(""));
             index = NO_INDEX;
             return false;
--- a/src/main/java/reeldeal/discovery/EndpointList.java
+++ b/src/main/java/reeldeal/discovery/EndpointList.java
@@ -4,14 +4,14 @@
 import reeldeal.core.Searcher;
 
 /**
- * An endpoint list of discovery, or the changes to one.
+ * A complete endpoint list from discovery, or the changes to an earlier list.
  *
- * @param index discovery's version of the list, from which the next watch goes on
- * @param complete whether these are all searchers, and not only those that changed
- * @param searchers the entries; removed searchers only in a list of changes
+ * @param index discovery's version of the list; the next poll asks for changes after it
+ * @param complete whether the list has all searchers rather than only those that changed
+ * @param searchers the entries; removed searchers occur only in a list of changes
  */
 public record EndpointList(long index, boolean complete, List<Searcher> searchers) {
-    /** Copies the entries. */
+    /** Creates a list with an immutable copy of the entries. */
     public EndpointList {
         searchers = List.copyOf(searchers);
     }
--- a/src/main/java/reeldeal/discovery/EndpointListParser.java
+++ b/src/main/java/reeldeal/discovery/EndpointListParser.java
@@ -18,29 +18,29 @@
     private EndpointListParser() {}
 
     /**
-     * Parses a complete reply.
+     * Parses the body of a reply, which must contain one endpoint list and nothing else.
      *
-     * @throws IOException with a message that says what is wrong, where it is no endpoint list
+     * @throws IOException if this is not a valid endpoint list; the message describes the error
      */
     public static EndpointList parse(byte[] body) throws IOException {
         try (JsonParser json = JSON.createParser(body)) {
             json.nextToken();
             EndpointList list = read(json);
             if (json.nextToken() != null) {
-                throw new IOException("bytes after the list");
+                throw new IOException("unexpected data after the endpoint list");
             }
             return list;
         }
     }
 
     /**
-     * Parses the object at whose start the JSON parser is, up to its end.
+     * Parses the object that starts at the JSON parser's current token, up to its end.
      *
-     * @throws IOException with a message that says what is wrong, where it is no endpoint list
+     * @throws IOException if this is not a valid endpoint list; the message describes the error
      */
     public static EndpointList read(JsonParser json) throws IOException {
         if (json.currentToken() != JsonToken.START_OBJECT) {
-            throw new IOException("not an object");
+            throw new IOException("endpoint list is not a JSON object");
         }
         long index = -1;
         boolean complete = false;
@@ -56,22 +56,22 @@
             }
         }
         if (index < 0) {
-            throw new IOException("index missing");
+            throw new IOException("endpoint list has no index");
         }
         if (searchers == null) {
-            throw new IOException("endpoints missing");
+            throw new IOException("endpoint list has no endpoints");
         }
         return new EndpointList(index, complete, searchers);
     }
 
     private static List<Searcher> readSearchers(JsonParser json) throws IOException {
         if (json.currentToken() != JsonToken.START_ARRAY) {
-            throw new IOException("endpoints is no list");
+            throw new IOException("endpoints is not a JSON array");
         }
         List<Searcher> searchers = new ArrayList<>();
         while (json.nextToken() != JsonToken.END_ARRAY) {
             if (searchers.size() >= MAX_SEARCHERS) {
-                throw new IOException("endpoints too long");
+                throw new IOException("endpoints has more than " + MAX_SEARCHERS + " entries");
             }
             searchers.add(readSearcher(json));
         }
@@ -80,7 +80,7 @@
 
     private static Searcher readSearcher(JsonParser json) throws IOException {
         if (json.currentToken() != JsonToken.START_OBJECT) {
-            throw new IOException("endpoint is no object");
+            throw new IOException("endpoint is not a JSON object");
         }
         String name = null;
         String address = null;
@@ -101,13 +101,16 @@
                 case "group" -> cell = json.getIntValue();
                 case "weight" -> size = json.getDoubleValue();
                 case "since_ms" -> startedMs = json.getDoubleValue();
-                case "status" -> state = state(json.getText());
+                case "status" -> state = parseState(json.getText());
                 default -> json.skipChildren();
             }
         }
         boolean removed = state == EndpointState.REMOVED;
         if (name == null || state == null || (!removed && (cell < 0 || !isHostAndPort(address)))) {
-            throw new IOException("endpoint " + name + " is incomplete");
+            throw new IOException(
+                    "endpoint "
+                            + name
+                            + ": name, status, group or address (HOST:PORT) is missing or invalid");
         }
         return new Searcher(
                 name,
@@ -120,12 +123,14 @@
                 state);
     }
 
-    private static EndpointState state(String status) throws IOException {
+    private static EndpointState parseState(String status) throws IOException {
         return switch (status) {
             case "ready" -> EndpointState.READY;
             case "draining" -> EndpointState.DRAINING;
             case "gone" -> EndpointState.REMOVED;
-            default -> throw new IOException("unknown status " + status);
+            default ->
+                    throw new IOException(
+                            "expected endpoint status ready, draining or gone, found " + status);
         };
     }
 
--- a/src/main/java/reeldeal/discovery/package-info.java
+++ b/src/main/java/reeldeal/discovery/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Discovery of searchers over HTTP: watches the catalogue and parses its endpoint lists.
+ * Discovery of searchers over HTTP: watches the discovery service's catalogue and parses its
+ * endpoint lists.
  *
  * <p>May import {@code core}, {@code decision} and {@code http}. {@link
- * reeldeal.discovery.DiscoveryWatcher} owns the watch's position and its backoff, on the thread of
- * the event loop that it was given; the parser is pure.
+ * reeldeal.discovery.DiscoveryWatcher} owns the index of the watch and its retries, on the thread
+ * of its event loop; the parser is stateless.
  */
 package reeldeal.discovery;
--- a/src/main/java/reeldeal/faultinjection/ScenarioReader.java
+++ b/src/main/java/reeldeal/faultinjection/ScenarioReader.java
@@ -72,7 +72,7 @@
         reader.checkKeys();
         return new Scenario(
                 reader.text("name", file.getFileName().toString()),
-                reader.fleet(),
+                reader.searchers(),
                 new Scenario.Load(reader.number("per_second", 40, 1, 2_000), reader.keyed()),
                 reader.under(POLICY),
                 reader.rollout(),
@@ -107,7 +107,7 @@
         }
     }
 
-    private Scenario.FleetSize fleet() throws InvalidConfigException {
+    private Scenario.FleetSize searchers() throws InvalidConfigException {
         return new Scenario.FleetSize(
                 number("voters", 3, 1, 7),
                 number("brokers", 2, 0, 60),
--- a/src/main/java/reeldeal/fleet/node/FleetAdminEndpoint.java
+++ b/src/main/java/reeldeal/fleet/node/FleetAdminEndpoint.java
@@ -26,7 +26,7 @@
     /** This node, as the requests need it. */
     interface Node {
         /** The fleet as this node has last read it. */
-        FleetView fleet();
+        FleetView searchers();
 
         /** The fleet by all that this node has applied by now, its own writes included. */
         FleetView refreshedFleet();
@@ -142,7 +142,7 @@
             reply.reject("this fleet has no plan for a loss of power");
         } else if (verb.equals("show")) {
             String epoch =
-                    Epoch.of(node.fleet())
+                    Epoch.of(node.searchers())
                             .toAttributes()
                             .with("of", recovery.ramp().steps())
                             .toString();
@@ -153,7 +153,8 @@
     }
 
     private void orderRecovery(String verb, FormAttributes attributes, StoreNode.AdminReply reply) {
-        AdminResult result = RecoveryOrder.handle(node.fleet(), recovery.ramp(), verb, attributes);
+        AdminResult result =
+                RecoveryOrder.handle(node.searchers(), recovery.ramp(), verb, attributes);
         if (result instanceof AdminResult.Rejection rejection) {
             reply.reject(rejection.reason());
         } else if (result instanceof AdminResult.Write write) {
--- a/src/main/java/reeldeal/fleet/node/FleetNode.java
+++ b/src/main/java/reeldeal/fleet/node/FleetNode.java
@@ -381,7 +381,7 @@
     }
 
     /** The fleet by this node's copy of the store. */
-    public FleetView fleet() {
+    public FleetView searchers() {
         return fleet;
     }
 
@@ -435,7 +435,7 @@
     /** This node, for operators' requests. */
     private final class AdminNode implements FleetAdminEndpoint.Node {
         @Override
-        public FleetView fleet() {
+        public FleetView searchers() {
             return fleet;
         }
 
--- a/src/main/java/reeldeal/platform/PlatformFront.java
+++ b/src/main/java/reeldeal/platform/PlatformFront.java
@@ -14,14 +14,16 @@
 import reeldeal.http.HttpMessage;
 
 /**
- * The platform's protocol: maps its messages to requests of the core, and replies to responses. Not
- * thread-safe; used on the broker's event loop.
+ * Implements the platform's protocol: maps its HTTP messages to requests of the core, and the
+ * core's replies to HTTP responses. Not thread-safe; used on the broker's event loop.
  */
 public final class PlatformFront {
     private static final Map<String, String> PLAIN_TEXT = Map.of("Content-Type", "text/plain");
     private static final Map<String, String> JSON = Map.of("Content-Type", "application/json");
 
-    /** What may be a field of a searcher's frame, whose fields end at spaces, commas, line ends. */
+    /**
+     * Values that can be a field of a searcher's frame: fields end at spaces, commas and line ends.
+     */
     private static final Pattern FRAME_FIELD = Pattern.compile("[!-+\\--~]{1,128}");
 
     private static final Pattern MILLISECONDS = Pattern.compile("[0-9]{1,9}");
@@ -34,10 +36,10 @@
     /**
      * Creates a front.
      *
-     * @param submitter takes the requests
+     * @param submitter receives the requests
      * @param settings the settings of the query classes
      * @param queryClasses names of the query classes, in the settings' order
-     * @param shards the number of shards, or 0 where any shard may be named
+     * @param shards the number of shards, or 0 if the number is not limited
      */
     public PlatformFront(
             RequestSubmitter submitter, Settings settings, List<String> queryClasses, int shards) {
@@ -47,7 +49,7 @@
         this.shards = shards;
     }
 
-    /** Handles one message; an invalid one is answered here and not submitted. */
+    /** Handles one message. An invalid message is answered with an error and not submitted. */
     public void accept(HttpMessage message, Exchange exchange) {
         String path = message.path();
         if (path.equals("/_health")) {
@@ -62,23 +64,23 @@
         } else if (!message.first().equals("POST")) {
             respondText(exchange, 405, "use POST");
         } else {
-            query(message, queryClass, exchange);
+            submitQuery(message, queryClass, exchange);
         }
     }
 
-    private void query(HttpMessage message, int queryClass, Exchange exchange) {
+    private void submitQuery(HttpMessage message, int queryClass, Exchange exchange) {
         double now = submitter.now();
-        String name = message.header("x-correlation-id");
+        String correlationId = message.header("x-correlation-id");
         String timeLeft = message.header("x-time-left-ms");
-        String key = message.header("idempotency-key");
+        String idempotencyKey = message.header("idempotency-key");
         boolean needsKey =
                 settings.classes().get(queryClass).repeatSafety()
                         == RepeatSafety.IDEMPOTENT_WITH_KEY;
-        if (!isFrameField(name)) {
+        if (!isFrameField(correlationId)) {
             respondText(exchange, 400, "X-Correlation-Id is missing or malformed");
         } else if (timeLeft != null && !MILLISECONDS.matcher(timeLeft).matches()) {
             respondText(exchange, 400, "X-Time-Left-Ms is malformed");
-        } else if (needsKey && !isFrameField(key)) {
+        } else if (needsKey && !isFrameField(idempotencyKey)) {
             respondText(exchange, 400, "Idempotency-Key is missing or malformed");
         } else {
             QueryBody body;
@@ -94,22 +96,27 @@
             submitter.submit(
                     new Request(
                             id,
-                            name,
+                            correlationId,
                             queryClass,
-                            needsKey ? key : null,
-                            now + waitMs(queryClass, timeLeft),
+                            needsKey ? idempotencyKey : null,
+                            now + deadlineDelayMs(queryClass, timeLeft),
                             "1".equals(message.header("x-repeat")),
                             body.text(),
                             body.shardRequests()),
-                    isFrameField(key) ? key : null,
+                    isFrameField(idempotencyKey) ? idempotencyKey : null,
                     reply -> respond(exchange, reply));
         }
     }
 
-    /** No client waits longer than its class allows: more would only occupy capacity. */
-    private double waitMs(int queryClass, String timeLeft) {
-        double longest = settings.classes().get(queryClass).deadlineMs();
-        return timeLeft == null ? longest : Math.min(longest, (double) Long.parseLong(timeLeft));
+    /**
+     * Returns the time until the request's deadline: the client's remaining time, but at most the
+     * deadline of its class, since longer waits would only occupy capacity.
+     */
+    private double deadlineDelayMs(int queryClass, String timeLeft) {
+        double classDeadlineMs = settings.classes().get(queryClass).deadlineMs();
+        return timeLeft == null
+                ? classDeadlineMs
+                : Math.min(classDeadlineMs, (double) Long.parseLong(timeLeft));
     }
 
     private static boolean isFrameField(String value) {
@@ -141,8 +148,8 @@
     }
 
     /**
-     * Formats milliseconds as seconds with three decimals. Written out because the first use of a
-     * formatter would take much longer than the rejection itself.
+     * Formats milliseconds as seconds with three decimals. Does not use a formatter, whose first
+     * use would take much longer than the rejection itself.
      */
     private static String formatSeconds(double ms) {
         long rounded = Math.round(ms);
--- a/src/main/java/reeldeal/platform/QueryBody.java
+++ b/src/main/java/reeldeal/platform/QueryBody.java
@@ -14,23 +14,24 @@
 import reeldeal.core.Reply;
 import reeldeal.core.Request.ShardRequest;
 
-/** The platform's JSON: the body of a query and that of an answer. */
+/** The parsed JSON body of a platform query; also encodes the body of an answer. */
 record QueryBody(String text, List<ShardRequest> shardRequests) {
-    // A field given twice could be read in two ways.
+    // Rejects duplicate fields, since it is ambiguous which of them applies.
     private static final JsonFactory JSON =
             new JsonFactory().enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION);
 
-    /** By this much per shard request the weights of a query may differ from 1 in sum. */
+    /** How far the sum of a query's weights may differ from 1, per shard request. */
     private static final double WEIGHT_TOLERANCE = 0.005;
 
-    private static final int MAX_TOLERANCES = 10;
+    /** Limits the tolerance of queries with many shard requests to this multiple. */
+    private static final int MAX_TOLERANCE_MULTIPLE = 10;
 
     /**
      * Parses a query's body.
      *
-     * @param shards the number of shards, or 0 where any shard may be named
-     * @param maxShardRequests most shard requests in a query
-     * @throws IOException with a message that says what is wrong
+     * @param shards the number of shards, or 0 if the number is not limited
+     * @param maxShardRequests the maximum number of shard requests in a query
+     * @throws IOException if the body is invalid; the message describes the error to the client
      */
     static QueryBody parse(byte[] body, int shards, int maxShardRequests) throws IOException {
         try (JsonParser json = JSON.createParser(body)) {
@@ -62,19 +63,20 @@
     private static List<ShardRequest> parseShardRequests(
             JsonParser json, int shards, int maxShardRequests) throws IOException {
         List<ShardRequest> shardRequests = new ArrayList<>();
-        Set<Integer> named = new HashSet<>();
-        double weights = 0;
+        Set<Integer> seenShards = new HashSet<>();
+        double weightSum = 0;
         while (json.nextToken() != JsonToken.END_ARRAY) {
             expect(json.currentToken() == JsonToken.START_OBJECT, "a shard is no object");
             expect(shardRequests.size() < maxShardRequests, "too many shards");
             ShardRequest shardRequest = parseShardRequest(json, shards);
-            expect(named.add(shardRequest.shard()), "shard named twice");
+            expect(seenShards.add(shardRequest.shard()), "shard named twice");
             shardRequests.add(shardRequest);
-            weights += shardRequest.weight();
+            weightSum += shardRequest.weight();
         }
-        double tolerance = WEIGHT_TOLERANCE * Math.min(shardRequests.size(), MAX_TOLERANCES);
+        double tolerance =
+                WEIGHT_TOLERANCE * Math.min(shardRequests.size(), MAX_TOLERANCE_MULTIPLE);
         expect(
-                shardRequests.isEmpty() || Math.abs(weights - 1) <= tolerance,
+                shardRequests.isEmpty() || Math.abs(weightSum - 1) <= tolerance,
                 "the weights do not add up to 1");
         return shardRequests;
     }
@@ -107,9 +109,9 @@
         return new ShardRequest(shard, weight, key);
     }
 
-    private static void expect(boolean condition, String otherwise) throws IOException {
+    private static void expect(boolean condition, String message) throws IOException {
         if (!condition) {
-            throw new IOException(otherwise);
+            throw new IOException(message);
         }
     }
 
@@ -129,7 +131,7 @@
             json.writeEndArray();
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // a stream into memory does not fail
+            throw new UncheckedIOException(e); // cannot happen: the stream writes to memory
         }
         return out.toByteArray();
     }
--- a/src/main/java/reeldeal/searchers/CodecWarmUp.java
+++ b/src/main/java/reeldeal/searchers/CodecWarmUp.java
@@ -8,8 +8,8 @@
 import reeldeal.frames.FrameBuffer;
 
 /**
- * Passes calls through the frame codec without a searcher, so that its code is loaded and compiled
- * before the first query. Stateless; any thread may call it.
+ * Runs calls through the frame codec without a searcher, so that the codec's code is loaded and
+ * compiled before the first query. Stateless; any thread may call it.
  */
 public final class CodecWarmUp {
     private static final long EXAMPLE_SCORE = 1_840_277_719L;
@@ -18,11 +18,11 @@
     private CodecWarmUp() {}
 
     /**
-     * Encodes a call, and decodes an answer to each of its shard requests.
+     * Encodes a call, and decodes a made-up answer to each of its shard requests.
      *
      * @param call the call to encode
      * @param now the time of encoding, in milliseconds of the broker's clock
-     * @return the ends of the call's attempts, in its order
+     * @return the ends of the call's attempts, in the order of its shard requests
      */
     public static List<Event> roundTrip(Effect.Call call, double now) {
         FrameCodec.encodeCall(call.sends(), now).release();
--- a/src/main/java/reeldeal/searchers/ConnectionPool.java
+++ b/src/main/java/reeldeal/searchers/ConnectionPool.java
@@ -17,10 +17,10 @@
 import reeldeal.decision.DecisionModule.Outcome;
 
 /**
- * The connections to searchers that speak frames. A connection is opened when it is needed, carries
- * several shard requests up to a limit, and is closed before the searcher would reset it as idle.
- * Every attempt handed over ends in exactly one {@link Event.AttemptEnded} that says how far the
- * attempt had come.
+ * Pools the connections to searchers that use the frame protocol. A connection is opened when it is
+ * needed, carries several shard requests up to a limit, and is closed before the searcher would
+ * reset it as idle. Every attempt passed to the pool ends in exactly one {@link
+ * Event.AttemptEnded}, which reports how far the attempt came.
  *
  * <p>Not thread-safe: all methods, and all callbacks of the connections, run on the thread of the
  * one event loop in the group.
@@ -40,8 +40,8 @@
             int shardRequestsPerConnection, double idleMs, int connectTimeoutMs, int connections) {}
 
     /**
-     * Identifies an attempt. Equality and hash are written out because those of a record are linked
-     * at their first use, which would be within the first query.
+     * Identifies an attempt. {@code equals} and {@code hashCode} are written out because the
+     * generated ones of a record are linked at their first use, which would delay the first query.
      */
     private record AttemptKey(long shardRequestId, int attempt) {
         @Override
@@ -67,7 +67,7 @@
     private final Map<AttemptKey, SearcherConnection> connectionsByAttempt = new HashMap<>();
     private final ConnectionListener listener = new ConnectionListener();
     private int openConnections;
-    private Predicate<Effect.Send> fence; // null where every attempt may be sent
+    private Predicate<Effect.Send> fence; // null if every attempt may be sent
 
     /**
      * Creates a pool without connections.
@@ -101,7 +101,8 @@
             for (Effect.Send send : call.sends()) {
                 listener.attemptEnded(
                         send,
-                        new AttemptEnd.Broken(Reach.UNSENT, "no connection to be had"),
+                        new AttemptEnd.Broken(
+                                Reach.UNSENT, "no connection available: connection limit reached"),
                         LoadReport.NONE);
             }
             return;
@@ -160,7 +161,7 @@
         fence = maySend;
     }
 
-    /** Closes idle connections, and connections with a health check that was not answered. */
+    /** Closes connections that are idle or have a health check without an answer in time. */
     @Override
     public void sweep() {
         for (List<SearcherConnection> connections : List.copyOf(connectionsByAddress.values())) {
@@ -182,8 +183,8 @@
     }
 
     /**
-     * A connection that can carry these shard requests, opened where there is none; null where the
-     * limits allow no further connection.
+     * Returns a connection that can carry these shard requests, and opens one if there is none.
+     * Returns null if the limits allow no further connection.
      */
     private SearcherConnection acquire(Searcher searcher, List<Effect.Send> sends) {
         List<SearcherConnection> connections = connectionsTo(searcher);
@@ -219,7 +220,10 @@
         return connection;
     }
 
-    /** Keeps the pool's maps in step with its connections, and reports the ends of attempts. */
+    /**
+     * Updates the pool's maps when attempts end or connections close, and reports the ends of
+     * attempts.
+     */
     private final class ConnectionListener implements SearcherConnection.Listener {
         @Override
         public boolean maySend(Effect.Send send) {
--- a/src/main/java/reeldeal/searchers/FrameCodec.java
+++ b/src/main/java/reeldeal/searchers/FrameCodec.java
@@ -13,43 +13,46 @@
 import reeldeal.core.Effect;
 
 /**
- * The frames exchanged with searchers: four bytes of length (most significant first), one byte that
- * names the type, the payload. Stateless; any thread may call it.
+ * Encodes and decodes the frames exchanged with searchers. A frame has four bytes of length (most
+ * significant first), one byte for the type, and the payload. Stateless; any thread may call it.
  */
 final class FrameCodec {
     static final int LENGTH_BYTES = 4;
     static final int MAX_FRAME_BYTES = 256 * 1024;
 
-    /** A call of one or more shard requests. */
+    /** Starts one or more shard requests in one call. */
     static final char QUERY = 'Q';
 
-    /** The answer to one shard request. */
+    /** Answers one shard request. */
     static final char ANSWER = 'A';
 
     /** Cancels a shard request. */
     static final char CANCEL = 'X';
 
-    /** A health check without a load report, and its reply. */
+    /** Requests a health check without a load report; the reply has the same type. */
     static final char PROBE = 'P';
 
-    /** A health check with a load report, and its reply. */
+    /** Requests a health check with a load report; the reply has the same type. */
     static final char LOAD = 'L';
 
-    /** The searcher rejected a frame. */
+    /** Reports that the searcher rejected a frame. */
     static final char ERROR = 'E';
 
-    private static final int MAX_ANSWER_LINE_BYTES = 4 * 1024; // before the answer's value
+    private static final int MAX_ANSWER_LINE_BYTES =
+            4 * 1024; // the line that precedes the answer's value
     private static final Pattern SCORE =
             Pattern.compile("-|[-+]?[0-9]{1,40}([.][0-9]{0,40})?([eE][-+]?[0-9]{1,3})?");
 
-    /** What an {@link #ANSWER} frame says; the load report is in its form on the wire. */
+    /**
+     * The content of an {@link #ANSWER} frame. The load report is the unparsed text from the wire.
+     */
     record Answer(String name, AttemptEnd end, String loadReport) {}
 
     private FrameCodec() {}
 
     /**
-     * Decodes an {@link #ANSWER} frame, its type included; null where it is malformed. The load
-     * report is not parsed: a useless one does not invalidate the answer that it came with.
+     * Decodes an {@link #ANSWER} frame that begins with its type. Returns null if it is malformed.
+     * The load report is not parsed, since a malformed report does not invalidate its answer.
      */
     static Answer decodeAnswer(byte[] frame) {
         int lineEnd = 1;
@@ -85,9 +88,9 @@
     }
 
     /**
-     * Decodes a value as text; null where it has control characters or is not UTF-8. This detects
-     * noise, and a length too great for its frame: the value then swallows the next frame's length,
-     * which has bytes that no text has.
+     * Decodes a value as text. Returns null if it has control characters or is not UTF-8. This
+     * detects random bytes, and a frame length that is too large: the value then contains the next
+     * frame's length, which has bytes that do not occur in text.
      */
     private static String decodeValue(byte[] frame, int start) {
         for (int i = start; i < frame.length; i++) {
@@ -109,20 +112,20 @@
         return value >= 0 && value < ' ' && value != '\t' && value != '\n' && value != '\r';
     }
 
-    /** A frame's payload as text. */
+    /** Returns a frame's payload as text. */
     static String text(byte[] frame) {
         return new String(frame, 1, frame.length - 1, StandardCharsets.UTF_8);
     }
 
     /**
-     * The name of a shard request on the wire: the request's name, a dot and the shard, followed by
-     * a mark in the fetch phase.
+     * Returns the name of a shard request on the wire: the request's name, a dot and the shard,
+     * followed by {@code .f} in the fetch phase.
      */
     static String wireName(Effect.Send send) {
         return send.request().name() + "." + send.shard() + (send.queryPhase() == null ? "" : ".f");
     }
 
-    /** Encodes one call with the time that remains for each of its shard requests. */
+    /** Encodes one call, with the remaining time of each of its shard requests. */
     static ByteBuf encodeCall(List<Effect.Send> sends, double now) {
         ByteArrayOutputStream payload = new ByteArrayOutputStream(128 * sends.size());
         for (Effect.Send send : sends) {
@@ -155,7 +158,7 @@
         return line.append(' ').append(textBytes).append('\n').toString();
     }
 
-    /** Encodes one frame with its length. */
+    /** Encodes one frame, including its length. */
     static ByteBuf encodeFrame(char type, byte[] payload) {
         ByteBuf frame = Unpooled.buffer(LENGTH_BYTES + 1 + payload.length);
         return frame.writeInt(1 + payload.length).writeByte(type).writeBytes(payload);
--- a/src/main/java/reeldeal/searchers/HealthChecks.java
+++ b/src/main/java/reeldeal/searchers/HealthChecks.java
@@ -9,9 +9,10 @@
 import reeldeal.decision.DecisionModule.Outcome;
 
 /**
- * The health checks in flight on one connection, oldest first: replies carry no number and come in
- * the order of the requests. Each ends in one {@link Event.Probed}. Owned by the connection and
- * used on its thread; times are of the broker's clock, in milliseconds.
+ * Tracks the health checks in flight on one connection, oldest first. Replies carry no identifier
+ * and arrive in the order of the requests. Each health check ends in one {@link Event.Probed}.
+ * Owned by the connection and used on its thread; times are those of the broker's clock, in
+ * milliseconds.
  */
 final class HealthChecks {
     private static final double TIMEOUT_MS = 250;
@@ -33,7 +34,10 @@
         inFlight.add(new HealthCheck(searcher, now));
     }
 
-    /** The frame that asks for one reply: with a load report where the settings name its values. */
+    /**
+     * Encodes the request frame of one health check. It asks for a load report if the settings name
+     * columns of it.
+     */
     ByteBuf encodeRequest() {
         char type = loadColumns.isEmpty() ? FrameCodec.PROBE : FrameCodec.LOAD;
         return FrameCodec.encodeFrame(type, NO_PAYLOAD);
@@ -47,7 +51,7 @@
         return inFlight.size();
     }
 
-    /** Whether the oldest health check has waited too long for its reply. */
+    /** Whether the oldest health check has exceeded the timeout for its reply. */
     boolean isOverdue(double now) {
         return !inFlight.isEmpty() && inFlight.peek().startedAt() < now - TIMEOUT_MS;
     }
--- a/src/main/java/reeldeal/searchers/LoadReport.java
+++ b/src/main/java/reeldeal/searchers/LoadReport.java
@@ -6,17 +6,15 @@
 
 /** Parses a searcher's load report, {@code name=value} pairs joined by commas. */
 final class LoadReport {
-    /** The report of a searcher that sends none. */
+    /** The text that stands for no load report. */
     static final String NONE = "-";
 
-    /** The values where there is no report, or no useful one. */
+    /** The result of parsing if the report is missing or malformed. */
     static final double[] NO_VALUES = {};
 
     private static final String ERROR = "err";
 
-    /**
-     * The settings may name a value by its column where searchers use a field name of their own.
-     */
+    /** Maps column names that the settings may use to the field names in searchers' reports. */
     private static final Map<String, String> FIELD_BY_COLUMN =
             Map.of(
                     "cpu",
@@ -34,7 +32,10 @@
 
     private LoadReport() {}
 
-    /** The columns' values in their order, or none where one is missing or malformed. */
+    /**
+     * Returns the values in the order of the columns, or {@link #NO_VALUES} if any is missing or
+     * malformed.
+     */
     static double[] parse(String report, List<String> columns) {
         if (columns.isEmpty() || report.equals(NONE) || report.equals(ERROR)) {
             return NO_VALUES;
--- a/src/main/java/reeldeal/searchers/RetiredNames.java
+++ b/src/main/java/reeldeal/searchers/RetiredNames.java
@@ -6,12 +6,15 @@
 import java.util.Set;
 
 /**
- * Names of shard requests on one connection that are not pending any more but may still be
- * answered: abandoned ones, whose late answer is expected, and lately served ones, whose answer may
- * come a second time. Owned by the connection and used on its thread.
+ * Remembers the names of shard requests on one connection that are no longer pending but may still
+ * be answered: abandoned ones, which may be answered late, and recently served ones, whose answer
+ * may arrive a second time. Owned by the connection and used on its thread.
  */
 final class RetiredNames {
-    /** No shard request is sent again after this time, so its name may be forgotten. */
+    /**
+     * How long an abandoned name is remembered, in milliseconds. No shard request is sent again
+     * after this time.
+     */
     static final double ABANDONED_RETENTION_MS = 60_000;
 
     static final int MAX_SERVED = 64;
@@ -27,12 +30,12 @@
         return abandonedAt.containsKey(name);
     }
 
-    /** Forgets an abandoned name; returns whether it was known. */
+    /** Removes an abandoned name and returns whether it was present. */
     boolean removeAbandoned(String name) {
         return abandonedAt.remove(name) != null;
     }
 
-    /** Remembers a served name, and forgets the one that was first served beyond the limit. */
+    /** Adds a served name, and removes the oldest one if the limit is exceeded. */
     void addServed(String name) {
         served.add(name);
         if (served.size() > MAX_SERVED) {
@@ -44,8 +47,8 @@
         return served.contains(name);
     }
 
-    /** Forgets abandoned names whose retention is over; {@code now} in milliseconds. */
+    /** Removes abandoned names whose retention is over; {@code now} is in milliseconds. */
     void expire(double now) {
-        abandonedAt.values().removeIf(at -> at < now - ABANDONED_RETENTION_MS);
+        abandonedAt.values().removeIf(time -> time < now - ABANDONED_RETENTION_MS);
     }
 }
--- a/src/main/java/reeldeal/searchers/SearcherConnection.java
+++ b/src/main/java/reeldeal/searchers/SearcherConnection.java
@@ -26,26 +26,32 @@
 import reeldeal.frames.FrameBuffer;
 
 /**
- * One connection to a searcher, with the shard requests that are queued or in flight on it. Shard
- * requests are told apart by their names on the wire. All methods run on the thread of the
+ * Manages one connection to a searcher and the shard requests that are queued or in flight on it.
+ * Shard requests are identified by their names on the wire. All methods run on the thread of the
  * connection's event loop.
  */
 final class SearcherConnection extends ChannelInboundHandlerAdapter {
-    /** Fraction of the searchers' idle limit after which the connection is not used any more. */
+    /** The fraction of the searchers' idle limit after which the connection is no longer used. */
     private static final double IDLE_FRACTION = 0.6;
 
-    /** Time in which a frame that has begun must be complete, in milliseconds. */
+    /** The time in which a frame must be complete after its first bytes, in milliseconds. */
     private static final int FRAME_TIMEOUT_MS = 250;
 
-    /** What a connection needs to know from its owner, and what it reports to it. */
+    /** The owner's side of a connection: decides on writes, and is notified of ends. */
     interface Listener {
-        /** Whether this attempt may still be written; called right before it is written. */
+        /** Whether this attempt may still be written. Called immediately before the write. */
         boolean maySend(Effect.Send send);
 
-        /** An attempt ended; {@code loadReport} is the searcher's, in its form on the wire. */
+        /**
+         * Called when an attempt has ended. {@code loadReport} is the searcher's unparsed load
+         * report.
+         */
         void attemptEnded(Effect.Send send, AttemptEnd end, String loadReport);
 
-        /** The connection takes no more requests; its attempts end after this call. */
+        /**
+         * Called when the connection accepts no more requests. Its pending attempts end after this
+         * call.
+         */
         void connectionClosed(SearcherConnection connection, String address);
     }
 
@@ -100,7 +106,7 @@
         this.lastUsedAt = clock.getAsDouble();
     }
 
-    /** Begins to connect; what is sent meanwhile is queued. */
+    /** Starts connecting. Calls sent before the connection is established are queued. */
     void connect(EventLoopGroup group, InetSocketAddress remoteAddress) {
         ChannelFuture connecting =
                 new Bootstrap()
@@ -119,28 +125,28 @@
                 });
     }
 
-    /** Whether the connection is up, so that calls are written without queueing. */
+    /** Whether the connection is established, so that calls are written without queueing. */
     boolean isEstablished() {
         return established;
     }
 
-    /** Whether this connection may carry these shard requests in addition to its present ones. */
+    /** Whether this connection can carry these shard requests in addition to its pending ones. */
     boolean accepts(List<Effect.Send> sends) {
         return !closed
                 && pending.size() + sends.size() <= limits.shardRequestsPerConnection()
                 && !isIdleAt(clock.getAsDouble())
-                && hasNoNameOf(sends);
+                && hasNoConflictingName(sends);
     }
 
     private boolean isIdleAt(double now) {
         return lastUsedAt <= now - IDLE_FRACTION * limits.idleMs();
     }
 
-    private boolean hasNoNameOf(List<Effect.Send> sends) {
+    private boolean hasNoConflictingName(List<Effect.Send> sends) {
         for (Effect.Send send : sends) {
             String name = FrameCodec.wireName(send);
-            // An abandoned attempt may still be answered on this connection, and that answer must
-            // not end the next attempt of the same name.
+            // An abandoned attempt may still be answered on this connection. That answer must not
+            // end another attempt with the same name.
             if (retiredNames.isAbandoned(name) || pending.containsKey(name)) {
                 return false;
             }
@@ -189,7 +195,10 @@
                         });
     }
 
-    /** Stops waiting for an attempt, and tells the searcher so where it was written. */
+    /**
+     * Ends a pending attempt without waiting for its answer. If it was already written, sends a
+     * cancel frame or resets a silent connection.
+     */
     void abandon(Effect.Abandon abandon) {
         PendingAttempt attempt = findPending(abandon.shardRequestId(), abandon.attempt());
         if (attempt == null) {
@@ -199,8 +208,8 @@
         String name = FrameCodec.wireName(send);
         boolean unsent = dequeue(send);
         pending.remove(name);
-        // A partly written request may still run: only one that was never handed to the socket is
-        // unsent.
+        // A partly written request may still run, so only one that was never passed to the socket
+        // is reported as unsent.
         listener.attemptEnded(
                 send,
                 new AttemptEnd.Abandoned(unsent ? Reach.UNSENT : Reach.SENT, abandon.timedOut()),
@@ -209,9 +218,9 @@
             return;
         }
         if (lastReadAt < attempt.writtenAt) {
-            // Nothing was read since the request was written: the connection may be dead although
-            // the searcher is alive. A cancel frame might stay unread behind the call, and both
-            // might be read when another attempt is in flight.
+            // Nothing was read since the request was written, so the connection may be dead
+            // although the searcher is alive. The call and a cancel frame after it might both stay
+            // unread, and be read later while another attempt is in flight.
             reset("silent");
         } else {
             retiredNames.addAbandoned(name, clock.getAsDouble());
@@ -240,7 +249,7 @@
         return false;
     }
 
-    /** Drops an attempt that is still queued; one that was written goes on. */
+    /** Drops an attempt that is still queued. An attempt that was already written continues. */
     void withdraw(Effect.Withdraw withdraw) {
         for (List<Effect.Send> call : queuedCalls) {
             for (Effect.Send send : List.copyOf(call)) {
@@ -258,19 +267,22 @@
         listener.attemptEnded(send, end, LoadReport.NONE);
     }
 
-    /** Ends what is queued as unsent, since the searcher is draining. */
+    /**
+     * Ends all queued attempts as unsent, since the searcher is draining. Resets the connection if
+     * a call is not yet completely accepted by the socket.
+     */
     void stopSending() {
         List<List<Effect.Send>> unsent = List.copyOf(queuedCalls);
         queuedCalls.clear();
         for (List<Effect.Send> sends : unsent) {
             for (Effect.Send send : sends) {
-                endUnwritten(send, new AttemptEnd.Broken(Reach.UNSENT, "searcher drains"));
+                endUnwritten(send, new AttemptEnd.Broken(Reach.UNSENT, "searcher is draining"));
             }
         }
-        // A call that the socket has not accepted yet would start later, so the connection is
-        // closed with it.
+        // A call that the socket has not completely accepted would start later, so the connection
+        // is reset to discard it.
         if (established && hasUnflushedAttempt()) {
-            reset("searcher drains");
+            reset("searcher is draining");
         }
     }
 
@@ -283,7 +295,7 @@
         return false;
     }
 
-    /** Asks the searcher for its load, as soon as the connection is established. */
+    /** Starts a health check. Its request is written as soon as the connection is established. */
     void startHealthCheck(Searcher searcher) {
         healthChecks.start(searcher, clock.getAsDouble());
         if (established) {
@@ -291,15 +303,17 @@
         }
     }
 
-    /** Closes the connection where it is idle or a health check on it was not answered. */
+    /** Closes the connection if it is idle or a health check on it has timed out. */
     void sweep() {
         double now = clock.getAsDouble();
         retiredNames.expire(now);
         if (healthChecks.isOverdue(now)) {
-            // Replies carry no number: after a lost one, the next could not be matched.
-            close("probe not answered");
+            // Replies carry no identifier, so after a lost reply the following ones could not be
+            // matched to their health checks.
+            close("health check not answered in time");
         }
-        // Not isIdleAt: at the limit itself the connection takes no calls, yet stays open.
+        // Does not use isIdleAt: exactly at the limit, the connection accepts no calls but stays
+        // open.
         if (pending.isEmpty()
                 && healthChecks.isEmpty()
                 && lastUsedAt < now - IDLE_FRACTION * limits.idleMs()) {
@@ -307,7 +321,9 @@
         }
     }
 
-    /** Closes the channel; attempts end once the event loop reports it as inactive. */
+    /**
+     * Closes the channel. Pending attempts end when the event loop reports the channel as inactive.
+     */
     void closeChannel() {
         channel.close();
     }
@@ -341,20 +357,21 @@
             onFrame(frame);
         }
         if (!closed && frames.malformed()) {
-            closeOnProtocolError("malformed frame");
+            closeOnProtocolError("invalid frame length");
         } else if (!closed && frames.inFrame()) {
             onPartialFrame(ctx);
         }
     }
 
     /**
-     * Handles a frame that has begun. Where nothing is pending it can only be noise, and the next
-     * answer would be taken for its rest. Otherwise it must be complete soon, since a length beyond
-     * what follows is never reached.
+     * Handles an incomplete frame. If nothing is pending, its bytes are unexpected, and the next
+     * answer would be read as the rest of this frame. Otherwise it must be complete within the
+     * frame timeout, since a corrupt length may exceed the bytes that follow, and the frame would
+     * never be complete.
      */
     private void onPartialFrame(ChannelHandlerContext ctx) {
         if (pending.isEmpty() && healthChecks.isEmpty()) {
-            close("bytes that answer nothing");
+            close("received bytes without a pending request");
         } else if (!frameTimerRunning) {
             frameTimerRunning = true;
             long framesBefore = framesRead;
@@ -372,7 +389,7 @@
             return;
         }
         if (framesRead == framesBefore) {
-            closeOnProtocolError("a frame without end");
+            closeOnProtocolError("frame not complete within " + FRAME_TIMEOUT_MS + " ms");
         } else {
             onPartialFrame(ctx);
         }
@@ -383,15 +400,15 @@
             case FrameCodec.ANSWER -> onAnswer(frame);
             case FrameCodec.PROBE, FrameCodec.LOAD -> onHealthCheckReply(frame);
             case FrameCodec.ERROR ->
-                    closeOnProtocolError("refused a frame: " + FrameCodec.text(frame));
-            default -> closeOnProtocolError("unknown frame " + frame[0]);
+                    closeOnProtocolError("searcher rejected a frame: " + FrameCodec.text(frame));
+            default -> closeOnProtocolError("unknown frame type " + frame[0]);
         }
     }
 
     private void onAnswer(byte[] frame) {
         FrameCodec.Answer answer = FrameCodec.decodeAnswer(frame);
         if (answer == null) {
-            closeOnProtocolError("malformed answer");
+            closeOnProtocolError("malformed answer frame");
             return;
         }
         String name = answer.name();
@@ -400,8 +417,8 @@
         if (attempt != null) {
             listener.attemptEnded(attempt.send, answer.end(), answer.loadReport());
         } else if (!abandoned && !retiredNames.isServed(name) && !pending.isEmpty()) {
-            // It cannot be known which request was answered, and that one would wait in vain.
-            closeOnProtocolError("an answer to no part");
+            // Which request was answered is unknown, and the one that was would never end.
+            closeOnProtocolError("answer to an unknown shard request");
             return;
         }
         if (answer.end() instanceof AttemptEnd.Served) {
@@ -411,7 +428,7 @@
 
     private void onHealthCheckReply(byte[] frame) {
         if (healthChecks.isEmpty()) {
-            closeOnProtocolError("a reply to no probe");
+            closeOnProtocolError("health check reply without a pending health check");
         } else {
             healthChecks.complete(FrameCodec.text(frame), clock.getAsDouble());
         }
@@ -419,7 +436,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        close("connection ended");
+        close("connection closed");
     }
 
     @Override
--- a/src/main/java/reeldeal/searchers/SearcherTransport.java
+++ b/src/main/java/reeldeal/searchers/SearcherTransport.java
@@ -5,37 +5,39 @@
 import reeldeal.core.Searcher;
 
 /**
- * Sends attempts to searchers. Every attempt handed over ends in exactly one {@link
- * reeldeal.core.Event.AttemptEnded} that says how far the attempt had come. All methods are called
+ * Sends attempts to searchers. Every attempt passed to a transport ends in exactly one {@link
+ * reeldeal.core.Event.AttemptEnded}, which reports how far the attempt came. All methods are called
  * on the broker's event loop and do not block.
  */
 public interface SearcherTransport {
 
-    /** Sends one call. */
+    /** Sends the attempts of one call to their searcher. */
     void call(Effect.Call call);
 
-    /** Stops waiting for an attempt; does nothing where this transport does not hold it. */
+    /**
+     * Stops waiting for an attempt. Does nothing if the attempt is not pending in this transport.
+     */
     void abandon(Effect.Abandon abandon);
 
     /**
-     * Drops an attempt that is not yet written; does nothing where it is in flight, or where this
-     * transport does not hold it.
+     * Drops an attempt that is not yet written. Does nothing if the attempt is in flight or not
+     * pending in this transport.
      */
     void withdraw(Effect.Withdraw withdraw);
 
-    /** Starts nothing more at this searcher: what waits for a connection ends unsent. */
+    /** Stops sending to this searcher. Attempts that are queued for a connection end as unsent. */
     void stopSending(Searcher searcher);
 
     /** Starts a health check, which ends in one {@link reeldeal.core.Event.Probed}. */
     void probe(Effect.Probe probe);
 
     /**
-     * Sets a predicate that is tested right before an attempt is written. An attempt that fails it
-     * is not written, and ends as {@link reeldeal.core.AttemptEnd.Fenced}.
+     * Sets a predicate that is tested immediately before an attempt is written. An attempt that
+     * does not satisfy it is not written, and ends as {@link reeldeal.core.AttemptEnd.Fenced}.
      */
     void setFence(Predicate<Effect.Send> maySend);
 
-    /** Closes idle connections; called at each tick of the event loop. */
+    /** Closes idle connections. Called periodically on the event loop. */
     void sweep();
 
     /** Closes all connections. */
--- a/src/main/java/reeldeal/searchers/TransportByKind.java
+++ b/src/main/java/reeldeal/searchers/TransportByKind.java
@@ -6,7 +6,7 @@
 import reeldeal.core.Searcher;
 
 /**
- * Chooses between two transports by the searcher's kind. Like its transports it is used on the
+ * Selects one of two transports by the searcher's kind. Like both transports, it is used on the
  * broker's event loop only.
  */
 public final class TransportByKind implements SearcherTransport {
@@ -17,9 +17,9 @@
     /**
      * Creates a transport over two others.
      *
-     * @param frames speaks to all other kinds of searchers
-     * @param other speaks to searchers of {@code otherKinds}
-     * @param otherKinds kinds of searchers that do not speak frames
+     * @param frames the transport for all other kinds of searchers
+     * @param other the transport for searchers of {@code otherKinds}
+     * @param otherKinds kinds of searchers that do not use the frame protocol
      */
     public TransportByKind(
             SearcherTransport frames, SearcherTransport other, Set<String> otherKinds) {
--- a/src/main/java/reeldeal/server/BrokerMetrics.java
+++ b/src/main/java/reeldeal/server/BrokerMetrics.java
@@ -7,8 +7,8 @@
 import reeldeal.fleet.rollout.RolloutHealth;
 
 /**
- * Counts a broker's requests and attempts, for the comparison with other brokers during a rollout.
- * Written on the broker's event loop; {@link #counts} may be called on any thread.
+ * Counts a broker's requests and attempts. A rollout compares these counts between brokers. Written
+ * on the broker's event loop; {@link #counts} may be called on any thread.
  */
 final class BrokerMetrics {
     private long requests;
@@ -19,9 +19,11 @@
     private volatile RolloutHealth.Counts counts = new RolloutHealth.Counts(0, 0, 0, 0, 0);
 
     /**
-     * Wraps the consumer of a request's reply so that the reply is counted.
+     * Returns a consumer that counts a request's reply and passes it on to {@code consumer}.
+     * Replies to invalid requests are not counted.
      *
-     * @param objectiveAt when the request's latency objective is exceeded, by {@code clock}
+     * @param objectiveAt the time of {@code clock} after which the request exceeds its latency
+     *     objective
      */
     Consumer<Reply> countingReply(
             double objectiveAt, Consumer<Reply> consumer, DoubleSupplier clock) {
@@ -41,12 +43,16 @@
                 || (reply instanceof Reply.Served && clock.getAsDouble() > objectiveAt);
     }
 
-    /** Counts attempts that are sent; they are published with the next reply or end. */
+    /**
+     * Counts attempts that are sent. The new count is published with the next reply or attempt end.
+     */
     void attemptsSent(int count) {
         attempts += count;
     }
 
-    /** Counts the end of an attempt; one that the broker cancelled is no failure. */
+    /**
+     * Counts the end of an attempt. An attempt that the broker cancelled does not count as failed.
+     */
     void attemptEnded(AttemptEnd end) {
         boolean cancelled = end instanceof AttemptEnd.Abandoned abandoned && !abandoned.timedOut();
         failedAttempts += end instanceof AttemptEnd.Served || cancelled ? 0 : 1;
@@ -57,7 +63,7 @@
         counts = new RolloutHealth.Counts(requests, late, rejected, attempts, failedAttempts);
     }
 
-    /** What was counted so far. */
+    /** Returns the counts published last. */
     RolloutHealth.Counts counts() {
         return counts;
     }
--- a/src/main/java/reeldeal/server/BrokerServer.java
+++ b/src/main/java/reeldeal/server/BrokerServer.java
@@ -30,18 +30,21 @@
 import reeldeal.searchers.TransportByKind;
 
 /**
- * A broker on sockets: events gather until the next tick of the reducer, its effects are carried
- * out as they come. All of it runs on one event loop thread, but for the methods that say
- * otherwise.
+ * Runs a broker on network sockets. Events are collected until the next tick of the reducer, and
+ * the effects that the tick returns are executed in order. Everything runs on one event loop
+ * thread, except for methods whose documentation states another thread.
  */
 public final class BrokerServer implements RequestSubmitter {
-    /** Bytes of messages that are being read, for each front. */
-    private static final long MAX_UNREAD = 8L << 20;
+    /** The maximum of bytes buffered for messages that are still being received, per front. */
+    private static final long MAX_BUFFERED_BYTES = 8L << 20;
 
-    private static final int SWEEP_MS = 1_000;
+    private static final int MAINTENANCE_INTERVAL_MS = 1_000;
 
-    /** Share of the shortest latency objective in which a connection to a searcher has to be up. */
-    private static final double CONNECT_SHARE = 0.25;
+    /**
+     * The fraction of the shortest latency objective within which a connection to a searcher must
+     * be established.
+     */
+    private static final double CONNECT_TIMEOUT_FRACTION = 0.25;
 
     private final BrokerConfig config;
     private final EventLoopGroup group;
@@ -50,15 +53,15 @@
     private final MonotonicClock clock = new MonotonicClock();
     private final Reducer reducer;
     private final SearcherTransport searchers;
-    private final Consumer<Event.EndpointsChanged> discovered;
-    private DiscoveryWatcher watch;
-    private DiscoveryWatcher nextWatch;
+    private final Consumer<Event.EndpointsChanged> discoveryConsumer;
+    private DiscoveryWatcher watcher;
+    private DiscoveryWatcher nextWatcher;
     private final List<HttpServer> servers = new ArrayList<>();
     private final Map<Long, Consumer<Reply>> replies = new HashMap<>();
-    private List<Event> events = new ArrayList<>();
+    private List<Event> pendingEvents = new ArrayList<>();
     private boolean tickScheduled;
-    private double lastTick = Double.NEGATIVE_INFINITY;
-    private long nextRequest = 1;
+    private double lastTickAt = Double.NEGATIVE_INFINITY;
+    private long nextRequestId = 1;
     private boolean ready;
     private volatile boolean drainedByFleet;
     private BrokerMetrics metrics;
@@ -68,33 +71,33 @@
     private volatile double drainStartedAt = Double.POSITIVE_INFINITY;
 
     /**
-     * A broker that takes the list of searchers from discovery, or has none where the configuration
-     * names none.
+     * Creates a broker that takes its endpoint list from discovery, or has no discovery if the
+     * configuration names none.
      */
     public BrokerServer(EventLoopGroup group, BrokerConfig config) {
         this(group, config, null);
     }
 
     /**
-     * A broker whose list of searchers others make: what discovery tells goes to them, null for to
-     * itself.
+     * Creates a broker whose endpoint list is built elsewhere. Lists from discovery are passed to
+     * {@code discoveryConsumer}; if it is null, the broker uses them itself.
      */
     BrokerServer(
             EventLoopGroup group,
             BrokerConfig config,
-            Consumer<Event.EndpointsChanged> discovered) {
-        this.discovered = discovered;
+            Consumer<Event.EndpointsChanged> discoveryConsumer) {
+        this.discoveryConsumer = discoveryConsumer;
         this.group = group;
         this.loop = group.next();
         this.config = config;
         this.shutdown =
                 ShutdownDeadlines.of(
                         config.settings().classes().stream()
-                                .mapToDouble(c -> c.deadlineMs())
+                                .mapToDouble(queryClass -> queryClass.deadlineMs())
                                 .max()
                                 .orElseThrow());
         this.reducer = new Reducer(clock.now(), config.settings(), config.zones(), config.kinds());
-        SearcherTransport frames =
+        SearcherTransport frameTransport =
                 new ConnectionPool(
                         group,
                         new ConnectionPool.Limits(
@@ -104,43 +107,48 @@
                                 config.sockets() / 4),
                         config.settings().loadColumns(),
                         clock::now,
-                        this::event,
+                        this::enqueue,
                         BrokerServer::log);
         this.searchers =
                 config.search() == null
-                        ? frames
+                        ? frameTransport
                         : new TransportByKind(
-                                frames,
+                                frameTransport,
                                 new OpenSearchTransport(
                                         group,
                                         config.idleMs(),
                                         config.connectTimeoutMs(),
                                         clock::now,
-                                        this::event),
+                                        this::enqueue),
                                 config.search().searcherKinds());
-        this.watch = config.discovery() == null ? null : watchAt(config.discovery(), () -> {});
+        this.watcher =
+                config.discovery() == null ? null : createWatcher(config.discovery(), () -> {});
     }
 
-    /** Listens and serves; throws where an address cannot be had. */
+    /** Starts listening and serving. Throws if a listen address cannot be bound. */
     public void start() throws Exception {
         PlatformFront front =
                 new PlatformFront(submitter, config.settings(), config.classes(), config.shards());
-        HttpServer platform = new HttpServer(config.sockets() / 2, MAX_UNREAD, front::accept);
+        HttpServer platform =
+                new HttpServer(config.sockets() / 2, MAX_BUFFERED_BYTES, front::accept);
         servers.add(platform);
         loop.submit(
                         () -> {
                             if (!config.dns()) {
-                                // Where the zone tells the searchers, a list from a file must not
-                                // go over what it told.
-                                event(
+                                // If DNS zones provide the searchers, the configured list must not
+                                // override theirs.
+                                enqueue(
                                         new Event.EndpointsChanged(
                                                 EndpointListKind.CACHED, config.known()));
                             }
-                            if (watch != null) {
-                                watch.start();
+                            if (watcher != null) {
+                                watcher.start();
                             }
                             loop.scheduleWithFixedDelay(
-                                    searchers::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+                                    searchers::sweep,
+                                    MAINTENANCE_INTERVAL_MS,
+                                    MAINTENANCE_INTERVAL_MS,
+                                    TimeUnit.MILLISECONDS);
                         })
                 .sync();
         loop.submit(() -> JitWarmUp.run(config, clock.now())).sync();
@@ -149,7 +157,7 @@
             HttpServer search =
                     new HttpServer(
                             config.sockets() / 8,
-                            MAX_UNREAD,
+                            MAX_BUFFERED_BYTES,
                             new OpenSearchFront(
                                             submitter,
                                             config.settings(),
@@ -165,97 +173,105 @@
     }
 
     /**
-     * For how long a connection to a searcher may take to come up: as long as the settings say, and
-     * no longer than leaves most of the shortest aim to a fellow. A part on it has not run, so that
-     * it costs nothing to go on.
+     * Returns the connect timeout to searchers: the configured one, limited so that after a timeout
+     * most of the shortest latency objective is left for another replica. A shard request on a
+     * connection that was not established has not run, so sending it to another replica repeats no
+     * work.
      */
     static int connectTimeoutMs(BrokerConfig config) {
-        double aim =
+        double shortestObjectiveMs =
                 config.settings().classes().stream()
-                        .mapToDouble(c -> c.latencyObjectiveMs())
+                        .mapToDouble(queryClass -> queryClass.latencyObjectiveMs())
                         .min()
                         .orElseThrow();
-        return (int) Math.max(1, Math.min(config.connectTimeoutMs(), aim * CONNECT_SHARE));
+        return (int)
+                Math.max(
+                        1,
+                        Math.min(
+                                config.connectTimeoutMs(),
+                                shortestObjectiveMs * CONNECT_TIMEOUT_FRACTION));
     }
 
-    private DiscoveryWatcher watchAt(InetSocketAddress address, Runnable heard) {
+    private DiscoveryWatcher createWatcher(InetSocketAddress address, Runnable onFirstList) {
         return new DiscoveryWatcher(
                 group,
                 address,
                 config.settings().seed(),
                 event -> {
-                    if (discovered != null && event instanceof Event.EndpointsChanged told) {
-                        discovered.accept(told);
+                    if (discoveryConsumer != null
+                            && event instanceof Event.EndpointsChanged changed) {
+                        discoveryConsumer.accept(changed);
                     } else {
-                        event(event);
+                        enqueue(event);
                     }
                 },
                 BrokerServer::log,
-                heard);
+                onFirstList);
     }
 
     /**
-     * Moves to the discovery address of a new configuration. The list that is had stands, and so
-     * does the old watch, until the new one has told its own; all else that a configuration says
-     * holds from a start on.
+     * Switches to the discovery address of a new configuration. The current endpoint list and the
+     * old watcher stay in use until the new watcher has received its first list. All other settings
+     * of a configuration take effect only at a restart.
      */
-    void reload(BrokerConfig fresh) {
+    void reload(BrokerConfig newConfig) {
         loop.execute(
                 () -> {
-                    InetSocketAddress to = fresh.discovery();
-                    if (watch == null || to == null) {
+                    InetSocketAddress newAddress = newConfig.discovery();
+                    if (watcher == null || newAddress == null) {
                         return;
                     }
-                    if (nextWatch != null) {
-                        nextWatch.stop();
-                        nextWatch = null;
+                    if (nextWatcher != null) {
+                        nextWatcher.stop();
+                        nextWatcher = null;
                     }
-                    if (to.equals(watch.address())) {
-                        log("reloaded: discovery stays at " + to);
+                    if (newAddress.equals(watcher.address())) {
+                        log("reloaded: discovery stays at " + newAddress);
                         return;
                     }
-                    log("reloaded: moving to discovery at " + to);
-                    nextWatch =
-                            watchAt(
-                                    to,
+                    log("reloaded: moving to discovery at " + newAddress);
+                    nextWatcher =
+                            createWatcher(
+                                    newAddress,
                                     () -> {
-                                        watch.stop();
-                                        watch = nextWatch;
-                                        nextWatch = null;
-                                        log("discovery has moved to " + to);
+                                        watcher.stop();
+                                        watcher = nextWatcher;
+                                        nextWatcher = null;
+                                        log("discovery has moved to " + newAddress);
                                     });
-                    nextWatch.start();
+                    nextWatcher.start();
                 });
     }
 
     /**
-     * Goes on accepting for a while, since clients learn late, and for longer on serving the
-     * connections that clients have: another broker may be down just then. What comes late gets
-     * less time than its client would give, so that all is answered before the broker may be
-     * killed. Returns once nothing is left.
+     * Shuts down gracefully. New connections are accepted for a while, since clients notice the
+     * shutdown late. Open connections are served for longer, since another broker may be down at
+     * the same time. Requests that arrive late get a shorter deadline than their client allows, so
+     * that every request is answered before the platform may kill the broker. Returns once no
+     * request, event or connection is left, or the last shutdown deadline is over.
      */
     public void drain() throws InterruptedException {
-        double began = clock.now();
-        drainStartedAt = began;
+        double startedAt = clock.now();
+        drainStartedAt = startedAt;
         loop.submit(() -> servers.forEach(HttpServer::keepIdle)).sync();
         Thread.sleep((long) shutdown.acceptMs());
         loop.submit(() -> servers.forEach(HttpServer::stopListening)).sync();
-        while (clock.now() < began + shutdown.serveMs()
+        while (clock.now() < startedAt + shutdown.serveMs()
                 && !loop.submit(this::isIdle).sync().getNow()) {
             Thread.sleep(10);
         }
         loop.submit(() -> servers.forEach(HttpServer::stopServing)).sync();
-        while (clock.now() < began + shutdown.endMs()
+        while (clock.now() < startedAt + shutdown.endMs()
                 && !loop.submit(this::isIdle).sync().getNow()) {
             Thread.sleep(10);
         }
         loop.submit(
                         () -> {
-                            if (watch != null) {
-                                watch.stop();
+                            if (watcher != null) {
+                                watcher.stop();
                             }
-                            if (nextWatch != null) {
-                                nextWatch.stop();
+                            if (nextWatcher != null) {
+                                nextWatcher.stop();
                             }
                             searchers.close();
                         })
@@ -264,71 +280,91 @@
     }
 
     /**
-     * Has all fronts submit to {@code before}, and asks before each send whether it may be written;
-     * before it serves. Both are used on the broker's loop.
+     * Makes all fronts submit to {@code recordingSubmitter}, and tests {@code maySend} before each
+     * attempt is written. Must be called before the broker serves; both arguments are used on the
+     * broker's event loop.
      */
-    void recordRequestsWith(RequestSubmitter before, Predicate<Effect.Send> maySend) {
-        submitter = before;
+    void recordRequestsWith(RequestSubmitter recordingSubmitter, Predicate<Effect.Send> maySend) {
+        submitter = recordingSubmitter;
         searchers.setFence(maySend);
     }
 
-    /** The loop on which all of it runs. */
+    /** Returns the event loop on which the broker runs. */
     EventLoop loop() {
         return loop;
     }
 
-    /** Takes an event from any thread. */
+    /** Enqueues an event for the next tick. May be called on any thread. */
     void submitEvent(Event event) {
-        loop.execute(() -> event(event));
+        loop.execute(() -> enqueue(event));
     }
 
     /**
-     * Whether the fleet drains this broker: its health answers are negative then. From any thread.
+     * Sets whether the fleet drains this broker. While it is drained, its health endpoint reports
+     * that it is not ready. May be called on any thread.
      */
     void setDrainedByFleet(boolean drained) {
         drainedByFleet = drained;
     }
 
-    /** Counts from now on, for the comparison of brokers in a rollout; before it serves. */
+    /**
+     * Starts counting requests and attempts for the comparison of brokers in a rollout. Must be
+     * called before the broker serves.
+     */
     void enableMetrics() {
         metrics = new BrokerMetrics();
         loop.scheduleWithFixedDelay(
-                () -> ejected = reducer.ejected(), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+                () -> ejected = reducer.ejected(),
+                MAINTENANCE_INTERVAL_MS,
+                MAINTENANCE_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
     }
 
-    /** The searchers that are out of use here for their failures, as of the last second. */
+    /**
+     * Returns the searchers that this broker has ejected, at most about a second old. May be called
+     * on any thread.
+     */
     Set<String> ejected() {
         return ejected;
     }
 
-    /** Exports observations of searchers from now on; before it serves. */
+    /**
+     * Starts exporting this broker's statistics of searchers. Must be called before the broker
+     * serves.
+     */
     void shareStats() {
         loop.scheduleWithFixedDelay(
                 () -> sharedStats = reducer.exportStats(),
-                SWEEP_MS,
-                SWEEP_MS,
+                MAINTENANCE_INTERVAL_MS,
+                MAINTENANCE_INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Observations of searchers as of the last second; from any thread. */
+    /**
+     * Returns the statistics of searchers exported last, at most about a second old. May be called
+     * on any thread.
+     */
     Map<String, Event.ImportedServerStats> sharedStats() {
         return sharedStats;
     }
 
-    /** What was counted; zeros where metrics are off. From any thread. */
+    /**
+     * Returns the counts of requests and attempts, or zeros if metrics are off. May be called on
+     * any thread.
+     */
     RolloutHealth.Counts counts() {
         return metrics == null ? new RolloutHealth.Counts(0, 0, 0, 0, 0) : metrics.counts();
     }
 
-    /** The platform front's port. */
+    /** Returns the port on which the platform front listens. */
     int port() {
         return servers.get(0).address().getPort();
     }
 
     private boolean isIdle() {
         return reducer.openRequests() == 0
-                && events.isEmpty()
-                && servers.stream().allMatch(s -> s.openConnections() == 0);
+                && pendingEvents.isEmpty()
+                && servers.stream().allMatch(server -> server.openConnections() == 0);
     }
 
     static void log(String line) {
@@ -344,7 +380,7 @@
 
     @Override
     public long nextRequestId() {
-        return nextRequest++;
+        return nextRequestId++;
     }
 
     @Override
@@ -362,7 +398,7 @@
                                 reply,
                                 clock::now));
         boolean late = clock.now() > drainStartedAt + shutdown.lateFromMs();
-        event(
+        enqueue(
                 new Event.Arrived(
                         late
                                 ? request.withDeadline(drainStartedAt + shutdown.answerByMs())
@@ -372,13 +408,13 @@
     @Override
     public void clientDisconnected(long request) {
         if (replies.remove(request) != null) {
-            event(new Event.ClientDisconnected(request));
+            enqueue(new Event.ClientDisconnected(request));
         }
     }
 
     @Override
-    public void schedule(double delayMs, Runnable run) {
-        loop.schedule(run, (long) (delayMs * 1e6), TimeUnit.NANOSECONDS);
+    public void schedule(double delayMs, Runnable task) {
+        loop.schedule(task, (long) (delayMs * 1e6), TimeUnit.NANOSECONDS);
     }
 
     @Override
@@ -388,33 +424,36 @@
 
     // ---- ticks ----
 
-    /** Keeps an event for the next tick; ticks come at most once in the settings' period. */
-    private void event(Event event) {
-        if (metrics != null && event instanceof Event.AttemptEnded ended) {
+    /**
+     * Enqueues an event for the next tick and schedules the tick. Ticks are at least the configured
+     * interval apart.
+     */
+    private void enqueue(Event enqueue) {
+        if (metrics != null && enqueue instanceof Event.AttemptEnded ended) {
             metrics.attemptEnded(ended.end());
         }
-        events.add(event);
+        pendingEvents.add(enqueue);
         if (!tickScheduled) {
             tickScheduled = true;
-            double wait = lastTick + config.settings().tickMs() - clock.now();
-            if (wait <= 0) {
+            double delayMs = lastTickAt + config.settings().tickMs() - clock.now();
+            if (delayMs <= 0) {
                 loop.execute(this::tick);
             } else {
-                loop.schedule(this::tick, (long) (wait * 1e6), TimeUnit.NANOSECONDS);
+                loop.schedule(this::tick, (long) (delayMs * 1e6), TimeUnit.NANOSECONDS);
             }
         }
     }
 
     private void tick() {
         tickScheduled = false;
-        lastTick = clock.now();
-        List<Event> now = events;
-        events = new ArrayList<>();
-        List<Effect> effects = reducer.tick(lastTick, now);
-        effects.forEach(this::carryOut);
+        lastTickAt = clock.now();
+        List<Event> tickEvents = pendingEvents;
+        pendingEvents = new ArrayList<>();
+        List<Effect> effects = reducer.tick(lastTickAt, tickEvents);
+        effects.forEach(this::execute);
     }
 
-    private void carryOut(Effect effect) {
+    private void execute(Effect effect) {
         if (effect instanceof Effect.Call call) {
             if (metrics != null) {
                 metrics.attemptsSent(call.sends().size());
@@ -429,17 +468,17 @@
             if (reply != null) {
                 reply.accept(answer.reply());
             }
-        } else if (effect instanceof Effect.ScheduleTimer wake) {
+        } else if (effect instanceof Effect.ScheduleTimer timer) {
             loop.schedule(
-                    () -> event(wake.due()),
-                    (long) (Math.max(0, wake.delayMs()) * 1e6),
+                    () -> enqueue(timer.due()),
+                    (long) (Math.max(0, timer.delayMs()) * 1e6),
                     TimeUnit.NANOSECONDS);
-        } else if (effect instanceof Effect.StopSending halt) {
-            searchers.stopSending(halt.searcher());
+        } else if (effect instanceof Effect.StopSending stop) {
+            searchers.stopSending(stop.searcher());
         } else if (effect instanceof Effect.Probe probe) {
             searchers.probe(probe);
-        } else if (effect instanceof Effect.Log line) {
-            log(line.line());
+        } else if (effect instanceof Effect.Log logEffect) {
+            log(logEffect.line());
         }
     }
 }
--- a/src/main/java/reeldeal/server/ClassDataSharingRun.java
+++ b/src/main/java/reeldeal/server/ClassDataSharingRun.java
@@ -18,9 +18,9 @@
 import reeldeal.decision.DecisionModule.EndpointState;
 
 /**
- * The build's training run: sends one query through a broker on the loopback interface, so that
- * class-data sharing can record the classes that serving needs and a broker starts sooner. A broker
- * that serves does not use it.
+ * Runs the build's training run for class-data sharing: sends one query through a broker on the
+ * loopback interface, so that the JVM records the classes that serving needs and a broker starts
+ * faster. Not used by a serving broker.
  */
 final class ClassDataSharingRun {
     private static final String BODY =
@@ -30,7 +30,7 @@
 
     private ClassDataSharingRun() {}
 
-    /** Runs the query; throws where it is not answered. */
+    /** Runs the query. Throws if it is not answered. */
     static void run() throws Exception {
         BrokerConfig config = readConfig();
         try (ServerSocket searcher = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -71,13 +71,14 @@
             try (Socket call = searcher.accept()) {
                 answer(call);
                 if (client.getInputStream().read() < 0) {
-                    throw new IOException("no answer");
+                    throw new IOException(
+                            "training query was not answered: the broker closed the connection");
                 }
             }
         }
     }
 
-    /** Reads one frame, and answers it. */
+    /** Reads one call frame and sends an answer frame for its shard request. */
     private static void answer(Socket call) throws IOException {
         DataInputStream in = new DataInputStream(call.getInputStream());
         in.readNBytes(in.readInt());
--- a/src/main/java/reeldeal/server/FleetHost.java
+++ b/src/main/java/reeldeal/server/FleetHost.java
@@ -12,8 +12,9 @@
 import reeldeal.fleet.rollout.RolloutHealth;
 
 /**
- * The broker as the fleet's node sees and steers it. Called on the state loop; the broker gets
- * events on its own.
+ * Gives the fleet's node access to the broker: its state, and the operations that the fleet
+ * controls. Methods are called on the state loop; the broker handles the events submitted to it on
+ * its own loop.
  */
 final class FleetHost implements FleetNode.Host {
     private final BrokerServer broker;
@@ -22,14 +23,17 @@
     private LongSupplier fleetClock;
     private Event.AdmissionQuotaChanged quota = new Event.AdmissionQuotaChanged(0, 0, 1, 0, "");
 
-    /** A host without a clock yet; {@code zones} is null where the store lists no searchers. */
+    /**
+     * Creates a host; the fleet's clock must be set before use. {@code zones} is null if the store
+     * has no endpoint list.
+     */
     FleetHost(BrokerServer broker, BrokerConfig config, ZoneWiring zones) {
         this.broker = broker;
         this.config = config;
         this.zones = zones;
     }
 
-    /** The fleet's time, Unix ms; set before the node starts. */
+    /** Sets the fleet's clock, in Unix ms. Must be called before the node starts. */
     void setFleetClock(LongSupplier clock) {
         fleetClock = clock;
     }
@@ -44,16 +48,16 @@
         broker.setDrainedByFleet(false);
     }
 
-    /** Ends the process; the shutdown hook, as for SIGTERM, ends it in order. */
+    /** Ends the process. The shutdown hook shuts it down gracefully, as on SIGTERM. */
     @Override
-    public void exit(String why) {
+    public void exit(String reason) {
         new Thread(() -> System.exit(0), "exit").start();
     }
 
     @Override
     public void setAdmissionQuota(double share, double retryAfterMs, int brokers) {
-        int count = brokers > 0 ? brokers : config.settings().brokers();
-        quota = new Event.AdmissionQuotaChanged(share, retryAfterMs, count, 0, "");
+        int brokerCount = brokers > 0 ? brokers : config.settings().brokers();
+        quota = new Event.AdmissionQuotaChanged(share, retryAfterMs, brokerCount, 0, "");
         broker.submitEvent(quota);
     }
 
@@ -88,7 +92,7 @@
         return shardLayout(config);
     }
 
-    /** Where shards lie, by the configuration. */
+    /** Returns the placement of shards on cells that the configuration sets. */
     static DisruptionBudget.ShardLayout shardLayout(BrokerConfig config) {
         Layout layout = config.settings().layout();
         return new DisruptionBudget.ShardLayout(config.shards(), layout.cells(), layout.replicas());
--- a/src/main/java/reeldeal/server/FleetWiring.java
+++ b/src/main/java/reeldeal/server/FleetWiring.java
@@ -13,25 +13,25 @@
 import reeldeal.takeover.RecordingSubmitter;
 import reeldeal.takeover.TakeoverConfig;
 
-/** Wires a broker and its list of searchers to the fleet, before the broker serves. */
+/** Connects a broker and its endpoint list to the fleet, before the broker serves. */
 final class FleetWiring {
-    private final EventLoopGroup state;
+    private final EventLoopGroup stateGroup;
     private final StoreNode store;
     private final BrokerServer broker;
     private final BrokerConfig config;
     private final ZoneWiring zones;
 
     /**
-     * For a broker that does not serve yet; {@code zones} is null where the store lists no
-     * searchers.
+     * Creates the wiring of a broker that does not serve yet. {@code zones} is null if the store
+     * has no endpoint list.
      */
     FleetWiring(
-            EventLoopGroup state,
+            EventLoopGroup stateGroup,
             StoreNode store,
             BrokerServer broker,
             BrokerConfig config,
             ZoneWiring zones) {
-        this.state = state;
+        this.stateGroup = stateGroup;
         this.store = store;
         this.broker = broker;
         this.config = config;
@@ -39,16 +39,16 @@
     }
 
     /**
-     * The broker's node of the fleet, not started; {@code configText} is the configuration that it
-     * runs on.
+     * Creates the broker's node of the fleet, without starting it. {@code configText} is the
+     * configuration that the broker runs.
      */
-    FleetNode node(FleetConfig.Counted fleet, String configText) {
+    FleetNode createNode(FleetConfig.Counted fleetConfig, String configText) {
         FleetHost host = new FleetHost(broker, config, zones);
         FleetNode node =
                 new FleetNode(
-                        state.next(),
+                        stateGroup.next(),
                         store,
-                        fleet,
+                        fleetConfig,
                         ConfigVersion.of(configText),
                         host,
                         BrokerServer::log);
@@ -56,13 +56,16 @@
         return node;
     }
 
-    /** Has requests with idempotency keys recorded and taken over; before the node starts. */
-    RecordingSubmitter recordingSubmitter(FleetNode node, TakeoverConfig takeover) {
+    /**
+     * Makes the broker record requests with idempotency keys, so that another broker can take them
+     * over, and take over those of others. Must be called before the node starts.
+     */
+    RecordingSubmitter createRecordingSubmitter(FleetNode node, TakeoverConfig takeover) {
         RecordingSubmitter submitter =
                 new RecordingSubmitter(
                         broker,
                         broker.loop(),
-                        state.next(),
+                        stateGroup.next(),
                         store,
                         config.settings(),
                         config.classes(),
@@ -78,19 +81,20 @@
     }
 
     /**
-     * Whether the searchers of these shards can be shown to remember what was sent since then.
-     * Without a list in the store nothing speaks against them but an outage that is not over.
+     * Whether it is certain that the searchers of these shards deduplicate requests first sent at
+     * this time. Without an endpoint list in the store, the only evidence is whether the recovery
+     * from the last outage has ended.
      */
     private boolean isDeduplicated(
             FleetNode node, TakeoverConfig takeover, List<Integer> shards, long firstSentAtMs) {
         if (zones == null) {
-            return Epoch.of(node.fleet()).ended();
+            return Epoch.of(node.searchers()).ended();
         }
         DisruptionBudget.ShardLayout layout = FleetHost.shardLayout(config);
         double slowStartMs = config.settings().rules().slowStartMs();
         return DeduplicationWindow.of(
                 shards,
-                node.fleet().searchers(),
+                node.searchers().searchers(),
                 SearcherObservations.of(zones, slowStartMs, (double) node.fleetWallMs()),
                 layout,
                 firstSentAtMs,
--- a/src/main/java/reeldeal/server/JitWarmUp.java
+++ b/src/main/java/reeldeal/server/JitWarmUp.java
@@ -23,25 +23,27 @@
 import reeldeal.platform.PlatformFront;
 
 /**
- * Queries that a broker puts to itself before it says that it is ready: through the parser, the
- * front, a reducer of their own and the codecs, with no socket and nothing kept. Code that runs for
- * the first time is slow by two orders, and a share of a core is soon taken: without this, the
- * clients of a start's first second pay for it.
+ * Runs queries through the broker's code before the broker reports that it is ready: through the
+ * HTTP parser, the front, a separate reducer and the codecs, without a socket and without keeping
+ * any result. Code that runs for the first time is about a hundred times slower, and a broker with
+ * only a share of a core soon uses it up. Without the warm-up, clients would see that delay in the
+ * first second after a start.
  */
 final class JitWarmUp implements RequestSubmitter, Exchange {
-    static final int QUERIES = 14; // more cost a start more than they save its clients
-    private static final int MOST_PARTS = 12;
-    private static final double SERVED_MS = 30; // after which a part that is sent out is answered
+    static final int QUERIES = 14; // more queries delay the start by more than they save clients
+    private static final int MAX_SHARD_REQUESTS = 12;
+    private static final double TICK_MS =
+            30; // simulated time between ticks, after which attempts are answered
 
     private final BrokerConfig config;
     private final PlatformFront front;
     private final Reducer reducer;
     private final Map<Long, Consumer<Reply>> replies = new HashMap<>();
-    private final ArrayDeque<Event> coming = new ArrayDeque<>();
+    private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
     private final HttpParser parser = new HttpParser(false);
     private double now;
-    private long nextRequest = 1;
-    private int answers;
+    private long nextRequestId = 1;
+    private int servedCount;
 
     private JitWarmUp(BrokerConfig config, double now) {
         this.config = config;
@@ -50,37 +52,38 @@
         this.reducer = new Reducer(now, config.settings(), config.zones(), config.kinds());
     }
 
-    /** Plays the queries; returns how many were served. */
+    /** Runs the queries and returns how many of them were served. */
     static int run(BrokerConfig config, double now) {
         JitWarmUp warmUp = new JitWarmUp(config, now);
-        warmUp.coming.add(new Event.EndpointsChanged(EndpointListKind.CACHED, warmUp.fleet()));
-        warmUp.turn();
-        for (int number = 0; number < QUERIES; number++) {
-            warmUp.ask(number);
+        warmUp.pendingEvents.add(
+                new Event.EndpointsChanged(EndpointListKind.CACHED, warmUp.searchers()));
+        warmUp.tick();
+        for (int queryNumber = 0; queryNumber < QUERIES; queryNumber++) {
+            warmUp.runQuery(queryNumber);
         }
-        return warmUp.answers;
+        return warmUp.servedCount;
     }
 
     /**
-     * The searchers that the broker knows, as if all had been up for long; one a cell where it
-     * knows none.
+     * Returns the configured searchers as ready and without a start time, so that none is in slow
+     * start, and made-up ones until there are as many as cells.
      */
-    private List<Searcher> fleet() {
-        List<Searcher> all = new ArrayList<>();
-        for (Searcher s : config.known()) {
-            all.add(
+    private List<Searcher> searchers() {
+        List<Searcher> searchers = new ArrayList<>();
+        for (Searcher known : config.known()) {
+            searchers.add(
                     new Searcher(
-                            s.name(),
-                            s.address(),
-                            s.zone(),
-                            s.kind(),
-                            s.cell(),
+                            known.name(),
+                            known.address(),
+                            known.zone(),
+                            known.kind(),
+                            known.cell(),
                             0,
-                            s.size(),
+                            known.size(),
                             EndpointState.READY));
         }
-        for (int cell = 0; all.size() < config.settings().layout().cells(); cell++) {
-            all.add(
+        for (int cell = 0; searchers.size() < config.settings().layout().cells(); cell++) {
+            searchers.add(
                     new Searcher(
                             "warm-up-" + cell,
                             "127.0.0.1:1",
@@ -91,20 +94,20 @@
                             1,
                             EndpointState.READY));
         }
-        return all;
+        return searchers;
     }
 
-    private void ask(int number) {
-        int classIndex = number % config.classes().size();
-        int shards = Math.max(1, config.shards()); // none where the settings tell no number of them
-        int parts = Math.min(MOST_PARTS, shards);
+    private void runQuery(int queryNumber) {
+        int classIndex = queryNumber % config.classes().size();
+        int shards = Math.max(1, config.shards()); // 0 if the settings do not limit the shards
+        int shardRequests = Math.min(MAX_SHARD_REQUESTS, shards);
         StringBuilder body = new StringBuilder("{\"shards\":[");
-        for (int p = 0; p < parts; p++) {
-            body.append(p == 0 ? "" : ",")
+        for (int i = 0; i < shardRequests; i++) {
+            body.append(i == 0 ? "" : ",")
                     .append("{\"shard\":")
-                    .append((number + p) % shards)
+                    .append((queryNumber + i) % shards)
                     .append(",\"weight\":")
-                    .append(1.0 / parts)
+                    .append(1.0 / shardRequests)
                     .append(",\"cost\":9000}");
         }
         body.append("],\"q\":\"c41e77d0\"}");
@@ -112,9 +115,9 @@
                 "POST /"
                         + config.classes().get(classIndex)
                         + " HTTP/1.1\r\nHost: warmUp\r\nX-Correlation-Id: warm-up-"
-                        + number
+                        + queryNumber
                         + "\r\nX-Time-Left-Ms: 9000\r\nIdempotency-Key: warm-up-"
-                        + number
+                        + queryNumber
                         + "\r\nContent-Length: "
                         + body.length()
                         + "\r\n\r\n";
@@ -123,28 +126,28 @@
         if (parser.next() instanceof HttpParser.Complete complete) {
             front.accept(complete.message(), this);
         }
-        for (int turns = 0; turns < 2 * MOST_PARTS && !coming.isEmpty(); turns++) {
-            turn();
+        for (int ticks = 0; ticks < 2 * MAX_SHARD_REQUESTS && !pendingEvents.isEmpty(); ticks++) {
+            tick();
         }
     }
 
-    private void turn() {
-        List<Event> events = List.copyOf(coming);
-        coming.clear();
+    private void tick() {
+        List<Event> events = List.copyOf(pendingEvents);
+        pendingEvents.clear();
         for (Effect effect : reducer.tick(now, events)) {
             if (effect instanceof Effect.Call call) {
-                coming.addAll(reeldeal.searchers.CodecWarmUp.roundTrip(call, now));
-            } else if (effect instanceof Effect.ScheduleTimer wake && wake.delayMs() <= 0) {
-                coming.add(wake.due());
+                pendingEvents.addAll(reeldeal.searchers.CodecWarmUp.roundTrip(call, now));
+            } else if (effect instanceof Effect.ScheduleTimer timer && timer.delayMs() <= 0) {
+                pendingEvents.add(timer.due());
             } else if (effect instanceof Effect.Answer answer
                     && replies.containsKey(answer.requestId())) {
                 replies.remove(answer.requestId()).accept(answer.reply());
             }
         }
-        now += SERVED_MS;
+        now += TICK_MS;
     }
 
-    // ---- what the front sees ----
+    // ---- request submitter and exchange used by the front ----
 
     @Override
     public double now() {
@@ -153,20 +156,20 @@
 
     @Override
     public long nextRequestId() {
-        return nextRequest++;
+        return nextRequestId++;
     }
 
     @Override
     public void submit(Request request, Consumer<Reply> reply) {
         replies.put(request.id(), reply);
-        coming.add(new Event.Arrived(request));
+        pendingEvents.add(new Event.Arrived(request));
     }
 
     @Override
     public void clientDisconnected(long request) {}
 
     @Override
-    public void schedule(double delayMs, Runnable run) {}
+    public void schedule(double delayMs, Runnable task) {}
 
     @Override
     public boolean ready() {
@@ -176,9 +179,9 @@
     @Override
     public void respond(int status, Map<String, String> headers, byte[] body) {
         HttpWriter.response(status, headers, body, false).release();
-        answers += status == 200 ? 1 : 0;
+        servedCount += status == 200 ? 1 : 0;
     }
 
     @Override
-    public void onDisconnect(Runnable gone) {}
+    public void onDisconnect(Runnable onClose) {}
 }
--- a/src/main/java/reeldeal/server/Main.java
+++ b/src/main/java/reeldeal/server/Main.java
@@ -17,19 +17,18 @@
 import sun.misc.Signal;
 
 /**
- * The program: {@code serve} is a broker on sockets, {@code benchlink} the simulator's adapter,
- * {@code rehearse} the build's training run. All else is a command for operators; what these need
- * is not loaded before.
+ * The program's entry point. {@code serve} runs a broker on sockets, {@code benchlink} the
+ * simulator's adapter, and {@code rehearse} the build's training run for class-data sharing. All
+ * other arguments are operator commands, whose classes are loaded only if one is run.
  */
 public final class Main {
-    private static final int CANNOT_SERVE = 1;
-    private static final int BAD_CONFIGURATION = 2;
+    private static final int EXIT_STARTUP_FAILED = 1;
+    private static final int EXIT_INVALID_CONFIGURATION = 2;
 
     private Main() {}
 
     /**
-     * Runs the program that the first argument names; without one, or with another, an operator's
-     * command.
+     * Runs the mode named by the only argument; any other arguments are run as an operator command.
      */
     public static void main(String[] args) throws Exception {
         String mode = args.length == 1 ? args[0] : "";
@@ -45,55 +44,55 @@
     }
 
     private static void serve() {
-        logPlainly();
+        installPlainLogHandler();
         try {
-            StoreConfigReader store = StoreConfigReader.read(System.getenv());
-            byte[] file = BrokerConfig.file(System.getenv());
-            if (file == null && store == null) {
+            StoreConfigReader storeConfig = StoreConfigReader.read(System.getenv());
+            byte[] configFile = BrokerConfig.file(System.getenv());
+            if (configFile == null && storeConfig == null) {
                 throw new IllegalArgumentException("LB_CONFIG: not set");
             }
-            if (store == null) {
-                serveAlone(file);
+            if (storeConfig == null) {
+                serveWithoutStore(configFile);
             } else {
-                new StoreStartup(store).start(file);
+                new StoreStartup(storeConfig).start(configFile);
             }
         } catch (BrokerConfig.InvalidConfigException | IllegalArgumentException e) {
             System.err.println("reeldeal: " + e.getMessage());
-            Runtime.getRuntime().halt(BAD_CONFIGURATION);
+            Runtime.getRuntime().halt(EXIT_INVALID_CONFIGURATION);
         } catch (Exception e) {
             System.err.println("reeldeal: cannot serve: " + e.getMessage());
-            Runtime.getRuntime().halt(CANNOT_SERVE);
+            Runtime.getRuntime().halt(EXIT_STARTUP_FAILED);
         }
     }
 
-    /** A broker without a store: it shares nothing with others. */
-    private static void serveAlone(byte[] file) throws Exception {
+    /** Serves without a store: the broker shares no state with other brokers. */
+    private static void serveWithoutStore(byte[] configFile) throws Exception {
         EventLoopGroup group = new NioEventLoopGroup(1);
-        BrokerConfig config = BrokerConfig.parse(file, System.getenv(), false);
+        BrokerConfig config = BrokerConfig.parse(configFile, System.getenv(), false);
         BrokerServer broker = new BrokerServer(group, config);
-        stopInOrder(broker, null, null);
-        reloadOnHangUp(broker, null);
+        registerShutdownHook(broker, null, null);
+        reloadOnSighup(broker, null);
         broker.start();
     }
 
     /**
-     * Has the libraries' warnings written as plain lines. The platform's own formatter opens files
-     * when it is first used, and a warning that comes because there are no descriptors left must
-     * not end the event loop.
+     * Logs the libraries' warnings as plain lines. The JDK's log formatter opens files when it is
+     * first used. If no file descriptors are left, that would fail, and the warning about it would
+     * end the event loop.
      */
-    private static void logPlainly() {
+    private static void installPlainLogHandler() {
         LogManager.getLogManager().reset();
         Logger.getLogger("")
                 .addHandler(
                         new Handler() {
                             @Override
-                            public void publish(LogRecord warning) {
-                                if (warning.getLevel().intValue() >= Level.WARNING.intValue()) {
+                            public void publish(LogRecord record) {
+                                if (record.getLevel().intValue() >= Level.WARNING.intValue()) {
                                     BrokerServer.log(
-                                            warning.getMessage()
-                                                    + (warning.getThrown() == null
+                                            record.getMessage()
+                                                    + (record.getThrown() == null
                                                             ? ""
-                                                            : ": " + warning.getThrown()));
+                                                            : ": " + record.getThrown()));
                                 }
                             }
 
@@ -106,14 +105,17 @@
     }
 
     /**
-     * On SIGHUP, which would end the program, the configuration is read again; a file that cannot
-     * be used is logged and changes nothing. {@code zones} is null where none are served.
+     * Installs a handler of SIGHUP, whose default action would end the program. It reads the
+     * configuration again; an invalid file is logged and changes nothing. {@code zones} is null if
+     * no zones are served.
      */
-    static void reloadOnHangUp(BrokerServer broker, ZoneWiring zones) {
+    static void reloadOnSighup(BrokerServer broker, ZoneWiring zones) {
         try {
             Signal.handle(new Signal("HUP"), signal -> reload(broker, zones));
         } catch (IllegalArgumentException e) {
-            BrokerServer.log("SIGHUP is not to be had: " + e.getMessage());
+            BrokerServer.log(
+                    "SIGHUP handler not installed, the configuration cannot be reloaded: "
+                            + e.getMessage());
         }
     }
 
@@ -122,25 +124,28 @@
             if (zones != null) {
                 zones.readOverrides();
             }
-            byte[] file = BrokerConfig.file(System.getenv());
-            if (file == null) {
+            byte[] configFile = BrokerConfig.file(System.getenv());
+            if (configFile == null) {
                 BrokerServer.log("not reloaded: LB_CONFIG: not set");
                 return;
             }
-            // The environment is that of the start: the address in the new file goes before it.
+            // The environment is still that of the start, so the address in the new file takes
+            // precedence over LB_DISCOVERY.
             Map<String, String> environment = new HashMap<>(System.getenv());
             environment.remove("LB_DISCOVERY");
-            broker.reload(BrokerConfig.parse(file, environment, zones != null));
+            broker.reload(BrokerConfig.parse(configFile, environment, zones != null));
         } catch (BrokerConfig.InvalidConfigException | RuntimeException e) {
             BrokerServer.log("not reloaded: " + e.getMessage());
         }
     }
 
     /**
-     * On SIGTERM the broker shuts down gracefully; that is status 0, not the signal's. {@code node}
-     * and {@code statsSharing} are null where the broker is no member of a fleet.
+     * Registers the hook that shuts the broker down gracefully on SIGTERM. The exit status is then
+     * 0, not that of the signal. {@code node} is null if the broker is not a member of a fleet,
+     * {@code statsSharing} if it does not share statistics.
      */
-    static void stopInOrder(BrokerServer broker, FleetNode node, ServerStatsSharing statsSharing) {
+    static void registerShutdownHook(
+            BrokerServer broker, FleetNode node, ServerStatsSharing statsSharing) {
         Runtime.getRuntime()
                 .addShutdownHook(
                         new Thread(() -> shutDown(broker, node, statsSharing), "shutdown"));
@@ -160,7 +165,7 @@
                 node.deregister();
             }
         } catch (InterruptedException | RuntimeException e) {
-            System.err.println("reeldeal: stopped early: " + e);
+            System.err.println("reeldeal: graceful shutdown failed, exiting now: " + e);
         }
         Runtime.getRuntime().halt(0);
     }
--- a/src/main/java/reeldeal/server/MonotonicClock.java
+++ b/src/main/java/reeldeal/server/MonotonicClock.java
@@ -3,8 +3,8 @@
 import reeldeal.core.WallClock;
 
 /**
- * Unix time in milliseconds that never goes back: the wall clock at the start, advanced by the
- * system's monotonic timer. Immutable; any thread may call it.
+ * Returns Unix time in milliseconds that never decreases: the wall clock's time when this clock was
+ * created, advanced by the system's monotonic timer. Immutable; any thread may call it.
  */
 final class MonotonicClock {
     private static final double NANOS_PER_MS = 1e6;
--- a/src/main/java/reeldeal/server/ServerStatsSharing.java
+++ b/src/main/java/reeldeal/server/ServerStatsSharing.java
@@ -19,64 +19,71 @@
 import reeldeal.store.StoreNode;
 
 /**
- * Shares what brokers observe of searchers by the store: a broker imports what others have left,
- * and leaves its own from time to time and when it ends. Runs on the state loop.
+ * Shares statistics of searchers between brokers through the store. A broker imports what others
+ * have published, and publishes its own periodically and when it stops. Runs on the state loop.
  */
 final class ServerStatsSharing {
     private static final long MAX_AGE_MS = StateTrustPolicy.EJECTIONS.maxAgeMs();
-    private static final long EVERY_MS = 30_000;
-    private static final int CHECK_MS = 1_000;
+    private static final long MIN_PUBLISH_INTERVAL_MS = 30_000;
+    private static final int CHECK_INTERVAL_MS = 1_000;
     private static final String EJECTIONS = "ejections";
-    private static final String LATENCIES = "paces";
+    private static final String RELATIVE_LATENCIES = "paces";
 
-    private final EventLoopGroup state;
+    private final EventLoopGroup stateGroup;
     private final StoreNode store;
     private final BrokerServer broker;
-    private final Set<String> shared;
-    private final ServerStatsExchange exchange = new ServerStatsExchange(EVERY_MS);
+    private final Set<String> sharedKinds;
+    private final ServerStatsExchange exchange = new ServerStatsExchange(MIN_PUBLISH_INTERVAL_MS);
 
     /**
-     * For a broker that does not serve yet; {@code shared} has what is left, by its names in the
-     * configuration.
+     * Creates the sharing of a broker that does not serve yet. {@code sharedKinds} has the kinds of
+     * statistics to publish, by their names in the configuration.
      */
     ServerStatsSharing(
-            EventLoopGroup state, StoreNode store, BrokerServer broker, Set<String> shared) {
-        this.state = state;
+            EventLoopGroup stateGroup,
+            StoreNode store,
+            BrokerServer broker,
+            Set<String> sharedKinds) {
+        this.stateGroup = stateGroup;
         this.store = store;
         this.broker = broker;
-        this.shared = shared;
+        this.sharedKinds = sharedKinds;
     }
 
-    /** Imports what was left, and leaves this broker's own from now on. */
+    /** Imports the published statistics, and starts publishing this broker's own. */
     void start() throws InterruptedException {
-        List<BrokerStats> left = state.next().submit(this::read).sync().getNow();
+        List<BrokerStats> published = stateGroup.next().submit(this::readPublished).sync().getNow();
         Map<String, Event.ImportedServerStats> imported = new TreeMap<>();
-        ServerStatsExchange.importFor(store.node(), left, WallClock.now(), MAX_AGE_MS)
+        ServerStatsExchange.importFor(store.node(), published, WallClock.now(), MAX_AGE_MS)
                 .forEach((name, stats) -> imported.put(name, toEvent(stats)));
         if (!imported.isEmpty()) {
-            BrokerServer.log("begins with what was learned of " + imported.keySet());
+            BrokerServer.log("imported published statistics of searchers " + imported.keySet());
             broker.submitEvent(new Event.ServerStatsImported(imported));
         }
         broker.shareStats();
-        state.next()
+        stateGroup
+                .next()
                 .scheduleAtFixedRate(
-                        () -> publish(false), CHECK_MS, CHECK_MS, TimeUnit.MILLISECONDS);
+                        () -> publish(false),
+                        CHECK_INTERVAL_MS,
+                        CHECK_INTERVAL_MS,
+                        TimeUnit.MILLISECONDS);
     }
 
-    /** The broker ends: leaves what it has observed. */
+    /** Publishes this broker's statistics one last time, since the broker stops. */
     void stop() {
-        state.next().execute(() -> publish(true));
+        stateGroup.next().execute(() -> publish(true));
     }
 
-    private List<BrokerStats> read() {
-        List<BrokerStats> left = new ArrayList<>();
+    private List<BrokerStats> readPublished() {
+        List<BrokerStats> published = new ArrayList<>();
         Map<String, KeyValueState.Value> values = store.valuesUnder(ServerStatsExchange.ROOT);
         values.forEach(
                 (key, value) -> {
                     String name = key.substring(ServerStatsExchange.ROOT.length());
-                    left.add(ServerStatsExchange.of(name, value.text()));
+                    published.add(ServerStatsExchange.of(name, value.text()));
                 });
-        return left;
+        return published;
     }
 
     private static Event.ImportedServerStats toEvent(SharedServerStats stats) {
@@ -85,17 +92,17 @@
                 new ServerStats(stats.ejected(), stats.unresponsive(), stats.relativeLatency()));
     }
 
-    private void publish(boolean ends) {
-        Map<String, SharedServerStats> own = new TreeMap<>();
+    private void publish(boolean stopping) {
+        Map<String, SharedServerStats> ownStats = new TreeMap<>();
         broker.sharedStats()
                 .forEach(
                         (name, observed) -> {
                             SharedServerStats stats = toShared(observed);
                             if (stats.ejected() || stats.relativeLatency() > 1) {
-                                own.put(name, stats);
+                                ownStats.put(name, stats);
                             }
                         });
-        String value = exchange.due(WallClock.now(), own, ends);
+        String value = exchange.due(WallClock.now(), ownStats, stopping);
         if (value != null) {
             Change change = new Change(ServerStatsExchange.ROOT + store.node(), value);
             store.submit(List.of(), List.of(change), result -> {});
@@ -103,8 +110,9 @@
     }
 
     private SharedServerStats toShared(Event.ImportedServerStats observed) {
-        boolean ejected = shared.contains(EJECTIONS) && observed.stats().ejected();
-        double latency = shared.contains(LATENCIES) ? observed.stats().relativeLatency() : 1;
+        boolean ejected = sharedKinds.contains(EJECTIONS) && observed.stats().ejected();
+        double latency =
+                sharedKinds.contains(RELATIVE_LATENCIES) ? observed.stats().relativeLatency() : 1;
         return new SharedServerStats(
                 (long) observed.startedMs(),
                 ejected,
--- a/src/main/java/reeldeal/server/StoreStartup.java
+++ b/src/main/java/reeldeal/server/StoreStartup.java
@@ -17,81 +17,87 @@
 import reeldeal.zones.ZonesConfig;
 
 /**
- * Starts a broker with a store, and with the zones and the fleet where the store's file sets them
- * up. The store and all that is decided from it run on a loop of their own, the thread {@code
- * state}: what it writes and reads never holds up queries.
+ * Starts a broker with a store, and with the zones and the fleet membership that the store's
+ * configuration file sets up. The store and everything that depends on it run on a separate event
+ * loop, the thread {@code state}, so that its disk access never blocks queries.
  */
 final class StoreStartup {
     private final StoreConfigReader settings;
-    private final EventLoopGroup state =
+    private final EventLoopGroup stateGroup =
             new NioEventLoopGroup(1, new DefaultThreadFactory("state"));
     private final StoreNode store;
     private final ZoneWiring zones;
     private BrokerServer broker;
     private FleetNode node;
-    private RecordingSubmitter submitter;
+    private RecordingSubmitter recordingSubmitter;
     private ServerStatsSharing statsSharing;
 
     StoreStartup(StoreConfigReader settings) throws IOException {
         this.settings = settings;
-        store = new StoreNode(state, settings.store(), BrokerServer::log);
+        store = new StoreNode(stateGroup, settings.store(), BrokerServer::log);
         ZonesConfig zonesConfig = settings.zones();
-        zones = zonesConfig == null ? null : new ZoneWiring(state, store, zonesConfig);
+        zones = zonesConfig == null ? null : new ZoneWiring(stateGroup, store, zonesConfig);
     }
 
     /**
-     * Starts all of it; {@code file} is the broker's configuration file, null for the stored one.
+     * Starts the store, the broker and, if configured, the zones and the fleet node. {@code
+     * configFile} is the content of the broker's configuration file, null to use the stored
+     * configuration.
      */
-    void start(byte[] file) throws Exception {
-        FleetConfig fleet = settings.fleet();
-        long starts = fleet == null ? 0 : StartCounter.next(settings.store().directory());
-        if (fleet != null) {
-            state.next().submit(new RollbackCheck(state.next(), store, starts)::begin).sync();
+    void start(byte[] configFile) throws Exception {
+        FleetConfig fleetConfig = settings.fleet();
+        long startCount = fleetConfig == null ? 0 : StartCounter.next(settings.store().directory());
+        if (fleetConfig != null) {
+            stateGroup
+                    .next()
+                    .submit(new RollbackCheck(stateGroup.next(), store, startCount)::begin)
+                    .sync();
         }
         store.start().sync();
         EventLoopGroup group = new NioEventLoopGroup(1);
-        StoredConfiguration stored = new StoredConfiguration(state, store);
-        byte[] bytes = configuration(stored, file);
-        BrokerConfig config = BrokerConfig.parse(bytes, System.getenv(), zones != null);
+        StoredConfiguration storedConfiguration = new StoredConfiguration(stateGroup, store);
+        byte[] configBytes = selectConfiguration(storedConfiguration, configFile);
+        BrokerConfig config = BrokerConfig.parse(configBytes, System.getenv(), zones != null);
         broker =
                 zones == null
                         ? new BrokerServer(group, config)
-                        : new BrokerServer(group, config, zones::discovery);
-        if (file != null) {
-            stored.storeOnceLeading(new String(file, StandardCharsets.UTF_8));
+                        : new BrokerServer(group, config, zones::onDiscovery);
+        if (configFile != null) {
+            storedConfiguration.storeOnceLeading(new String(configFile, StandardCharsets.UTF_8));
         }
-        FleetWiring wiring = new FleetWiring(state, store, broker, config, zones);
-        if (fleet != null) {
-            FleetConfig.Counted counted = new FleetConfig.Counted(fleet, starts);
-            node = wiring.node(counted, new String(bytes, StandardCharsets.UTF_8));
+        FleetWiring wiring = new FleetWiring(stateGroup, store, broker, config, zones);
+        if (fleetConfig != null) {
+            FleetConfig.Counted countedFleet = new FleetConfig.Counted(fleetConfig, startCount);
+            node = wiring.createNode(countedFleet, new String(configBytes, StandardCharsets.UTF_8));
         }
         TakeoverConfig takeover = settings.handover();
         if (takeover != null) {
-            submitter = wiring.recordingSubmitter(node, takeover);
-            statsSharing = new ServerStatsSharing(state, store, broker, takeover.sharedStats());
+            recordingSubmitter = wiring.createRecordingSubmitter(node, takeover);
+            statsSharing =
+                    new ServerStatsSharing(stateGroup, store, broker, takeover.sharedStats());
             statsSharing.start();
         }
-        Main.stopInOrder(broker, node, statsSharing);
-        Main.reloadOnHangUp(broker, zones);
+        Main.registerShutdownHook(broker, node, statsSharing);
+        Main.reloadOnSighup(broker, zones);
         startServing();
     }
 
-    private byte[] configuration(StoredConfiguration stored, byte[] file)
+    private byte[] selectConfiguration(StoredConfiguration storedConfiguration, byte[] configFile)
             throws InterruptedException {
-        String rolledOut = settings.fleet() == null ? null : stored.rolledOut();
+        String rolledOut = settings.fleet() == null ? null : storedConfiguration.awaitRolledOut();
         if (rolledOut != null) {
             return rolledOut.getBytes(StandardCharsets.UTF_8);
         }
-        return file != null ? file : stored.await();
+        return configFile != null ? configFile : storedConfiguration.awaitShared();
     }
 
     private void startServing() throws Exception {
         if (node != null) {
             broker.enableMetrics();
-            if (submitter != null) {
-                state.next().submit(submitter::start).sync();
+            if (recordingSubmitter != null) {
+                stateGroup.next().submit(recordingSubmitter::start).sync();
             }
-            state.next().submit(node::start).sync();
+            stateGroup.next().submit(node::start).sync();
         }
         if (zones != null) {
             zones.start(broker::submitEvent);
--- a/src/main/java/reeldeal/server/StoredConfiguration.java
+++ b/src/main/java/reeldeal/server/StoredConfiguration.java
@@ -8,8 +8,8 @@
 import reeldeal.store.StoreNode;
 
 /**
- * The broker's configuration in the store. Its methods may wait; they are called by the thread that
- * starts the program.
+ * Reads and writes the broker's configuration in the store. Its methods may block and are called on
+ * the thread that starts the program.
  */
 final class StoredConfiguration {
     private static final String KEY = "config/broker";
@@ -17,18 +17,19 @@
     private static final int ROLLED_OUT_POLL_MS = 10;
     private static final int ROLLED_OUT_MARGIN_MS = 500;
 
-    private final EventLoopGroup state;
+    private final EventLoopGroup stateGroup;
     private final StoreNode store;
 
-    StoredConfiguration(EventLoopGroup state, StoreNode store) {
-        this.state = state;
+    StoredConfiguration(EventLoopGroup stateGroup, StoreNode store) {
+        this.stateGroup = stateGroup;
         this.store = store;
     }
 
-    /** The configuration that all nodes share; waits until there is one. */
-    byte[] await() throws InterruptedException {
+    /** Returns the configuration that all nodes share, and blocks until one is stored. */
+    byte[] awaitShared() throws InterruptedException {
         while (true) {
-            String stored = state.next().submit(() -> store.getPossiblyStale(KEY)).sync().getNow();
+            String stored =
+                    stateGroup.next().submit(() -> store.getPossiblyStale(KEY)).sync().getNow();
             if (stored != null) {
                 return stored.getBytes(StandardCharsets.UTF_8);
             }
@@ -37,40 +38,43 @@
     }
 
     /**
-     * The configuration that a rollout has given this node, or null; waits for the store's state,
-     * at most until a stale start.
+     * Returns the configuration that a rollout has assigned to this node, or null. Blocks until the
+     * store has a state to read, at most until it has to start from its possibly stale copy.
      */
-    String rolledOut() throws InterruptedException {
+    String awaitRolledOut() throws InterruptedException {
         long waitMs = StoreNode.STALE_START_MS + ROLLED_OUT_MARGIN_MS;
-        long until = System.nanoTime() + waitMs * 1_000_000L;
-        while (!state.next().submit(store::hasAppliedState).sync().getNow()
-                && System.nanoTime() < until) {
+        long deadlineNanos = System.nanoTime() + waitMs * 1_000_000L;
+        while (!stateGroup.next().submit(store::hasAppliedState).sync().getNow()
+                && System.nanoTime() < deadlineNanos) {
             Thread.sleep(ROLLED_OUT_POLL_MS);
         }
-        return state.next().submit(this::target).sync().getNow();
+        return stateGroup.next().submit(this::readRolledOut).sync().getNow();
     }
 
-    private String target() {
-        String target = store.getPossiblyStale(FleetView.TARGET + store.node());
-        return target == null ? null : store.getPossiblyStale(FleetView.CONFIG + target);
+    private String readRolledOut() {
+        String configurationId = store.getPossiblyStale(FleetView.TARGET + store.node());
+        return configurationId == null
+                ? null
+                : store.getPossiblyStale(FleetView.CONFIG + configurationId);
     }
 
     /**
-     * Stores this configuration the first time that this node leads: what another stores later is
-     * not undone by it.
+     * Stores this configuration the first time that this node becomes leader. Later leaderships do
+     * not store it again, so that they do not overwrite what another node has stored since.
      */
     void storeOnceLeading(String text) {
-        boolean[] done = {false};
+        boolean[] attempted = {false};
         Runnable storeOnce =
                 () -> {
-                    boolean first = !done[0];
-                    done[0] = true;
-                    if (first && !text.equals(store.get(KEY))) {
+                    boolean firstTime = !attempted[0];
+                    attempted[0] = true;
+                    if (firstTime && !text.equals(store.get(KEY))) {
                         store.write(
                                 List.of(new Change(KEY, text)),
-                                result -> BrokerServer.log("store: configuration kept: " + result));
+                                result ->
+                                        BrokerServer.log("store: configuration write: " + result));
                     }
                 };
-        state.next().execute(() -> store.whenLeading(storeOnce));
+        stateGroup.next().execute(() -> store.whenLeading(storeOnce));
     }
 }
--- a/src/main/java/reeldeal/server/ZoneWiring.java
+++ b/src/main/java/reeldeal/server/ZoneWiring.java
@@ -25,41 +25,44 @@
 import reeldeal.zones.ZoneService;
 import reeldeal.zones.ZonesConfig;
 
-/** Wires the zones and the list of searchers that they give; all of it runs on the state loop. */
+/**
+ * Connects the DNS zones, and the endpoint list built from them, to the broker. Runs on the state
+ * loop.
+ */
 final class ZoneWiring {
-    private final EventLoopGroup state;
+    private final EventLoopGroup stateGroup;
     private final ZonesConfig config;
     private final EndpointFeed feed;
     private final ZoneService service;
-    private final List<Event.EndpointsChanged> early = new ArrayList<>();
-    private Consumer<Event> broker;
-    private Map<String, EndpointView.AdministrativeOverride> fromFile = Map.of();
-    private Set<String> byFleet = Set.of();
-    private Set<String> byOldCopy = Set.of();
+    private final List<Event.EndpointsChanged> undelivered = new ArrayList<>();
+    private Consumer<Event> eventConsumer;
+    private Map<String, EndpointView.AdministrativeOverride> fileOverrides = Map.of();
+    private Set<String> drainedSearchers = Set.of();
+    private Set<String> drainedInStaleCopy = Set.of();
 
-    /** For a store that has not begun yet. */
-    ZoneWiring(EventLoopGroup state, StoreNode store, ZonesConfig config) {
-        this.state = state;
+    /** Creates the wiring for a store that is not started yet. */
+    ZoneWiring(EventLoopGroup stateGroup, StoreNode store, ZonesConfig config) {
+        this.stateGroup = stateGroup;
         this.config = config;
         List<String> sources = new ArrayList<>();
         config.zones().stream()
                 .filter(ZonesConfig.Entry::searchers)
-                .forEach(z -> sources.add(z.origin()));
-        Set<String> awaited = new LinkedHashSet<>(sources);
+                .forEach(zone -> sources.add(zone.origin()));
+        Set<String> awaitedSources = new LinkedHashSet<>(sources);
         sources.add(EndpointFeed.DISCOVERY);
         feed =
                 new EndpointFeed(
-                        state.next(),
+                        stateGroup.next(),
                         new EndpointView(config.rules(), sources),
-                        awaited,
+                        awaitedSources,
                         System::currentTimeMillis,
-                        this::told,
+                        this::deliver,
                         BrokerServer::log,
-                        left -> ZoneService.keepLeft(store, left));
+                        departed -> ZoneService.keepLeft(store, departed));
         Notifier notifier =
                 new Notifier(
-                        state,
-                        state.next(),
+                        stateGroup,
+                        stateGroup.next(),
                         config.keys(),
                         System::currentTimeMillis,
                         BrokerServer::log);
@@ -68,8 +71,8 @@
                 new ZoneService(
                         config,
                         store,
-                        state.next(),
-                        PeerLink.over(state),
+                        stateGroup.next(),
+                        PeerLink.over(stateGroup),
                         notifier,
                         System::currentTimeMillis,
                         feed,
@@ -77,99 +80,115 @@
         readOverrides();
     }
 
-    private void told(Event.EndpointsChanged event) {
-        if (broker == null) {
-            early.add(event);
+    private void deliver(Event.EndpointsChanged event) {
+        if (eventConsumer == null) {
+            undelivered.add(event);
         } else {
-            broker.accept(event);
+            eventConsumer.accept(event);
         }
     }
 
-    /** Listens, and tells the broker of the searchers from now on. */
-    InetSocketAddress start(Consumer<Event> to) throws Exception {
+    /**
+     * Starts the DNS server, and passes endpoint changes to {@code consumer} from now on, first
+     * those collected so far.
+     */
+    InetSocketAddress start(Consumer<Event> consumer) throws Exception {
         DnsServer server =
                 new DnsServer(
-                        state,
+                        stateGroup,
                         service,
                         config.maxConnections(),
                         config.idleMs(),
                         BrokerServer::log);
         InetSocketAddress bound = server.start(config.listen());
         BrokerServer.log("dns on " + bound);
-        state.next()
+        stateGroup
+                .next()
                 .submit(
                         () -> {
-                            broker = to;
-                            early.forEach(to);
-                            early.clear();
+                            eventConsumer = consumer;
+                            undelivered.forEach(consumer);
+                            undelivered.clear();
                         })
                 .sync();
         return bound;
     }
 
-    /** What discovery tells is one source among others. */
-    void discovery(Event.EndpointsChanged event) {
-        state.next().execute(() -> feed.discovery(event));
+    /** Passes discovery's list to the endpoint feed, as one of its sources. */
+    void onDiscovery(Event.EndpointsChanged event) {
+        stateGroup.next().execute(() -> feed.discovery(event));
     }
 
-    /** Reads the operator's words again; a file that cannot be used changes nothing. */
+    /**
+     * Reads the file of administrative overrides again. An invalid or unreadable file is logged and
+     * changes nothing.
+     */
     void readOverrides() {
         if (config.words() == null) {
             return;
         }
         try {
-            Map<String, EndpointView.AdministrativeOverride> words =
+            Map<String, EndpointView.AdministrativeOverride> overrides =
                     AdministrativeOverridesFile.read(config.words());
-            state.next()
+            stateGroup
+                    .next()
                     .execute(
                             () -> {
-                                fromFile = words;
-                                feed.setOverrides(fromFile, byFleet);
+                                fileOverrides = overrides;
+                                feed.setOverrides(fileOverrides, drainedSearchers);
                             });
-            BrokerServer.log("members: " + words.size() + " words of the operator read");
+            BrokerServer.log("members: " + overrides.size() + " administrative overrides read");
         } catch (BrokerConfig.InvalidConfigException | IOException e) {
-            BrokerServer.log("members: operator's words not read: " + e.getMessage());
+            BrokerServer.log("members: administrative overrides not read: " + e.getMessage());
         }
     }
 
     /**
-     * Follows the drains that the fleet has agreed on, before any list is told that they bear on.
-     * Until this node is current again, those of its old copy count as well: they may stand in the
-     * log further on.
+     * Applies the fleet's committed drains of searchers as overrides. Subscribed before the zone
+     * service, so that a drain is applied before any endpoint list that it affects is published.
+     * Until this node is current, the drains in its stale copy count too, since the log that is not
+     * yet applied may contain them.
      */
     private void followDrains(StoreNode store) {
         String prefix = FleetView.drainKey(FleetView.Kind.SEARCHER, "");
         store.onChange(
                 changes -> {
-                    if (changes.stream().anyMatch(c -> c.key().startsWith(prefix))) {
-                        drained(names(prefix, store.valuesUnder(prefix)), byOldCopy);
+                    if (changes.stream().anyMatch(change -> change.key().startsWith(prefix))) {
+                        updateDrained(
+                                drainedNames(prefix, store.valuesUnder(prefix)),
+                                drainedInStaleCopy);
                     }
                 });
         store.whenServingStale(
-                copy ->
-                        drained(
-                                names(prefix, store.valuesUnder(prefix)),
-                                names(prefix, copy.valuesUnder(prefix))));
-        store.whenCurrent(() -> drained(names(prefix, store.valuesUnder(prefix)), Set.of()));
+                staleCopy ->
+                        updateDrained(
+                                drainedNames(prefix, store.valuesUnder(prefix)),
+                                drainedNames(prefix, staleCopy.valuesUnder(prefix))));
+        store.whenCurrent(
+                () -> updateDrained(drainedNames(prefix, store.valuesUnder(prefix)), Set.of()));
     }
 
-    private static Set<String> names(String prefix, Map<String, KeyValueState.Value> drains) {
+    private static Set<String> drainedNames(
+            String prefix, Map<String, KeyValueState.Value> drains) {
         return drains.keySet().stream()
-                .map(k -> k.substring(prefix.length()))
+                .map(key -> key.substring(prefix.length()))
                 .collect(Collectors.toSet());
     }
 
-    private void drained(Set<String> now, Set<String> old) {
-        byOldCopy = old;
-        Set<String> all = new HashSet<>(now);
-        all.addAll(old);
-        if (!all.equals(byFleet)) {
-            byFleet = all;
-            feed.setOverrides(fromFile, byFleet);
+    private void updateDrained(Set<String> current, Set<String> inStaleCopy) {
+        drainedInStaleCopy = inStaleCopy;
+        Set<String> combined = new HashSet<>(current);
+        combined.addAll(inStaleCopy);
+        if (!combined.equals(drainedSearchers)) {
+            drainedSearchers = combined;
+            feed.setOverrides(fileOverrides, drainedSearchers);
         }
     }
 
-    /** The list with its reasons; on the state loop. */
+    /**
+     * Returns the endpoint list with the reason of each entry's state. Must be called on the state
+     * loop.
+     */
     List<EndpointView.Entry> view() {
         return feed.view();
     }
--- a/src/test/java/reeldeal/searchers/ConnectionPoolTest.java
+++ b/src/test/java/reeldeal/searchers/ConnectionPoolTest.java
@@ -105,7 +105,7 @@
                 new AttemptEnd.Abandoned(AttemptEnd.Reach.UNSENT, true),
                 ((Event.AttemptEnded) nextEvent()).end());
         assertEquals(
-                new AttemptEnd.Broken(AttemptEnd.Reach.UNSENT, "searcher drains"),
+                new AttemptEnd.Broken(AttemptEnd.Reach.UNSENT, "searcher is draining"),
                 ((Event.AttemptEnded) nextEvent()).end());
         assertNextFrame(server.accept(), "Qq3.3 3 d=500 1\nx");
     }
@@ -137,7 +137,9 @@
         Event.AttemptEnded beyond = (Event.AttemptEnded) nextEvent();
         assertEquals(7, beyond.shardRequestId());
         assertEquals(
-                new AttemptEnd.Broken(AttemptEnd.Reach.UNSENT, "no connection to be had"),
+                new AttemptEnd.Broken(
+                        AttemptEnd.Reach.UNSENT,
+                        "no connection available: connection limit reached"),
                 beyond.end());
     }
 
