--- a/src/main/java/reeldeal/server/JitWarmUp.java
+++ b/src/main/java/reeldeal/server/JitWarmUp.java
@@ -32,8 +32,9 @@
 final class JitWarmUp implements RequestSubmitter, Exchange {
     static final int QUERIES = 14; // more queries delay the start by more than they save clients
     private static final int MAX_SHARD_REQUESTS = 12;
-    private static final double TICK_MS =
-            30; // simulated time between ticks, after which attempts are answered
+
+    /** The simulated time between ticks; an attempt is answered one tick after it is sent. */
+    private static final double TICK_MS = 30;
 
     private final BrokerConfig config;
     private final PlatformFront front;
@@ -99,7 +100,7 @@
 
     private void runQuery(int queryNumber) {
         int classIndex = queryNumber % config.classes().size();
-        int shards = Math.max(1, config.shards()); // 0 if the settings do not limit the shards
+        int shards = Math.max(1, config.shards()); // shards() is 0 if not limited
         int shardRequests = Math.min(MAX_SHARD_REQUESTS, shards);
         StringBuilder body = new StringBuilder("{\"shards\":[");
         for (int i = 0; i < shardRequests; i++) {
--- a/src/main/java/reeldeal/server/ZoneWiring.java
+++ b/src/main/java/reeldeal/server/ZoneWiring.java
@@ -120,7 +120,7 @@
     }
 
     /**
-     * Reads the file of administrative overrides again. An invalid or unreadable file is logged and
+     * Reads the file of administrative overrides. An invalid or unreadable file is logged and
      * changes nothing.
      */
     void readOverrides() {
--- a/src/test/java/reeldeal/discovery/DiscoveryWatcherTest.java
+++ b/src/test/java/reeldeal/discovery/DiscoveryWatcherTest.java
@@ -19,7 +19,7 @@
 import reeldeal.core.Event;
 import reeldeal.faultinjection.TextCodec;
 
-/** Polls on connections that become silent, end without an answer, or end within one. */
+/** Tests polls on connections that become silent, close without an answer, or close within one. */
 public class DiscoveryWatcherTest {
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
@@ -84,8 +84,8 @@
             assertEquals("/catalog/members", readTarget(silent));
             answer(silent, list(3, true, "s"));
             assertEquals("s", nextName());
-            String target =
-                    readTarget(silent); // and is never answered, though the connection stays open
+            // This poll is never answered, although the connection stays open.
+            String target = readTarget(silent);
             assertTrue(target, target.startsWith("/catalog/members?since=3&timeout_ms="));
             try (Socket fresh = server.accept()) {
                 assertEquals("/catalog/members?since=3&timeout_ms=100", readTarget(fresh));
--- a/src/test/java/reeldeal/searchers/ConnectionPoolTest.java
+++ b/src/test/java/reeldeal/searchers/ConnectionPoolTest.java
@@ -28,7 +28,7 @@
 import reeldeal.decision.DecisionModule.EndpointState;
 import reeldeal.decision.DecisionModule.Outcome;
 
-/** How attempts and health checks on pooled connections end. */
+/** Tests how attempts and health checks on pooled connections end. */
 public class ConnectionPoolTest {
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
@@ -118,7 +118,8 @@
                     pool.setFence(send -> !fenced.contains(send.shardRequestId()));
                     pool.call(call(1));
                     pool.call(call(2));
-                    fenced.add(1L); // after it was queued, before its connection was established
+                    // The attempt is queued and its connection is not yet established.
+                    fenced.add(1L);
                 });
         assertEquals(
                 new Event.AttemptEnded(1, 0, new AttemptEnd.Fenced(), new double[0]).end(),
@@ -134,13 +135,13 @@
                         pool.call(call(id));
                     }
                 });
-        Event.AttemptEnded beyond = (Event.AttemptEnded) nextEvent();
-        assertEquals(7, beyond.shardRequestId());
+        Event.AttemptEnded overLimit = (Event.AttemptEnded) nextEvent();
+        assertEquals(7, overLimit.shardRequestId());
         assertEquals(
                 new AttemptEnd.Broken(
                         AttemptEnd.Reach.UNSENT,
                         "no connection available: connection limit reached"),
-                beyond.end());
+                overLimit.end());
     }
 
     private static void writeFrame(Socket to, String frame) throws Exception {
@@ -180,10 +181,8 @@
                                     List.of(
                                             send(1, 500, Double.POSITIVE_INFINITY),
                                             send(2, 500, Double.POSITIVE_INFINITY))));
-                    pool.withdraw(
-                            new Effect.Withdraw(
-                                    1, 0)); // its client disconnected before the connection was
-                    // established
+                    // As if the client had disconnected before the connection was established.
+                    pool.withdraw(new Effect.Withdraw(1, 0));
                 });
         assertEquals(new AttemptEnd.Fenced(), ((Event.AttemptEnded) nextEvent()).end());
         Socket socket = server.accept();
--- a/src/test/java/reeldeal/searchers/HealthChecksTest.java
+++ b/src/test/java/reeldeal/searchers/HealthChecksTest.java
@@ -13,7 +13,7 @@
 import reeldeal.decision.DecisionModule.EndpointState;
 import reeldeal.decision.DecisionModule.Outcome;
 
-/** How health checks in flight on one connection are matched with replies, and end. */
+/** Tests how health checks in flight on one connection are matched to replies, and how they end. */
 public class HealthChecksTest {
     private final List<Event.Probed> ended = new ArrayList<>();
     private final HealthChecks checks =
--- a/src/test/java/reeldeal/searchers/RetiredNamesTest.java
+++ b/src/test/java/reeldeal/searchers/RetiredNamesTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.Test;
 
-/** How long a connection remembers the names of completed shard requests. */
+/** Tests how long a connection remembers the names of shard requests that are no longer pending. */
 public class RetiredNamesTest {
     private final RetiredNames names = new RetiredNames();
 
--- a/src/test/java/reeldeal/server/BrokerMetricsTest.java
+++ b/src/test/java/reeldeal/server/BrokerMetricsTest.java
@@ -9,7 +9,7 @@
 import reeldeal.core.Reply;
 import reeldeal.fleet.rollout.RolloutHealth;
 
-/** What a broker counts of its requests and attempts. */
+/** Tests which replies and attempt ends a broker counts, and as what. */
 public class BrokerMetricsTest {
     private final BrokerMetrics metrics = new BrokerMetrics();
     private final List<Reply> replies = new ArrayList<>();
--- a/src/test/java/reeldeal/server/ConnectTimeoutTest.java
+++ b/src/test/java/reeldeal/server/ConnectTimeoutTest.java
@@ -8,9 +8,9 @@
 import org.junit.Test;
 import reeldeal.config.BrokerConfig;
 
-/** For how long a connection to a searcher may take to come up. */
+/** Tests the connect timeout to searchers that follows from the configuration. */
 public class ConnectTimeoutTest {
-    private static int with(String find, String replacement) throws Exception {
+    private static int connectTimeoutWith(String find, String replacement) throws Exception {
         try (InputStream in = JitWarmUp.class.getResourceAsStream("/reeldeal/rehearsal.json")) {
             String text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
             return BrokerServer.connectTimeoutMs(
@@ -22,12 +22,13 @@
     }
 
     @Test
-    public void itIsAsSetWhereTheShortestAimLeavesTimeForAFellow() throws Exception {
-        assertEquals(250, with("8000.0", "8000.0"));
+    public void theConfiguredTimeoutAppliesIfTheShortestObjectiveLeavesTimeForAnotherReplica()
+            throws Exception {
+        assertEquals(250, connectTimeoutWith("8000.0", "8000.0"));
     }
 
     @Test
-    public void itIsAQuarterOfTheShortestAimWhereThatIsLess() throws Exception {
-        assertEquals(95, with("8000.0", "380.0"));
+    public void theTimeoutIsAtMostAQuarterOfTheShortestObjective() throws Exception {
+        assertEquals(95, connectTimeoutWith("8000.0", "380.0"));
     }
 }
--- a/src/test/java/reeldeal/server/ExchangeTest.java
+++ b/src/test/java/reeldeal/server/ExchangeTest.java
@@ -37,13 +37,13 @@
 import reeldeal.faultinjection.TextCodec;
 
 /**
- * Plays the recorded exchanges of src/test/resources/exchanges against the program over sockets.
- * Each line is one step; README.md tells how to read them. In what is expected, {@code {}} stands
- * for anything and {@code {name}} keeps it for later lines.
+ * Replays the recorded exchanges of src/test/resources/exchanges against the program over sockets.
+ * Each line is one step; README.md describes the format. In an expected text, {@code {}} matches
+ * any text, and {@code {name}} also stores the matched text as a variable for later lines.
  */
 @RunWith(Parameterized.class)
 public class ExchangeTest {
-    private static final int PATIENCE_MS = 20_000;
+    private static final int TIMEOUT_MS = 20_000;
 
     @Parameterized.Parameters(name = "{0}")
     public static Collection<Object[]> scripts() throws IOException {
@@ -55,7 +55,10 @@
         }
     }
 
-    /** A party of the script: a client, or a searcher in one of two forms. */
+    /**
+     * A participant of the script: a client, or a searcher that uses the frame or the search
+     * protocol.
+     */
     private static final class Party {
         final boolean client;
         final boolean frames;
@@ -68,26 +71,26 @@
             this.server = server;
         }
 
-        InputStream in(int patienceMs) throws IOException {
+        InputStream in(int timeoutMs) throws IOException {
             if (socket == null) {
-                server.setSoTimeout(patienceMs);
+                server.setSoTimeout(timeoutMs);
                 socket = server.accept();
                 socket.setTcpNoDelay(true);
             }
-            socket.setSoTimeout(patienceMs);
+            socket.setSoTimeout(timeoutMs);
             return socket.getInputStream();
         }
     }
 
     private final Path script;
     private final Map<String, Party> parties = new HashMap<>();
-    private final Map<String, String> kept = new HashMap<>();
-    private final Map<String, Integer> partsSent = new HashMap<>();
+    private final Map<String, String> variables = new HashMap<>();
+    private final Map<String, Integer> shardRequestsReceived = new HashMap<>();
     private final Map<String, String> addresses = new HashMap<>();
     private final List<String> log = new CopyOnWriteArrayList<>();
     private FakeDiscovery discovery;
     private Process program;
-    private long termAt;
+    private long sigtermNanos;
     private Path folder;
     private boolean searchFront;
     private boolean store;
@@ -100,23 +103,31 @@
     public void theProgramAnswersAsRecorded() throws Exception {
         discovery = new FakeDiscovery();
         folder = Files.createTempDirectory("reeldeal");
-        int number = 0;
-        boolean compared = false;
+        int lineNumber = 0;
+        boolean hasExpectation = false;
         for (String line : Files.readAllLines(script)) {
-            number++;
+            lineNumber++;
             if (line.isBlank() || line.startsWith("#")) {
                 continue;
             }
             try {
-                step(fill(line).split(" ", 3));
+                step(substituteVariables(line).split(" ", 3));
             } catch (Exception | AssertionError e) {
                 throw new AssertionError(
-                        script.getFileName() + ":" + number + ": " + line + ": " + e + "\n" + log,
+                        script.getFileName()
+                                + ":"
+                                + lineNumber
+                                + ": "
+                                + line
+                                + ": "
+                                + e
+                                + "\n"
+                                + log,
                         e);
             }
-            compared |= line.contains(" < ") || line.startsWith("exit ");
+            hasExpectation |= line.contains(" < ") || line.startsWith("exit ");
         }
-        assertTrue("the script compares nothing", compared);
+        assertTrue("the script has no expectation", hasExpectation);
     }
 
     @After
@@ -125,37 +136,37 @@
             program.destroyForcibly().waitFor();
         }
         discovery.close();
-        for (Party p : parties.values()) {
-            if (p.server != null) {
-                p.server.close();
+        for (Party party : parties.values()) {
+            if (party.server != null) {
+                party.server.close();
             }
-            if (p.socket != null) {
-                p.socket.close();
+            if (party.socket != null) {
+                party.socket.close();
             }
         }
         try (Stream<Path> files = Files.walk(folder)) {
-            for (Path f : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
-                Files.delete(f);
+            for (Path file : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
+                Files.delete(file);
             }
         }
     }
 
-    /** Puts in what was kept, and turns escapes into bytes. */
-    private String fill(String line) {
+    /** Substitutes variables, and replaces the escapes for line ends. */
+    private String substituteVariables(String line) {
         String filled = line;
-        for (Map.Entry<String, String> e : kept.entrySet()) {
-            filled = filled.replace("$" + e.getKey(), e.getValue());
+        for (Map.Entry<String, String> variable : variables.entrySet()) {
+            filled = filled.replace("$" + variable.getKey(), variable.getValue());
         }
         return filled.replace("\\n", "\n").replace("\\r", "\r");
     }
 
-    private void step(String[] words) throws Exception {
-        String rest = words.length > 2 ? words[2] : "";
-        switch (words[0]) {
-            case "searcher" -> searcher(words[1], rest);
+    private void step(String[] arguments) throws Exception {
+        String rest = arguments.length > 2 ? arguments[2] : "";
+        switch (arguments[0]) {
+            case "searcher" -> searcher(arguments[1], rest);
             case "list" -> {
-                list(words[1], rest);
-                discovery.awaitHeard();
+                list(arguments[1], rest);
+                discovery.awaitLatestIndexPolled();
             }
             case "store" -> store = true;
             case "kill" -> program.destroyForcibly().waitFor();
@@ -169,34 +180,38 @@
                             java.nio.file.StandardOpenOption.APPEND);
                 }
             }
-            case "garble" -> discovery.garble(words[1]);
+            case "garble" -> discovery.replyOnce(arguments[1]);
             case "search-front" -> searchFront = true;
-            case "start" -> start(words.length > 1 ? words[1] : "", rest);
+            case "start" -> start(arguments.length > 1 ? arguments[1] : "", rest);
             case "client" -> {
                 Party client = new Party(true, false, null);
-                String[] at = addresses.get(words[1]).split(":");
-                client.socket = new Socket(at[0], Integer.parseInt(at[1]));
+                String[] hostAndPort = addresses.get(arguments[1]).split(":");
+                client.socket = new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
                 client.socket.setTcpNoDelay(true);
                 parties.put(rest, client);
             }
-            case "wait" -> Thread.sleep(Integer.parseInt(words[1]));
-            case "sent" -> assertEquals(rest, String.valueOf(partsSent.getOrDefault(words[1], 0)));
+            case "wait" -> Thread.sleep(Integer.parseInt(arguments[1]));
+            case "sent" ->
+                    assertEquals(
+                            rest,
+                            String.valueOf(shardRequestsReceived.getOrDefault(arguments[1], 0)));
             case "term" -> {
-                termAt = System.nanoTime();
+                sigtermNanos = System.nanoTime();
                 signal("TERM");
             }
             case "within" -> {
                 step(rest.split(" ", 3));
-                long took = (System.nanoTime() - termAt) / 1_000_000;
+                long elapsedMs = (System.nanoTime() - sigtermNanos) / 1_000_000;
                 assertTrue(
-                        "came " + took + " ms after SIGTERM", took <= Integer.parseInt(words[1]));
+                        "step passed " + elapsedMs + " ms after SIGTERM, later than the limit",
+                        elapsedMs <= Integer.parseInt(arguments[1]));
             }
             case "hup" -> signal("HUP");
             case "config" ->
                     Files.writeString(
                             folder.resolve("config.json"),
                             Files.readString(folder.resolve("config.json"))
-                                    .replace(words[1], rest));
+                                    .replace(arguments[1], rest));
             case "discovery-moves" -> {
                 FakeDiscovery old = discovery;
                 discovery = new FakeDiscovery();
@@ -208,18 +223,23 @@
                                 "127.0.0.1:" + discovery.server.getLocalPort()));
                 signal("HUP");
                 awaitLog("reloaded: moving to discovery");
-                old.end();
+                old.shutDown();
             }
             case "exit" -> {
-                assertTrue("still runs", program.waitFor(PATIENCE_MS, TimeUnit.MILLISECONDS));
-                assertEquals(Integer.parseInt(words[1]), program.exitValue());
+                assertTrue(
+                        "the program did not exit in time",
+                        program.waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+                assertEquals(Integer.parseInt(arguments[1]), program.exitValue());
             }
-            case "logged" -> awaitLog(words[1] + (rest.isEmpty() ? "" : " " + rest));
-            default -> exchange(words[0], words[1], rest);
+            case "logged" -> awaitLog(arguments[1] + (rest.isEmpty() ? "" : " " + rest));
+            default -> exchange(arguments[0], arguments[1], rest);
         }
     }
 
-    /** By a program of its own: the process's own way to end it would close its log with it. */
+    /**
+     * Sends a signal with the kill command, since Process.destroy would also close the stream of
+     * the program's log.
+     */
     private void signal(String name) throws Exception {
         assertEquals(
                 0,
@@ -228,53 +248,55 @@
                         .waitFor());
     }
 
-    private void awaitLog(String words) throws InterruptedException {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-        while (!String.join("\n", log).contains(words) && System.nanoTime() < until) {
+    private void awaitLog(String text) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+        while (!String.join("\n", log).contains(text) && System.nanoTime() < deadlineNanos) {
             Thread.sleep(10);
         }
-        assertTrue(String.join("\n", log).contains(words));
+        assertTrue(String.join("\n", log).contains(text));
     }
 
     private void searcher(String name, String options) throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         boolean frames = !options.contains("search");
         parties.put(name, new Party(false, frames, server));
-        kept.put("address-" + name, "127.0.0.1:" + server.getLocalPort());
-        kept.put("port-" + name, String.valueOf(server.getLocalPort()));
-        kept.put("cell-" + name, options.split(" ")[0]);
-        kept.put("kind-" + name, frames ? "std" : "archive");
+        variables.put("address-" + name, "127.0.0.1:" + server.getLocalPort());
+        variables.put("port-" + name, String.valueOf(server.getLocalPort()));
+        variables.put("cell-" + name, options.split(" ")[0]);
+        variables.put("kind-" + name, frames ? "std" : "archive");
         list(name, "ready");
     }
 
     private void list(String name, String status) {
-        discovery.list(
+        discovery.publish(
                 name,
                 "{\"name\":\""
                         + name
                         + "\",\"address\":\""
-                        + kept.get("address-" + name)
+                        + variables.get("address-" + name)
                         + "\",\"zone\":\"a\",\"type\":\""
-                        + kept.get("kind-" + name)
+                        + variables.get("kind-" + name)
                         + "\",\"group\":"
-                        + kept.get("cell-" + name)
+                        + variables.get("cell-" + name)
                         + ",\"status\":\""
                         + status
                         + "\",\"weight\":1.0,\"since_ms\":0}");
     }
 
-    private void start(String setting, String otherwise) throws Exception {
+    private void start(String firstKey, String furtherPairs) throws Exception {
         String config =
                 Files.readString(Path.of("src/test/resources/config.json"))
-                        .replace("$known", discovery.whole())
+                        .replace("$known", discovery.completeList())
                         .replace("$discovery", "127.0.0.1:" + discovery.server.getLocalPort());
         if (store) {
             config = config.replaceFirst("\"discovery\":\"[^\"]*\",", "");
         }
-        if (!setting.isEmpty()) {
-            String[] pairs = (setting + " " + otherwise).split(" ", -1);
+        if (!firstKey.isEmpty()) {
+            String[] pairs = (firstKey + " " + furtherPairs).split(" ", -1);
             for (int i = 0; i < pairs.length; i += 2) {
-                assertTrue(pairs[i] + " is no setting", config.contains(pairs[i]));
+                assertTrue(
+                        pairs[i] + " does not occur in the configuration",
+                        config.contains(pairs[i]));
                 config = config.replace(pairs[i], pairs[i + 1]);
             }
         }
@@ -303,7 +325,9 @@
             Path zone =
                     Files.writeString(
                             folder.resolve("zone"),
-                            fill(Files.readString(Path.of("src/test/resources/searchers.zone"))));
+                            substituteVariables(
+                                    Files.readString(
+                                            Path.of("src/test/resources/searchers.zone"))));
             String file =
                     "{\"node\":\"n0\",\"nodes\":{\"n0\":\"127.0.0.1:0\"},"
                             + "\"folder\":\""
@@ -317,7 +341,7 @@
                             "REELDEAL_STORE",
                             Files.writeString(folder.resolve("store.json"), file).toString());
             if (Files.exists(folder.resolve("state"))) {
-                builder.environment().remove("LB_CONFIG"); // the store keeps it
+                builder.environment().remove("LB_CONFIG"); // the configuration is in the store
             }
         }
         program = builder.start();
@@ -355,41 +379,43 @@
         Party party = parties.get(name);
         switch (verb) {
             case "<" -> {
-                InputStream in = party.in(PATIENCE_MS);
-                String got;
+                InputStream in = party.in(TIMEOUT_MS);
+                String received;
                 try {
-                    got =
+                    received =
                             name.startsWith("dns")
                                     ? TextCodec.hex(in)
                                     : party.frames ? TextCodec.frame(in) : TextCodec.http(in);
                 } catch (SocketException e) {
-                    got = "RESET";
+                    received = "RESET";
                 }
-                count(name, party, got);
-                compare(rest, got);
+                countShardRequests(name, party, received);
+                compare(rest, received);
             }
             case "silent" -> {
                 try {
-                    int b = party.in(Integer.parseInt(rest)).read();
-                    fail("not silent: " + b);
+                    int received = party.in(Integer.parseInt(rest)).read();
+                    fail("expected no data, but received byte " + received);
                 } catch (SocketTimeoutException e) {
                     assertTrue(program.isAlive());
                 }
             }
             case "udp" -> {
-                String[] halves = rest.split(" :: ");
+                String[] queryAndExpected = rest.split(" :: ");
                 try (DatagramSocket socket = new DatagramSocket()) {
-                    byte[] asked = TextCodec.hex(halves[0]);
-                    socket.setSoTimeout(PATIENCE_MS);
+                    byte[] query = TextCodec.hex(queryAndExpected[0]);
+                    socket.setSoTimeout(TIMEOUT_MS);
                     socket.send(
                             new DatagramPacket(
-                                    asked,
+                                    query,
                                     2,
-                                    asked.length - 2,
+                                    query.length - 2,
                                     party.socket.getRemoteSocketAddress()));
-                    DatagramPacket got = new DatagramPacket(new byte[512], 512);
-                    socket.receive(got);
-                    compare(halves[1], HexFormat.of().formatHex(got.getData(), 0, got.getLength()));
+                    DatagramPacket received = new DatagramPacket(new byte[512], 512);
+                    socket.receive(received);
+                    compare(
+                            queryAndExpected[1],
+                            HexFormat.of().formatHex(received.getData(), 0, received.getLength()));
                 }
             }
             case "bytes" -> party.socket.getOutputStream().write(TextCodec.bytes(rest));
@@ -398,7 +424,7 @@
                     party.socket.getOutputStream().write(rest.getBytes(StandardCharsets.UTF_8));
             case "accept" -> {
                 party.socket = null;
-                party.in(PATIENCE_MS);
+                party.in(TIMEOUT_MS);
             }
             case "close" -> {
                 party.socket.setSoLinger(true, 0);
@@ -415,11 +441,12 @@
                                             ? TextCodec.frame(rest)
                                             : TextCodec.response(200, rest));
             default -> {
-                // A client's request: METHOD TARGET Header=value ... :: BODY
-                String[] halves = rest.split(" :: ", 2);
-                String[] parts = halves[0].split(" ");
+                // The form of a client's request: METHOD TARGET Header=value ... :: BODY
+                String[] headAndBody = rest.split(" :: ", 2);
+                String[] targetAndHeaders = headAndBody[0].split(" ");
                 StringBuilder headers = new StringBuilder();
-                for (String header : Arrays.asList(parts).subList(1, parts.length)) {
+                for (String header :
+                        Arrays.asList(targetAndHeaders).subList(1, targetAndHeaders.length)) {
                     headers.append(header.replaceFirst("=", ": ")).append("\r\n");
                 }
                 party.socket
@@ -427,43 +454,44 @@
                         .write(
                                 TextCodec.request(
                                         verb,
-                                        parts[0],
+                                        targetAndHeaders[0],
                                         headers.toString(),
-                                        halves.length > 1 ? halves[1] : ""));
+                                        headAndBody.length > 1 ? headAndBody[1] : ""));
             }
         }
     }
 
-    private void count(String name, Party party, String got) {
+    private void countShardRequests(String name, Party party, String received) {
         if (!party.client) {
-            Matcher parts =
+            Matcher requestLines =
                     Pattern.compile(party.frames ? "(?m)^(Q )?[!-~]+ [0-9]+ d=" : "\"preference\"")
-                            .matcher(got);
-            while (parts.find()) {
-                partsSent.merge(name, 1, Integer::sum);
-                partsSent.merge("all", 1, Integer::sum);
+                            .matcher(received);
+            while (requestLines.find()) {
+                shardRequestsReceived.merge(name, 1, Integer::sum);
+                shardRequestsReceived.merge("all", 1, Integer::sum);
             }
         }
     }
 
-    private void compare(String expected, String got) {
+    private void compare(String expected, String received) {
         List<String> names = new ArrayList<>();
         StringBuilder regex = new StringBuilder();
-        Matcher holes = Pattern.compile("\\{([a-z0-9-]*)\\}").matcher(expected);
-        int at = 0;
-        while (holes.find()) {
-            regex.append(Pattern.quote(expected.substring(at, holes.start()))).append("(.*?)");
-            names.add(holes.group(1));
-            at = holes.end();
+        Matcher placeholders = Pattern.compile("\\{([a-z0-9-]*)\\}").matcher(expected);
+        int literalStart = 0;
+        while (placeholders.find()) {
+            regex.append(Pattern.quote(expected.substring(literalStart, placeholders.start())))
+                    .append("(.*?)");
+            names.add(placeholders.group(1));
+            literalStart = placeholders.end();
         }
-        regex.append(Pattern.quote(expected.substring(at)));
-        Matcher m = Pattern.compile(regex.toString(), Pattern.DOTALL).matcher(got);
-        if (!m.matches()) {
-            assertEquals(expected, got);
+        regex.append(Pattern.quote(expected.substring(literalStart)));
+        Matcher match = Pattern.compile(regex.toString(), Pattern.DOTALL).matcher(received);
+        if (!match.matches()) {
+            assertEquals(expected, received);
         }
         for (int i = 0; i < names.size(); i++) {
             if (!names.get(i).isEmpty()) {
-                kept.put(names.get(i), m.group(i + 1));
+                variables.put(names.get(i), match.group(i + 1));
             }
         }
     }
--- a/src/test/java/reeldeal/server/FakeDiscovery.java
+++ b/src/test/java/reeldeal/server/FakeDiscovery.java
@@ -12,67 +12,73 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import reeldeal.faultinjection.TextCodec;
 
-/** A stand-in for discovery: the whole list, and a watch that waits for changes. */
+/**
+ * A fake discovery server: serves the complete endpoint list, and long polls that wait for changes.
+ */
 final class FakeDiscovery implements AutoCloseable {
     final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final Map<String, String> entries = new LinkedHashMap<>();
     private final Map<Integer, String> changes = new LinkedHashMap<>();
     private int index = 1;
     private String nextReply;
-    private int heardUpTo;
-    private int wholeAsked;
-    private final List<Socket> open = new CopyOnWriteArrayList<>();
+    private int highestPolledIndex;
+    private int completeListRequests;
+    private final List<Socket> connections = new CopyOnWriteArrayList<>();
 
     FakeDiscovery() throws IOException {
-        Thread t =
+        Thread acceptor =
                 new Thread(
                         () -> {
                             try {
                                 while (true) {
-                                    Socket s = server.accept();
-                                    open.add(s);
-                                    Thread each = new Thread(() -> serve(s));
-                                    each.setDaemon(true);
-                                    each.start();
+                                    Socket socket = server.accept();
+                                    connections.add(socket);
+                                    Thread connectionThread = new Thread(() -> serve(socket));
+                                    connectionThread.setDaemon(true);
+                                    connectionThread.start();
                                 }
                             } catch (IOException e) {
-                                // closed: the test is over
+                                // the server socket was closed
                             }
                         });
-        t.setDaemon(true);
-        t.start();
+        acceptor.setDaemon(true);
+        acceptor.start();
     }
 
-    /** Lists an entry, or a change to one, and tells the watches. */
-    synchronized void list(String name, String entry) {
+    /** Adds or changes an entry of the list, and answers waiting polls. */
+    synchronized void publish(String name, String entry) {
         index++;
         entries.put(name, entry);
         changes.put(index, entry);
         notifyAll();
     }
 
-    /** Answers the next watch with these words instead, and waits until the program asks anew. */
-    synchronized void garble(String reply) throws InterruptedException {
-        int before = wholeAsked;
+    /**
+     * Answers the next poll with this reply instead of the changes, and waits until the program
+     * requests the complete list again.
+     */
+    synchronized void replyOnce(String reply) throws InterruptedException {
+        int requestsBefore = completeListRequests;
         nextReply = reply;
         notifyAll();
-        long until = System.nanoTime() + 20_000_000_000L;
-        while (wholeAsked == before && System.nanoTime() < until) {
+        long deadlineNanos = System.nanoTime() + 20_000_000_000L;
+        while (completeListRequests == requestsBefore && System.nanoTime() < deadlineNanos) {
             wait(50);
         }
     }
 
     /**
-     * Waits until a watch asks for what is newer than all there is: the program has taken the rest.
+     * Waits until a poll asks for changes after the latest index. The program has then processed
+     * all changes.
      */
-    synchronized void awaitHeard() throws InterruptedException {
-        long until = System.nanoTime() + 20_000_000_000L;
-        while (heardUpTo < index && System.nanoTime() < until) {
+    synchronized void awaitLatestIndexPolled() throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + 20_000_000_000L;
+        while (highestPolledIndex < index && System.nanoTime() < deadlineNanos) {
             wait(50);
         }
     }
 
-    synchronized String whole() {
+    synchronized String completeList() {
         return "{\"index\":"
                 + index
                 + ",\"snapshot\":true,\"endpoints\":["
@@ -80,14 +86,14 @@
                 + "]}";
     }
 
-    private synchronized String asked() {
-        wholeAsked++;
+    private synchronized String answerCompleteList() {
+        completeListRequests++;
         notifyAll();
-        return whole();
+        return completeList();
     }
 
-    private synchronized String watch(int since) throws InterruptedException {
-        heardUpTo = Math.max(heardUpTo, since);
+    private synchronized String answerPoll(int since) throws InterruptedException {
+        highestPolledIndex = Math.max(highestPolledIndex, since);
         notifyAll();
         while (index <= since && nextReply == null) {
             wait();
@@ -99,8 +105,8 @@
         }
         StringBuilder changed = new StringBuilder();
         changes.forEach(
-                (at, entry) -> {
-                    if (at > since) {
+                (changeIndex, entry) -> {
+                    if (changeIndex > since) {
                         changed.append(changed.length() > 0 ? "," : "").append(entry);
                     }
                 });
@@ -115,13 +121,13 @@
                 if (head == null) {
                     return;
                 }
-                int at = head.indexOf("since=");
+                int sinceStart = head.indexOf("since=");
                 String body =
-                        at < 0
-                                ? asked()
-                                : watch(
+                        sinceStart < 0
+                                ? answerCompleteList()
+                                : answerPoll(
                                         Integer.parseInt(
-                                                head.substring(at + 6, head.indexOf('&'))));
+                                                head.substring(sinceStart + 6, head.indexOf('&'))));
                 socket.getOutputStream()
                         .write(
                                 ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -132,15 +138,15 @@
                                         .getBytes(StandardCharsets.UTF_8));
             }
         } catch (IOException | InterruptedException e) {
-            // the program has left
+            // the program closed the connection
         }
     }
 
-    /** Takes no new connection and closes the open ones. */
-    void end() throws IOException {
+    /** Stops accepting connections and closes the open ones. */
+    void shutDown() throws IOException {
         server.close();
-        for (Socket s : open) {
-            s.close();
+        for (Socket socket : connections) {
+            socket.close();
         }
     }
 
--- a/src/test/java/reeldeal/server/JitWarmUpTest.java
+++ b/src/test/java/reeldeal/server/JitWarmUpTest.java
@@ -9,11 +9,11 @@
 import org.junit.Test;
 import reeldeal.config.BrokerConfig;
 
-/** The queries that a broker puts to itself before it is ready. */
+/** Tests the warm-up queries that a broker runs before it is ready. */
 public class JitWarmUpTest {
-    /** Where the settings tell no number of shards a broker starts all the same. */
+    /** A broker whose settings have no number of shards must still start. */
     @Test
-    public void practiceNeedsNoNumberOfShards() throws Exception {
+    public void warmUpWorksWithoutAConfiguredNumberOfShards() throws Exception {
         BrokerConfig config;
         try (InputStream in = JitWarmUp.class.getResourceAsStream("/reeldeal/rehearsal.json")) {
             String text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void allPracticeQueriesAreServedWithNoSocketAndNoSearcherKnown() throws Exception {
+    public void allWarmUpQueriesAreServedWithoutASocketOrAKnownSearcher() throws Exception {
         BrokerConfig config;
         try (InputStream in = JitWarmUp.class.getResourceAsStream("/reeldeal/rehearsal.json")) {
             config = BrokerConfig.parse(in.readAllBytes(), Map.of(), false);
--- a/src/test/java/reeldeal/server/PackageLayersTest.java
+++ b/src/test/java/reeldeal/server/PackageLayersTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** How the program's packages may depend on one another; docs/ARCHITECTURE.md draws it. */
+/** Checks which of the program's packages may import which; docs/ARCHITECTURE.md has a diagram. */
 class PackageLayersTest {
     private static final Path SOURCES = Path.of("src/main/java/reeldeal");
     private static final String ROOT = "reeldeal.";
@@ -28,8 +28,8 @@
                     "(?m)^import (?:static )?((?:reeldeal|io\\.netty|com\\.fasterxml)\\.[a-z.]*[a-z])");
 
     /**
-     * From the bottom. A package imports only from layers below its own; the fleet's parts may
-     * import one another.
+     * The layers, lowest first. A package may import only from layers below its own; the fleet's
+     * subpackages may import one another.
      */
     private static final List<Set<String>> LAYERS =
             List.of(
@@ -52,12 +52,12 @@
             for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
                 String name =
                         ROOT + SOURCES.relativize(file.getParent()).toString().replace('/', '.');
-                Set<String> of = imports.computeIfAbsent(name, n -> new TreeSet<>());
-                Matcher found = IMPORT.matcher(Files.readString(file));
-                while (found.find()) {
-                    of.add(found.group(1));
+                Set<String> importedPackages = imports.computeIfAbsent(name, n -> new TreeSet<>());
+                Matcher matcher = IMPORT.matcher(Files.readString(file));
+                while (matcher.find()) {
+                    importedPackages.add(matcher.group(1));
                 }
-                of.remove(name);
+                importedPackages.remove(name);
             }
         }
     }
@@ -70,7 +70,7 @@
                 return layer;
             }
         }
-        throw new AssertionError("no layer for package " + packageName);
+        throw new AssertionError("package is in no layer: " + packageName);
     }
 
     private static boolean isFleetPart(String packageName) {
@@ -79,50 +79,58 @@
 
     @Test
     void eachPackageImportsOnlyFromLayersBelowItsOwn() {
-        List<String> wrong = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         imports.forEach(
-                (name, of) ->
-                        of.stream()
+                (name, importedPackages) ->
+                        importedPackages.stream()
                                 .filter(i -> i.startsWith(ROOT))
                                 .filter(i -> !(isFleetPart(name) && isFleetPart(i)))
                                 .filter(i -> layerOf(i) >= layerOf(name))
-                                .forEach(i -> wrong.add(name + " imports " + i)));
-        assertEquals(List.of(), wrong);
+                                .forEach(i -> violations.add(name + " imports " + i)));
+        assertEquals(List.of(), violations);
     }
 
     @Test
-    void noPackageImportsInACircle() {
-        Map<String, Set<String>> left = new TreeMap<>(imports);
-        assertTrue(left.containsKey("reeldeal.core"));
-        while (!left.isEmpty()) {
-            List<String> free =
-                    left.keySet().stream()
-                            .filter(p -> left.get(p).stream().noneMatch(left::containsKey))
+    void packageImportsHaveNoCycle() {
+        Map<String, Set<String>> remaining = new TreeMap<>(imports);
+        assertTrue(remaining.containsKey("reeldeal.core"));
+        while (!remaining.isEmpty()) {
+            List<String> withoutRemainingImports =
+                    remaining.keySet().stream()
+                            .filter(
+                                    p ->
+                                            remaining.get(p).stream()
+                                                    .noneMatch(remaining::containsKey))
                             .toList();
-            assertFalse(free.isEmpty(), "a circle among " + left);
-            free.forEach(left::remove);
+            assertFalse(
+                    withoutRemainingImports.isEmpty(), "import cycle among packages " + remaining);
+            withoutRemainingImports.forEach(remaining::remove);
         }
     }
 
     @Test
-    void theCoreKnowsNoWire() {
+    void theCoreImportsNothingOfTheNetwork() {
         assertEquals(Set.of("reeldeal.decision"), imports.get("reeldeal.core"));
         assertEquals(Set.of(), imports.get("reeldeal.decision"));
     }
 
     @Test
     void noPackageUsesNettysOwnCodecs() {
-        for (Set<String> of : imports.values()) {
-            assertTrue(of.stream().noneMatch(i -> i.startsWith("io.netty.handler")), of.toString());
+        for (Set<String> importedPackages : imports.values()) {
+            assertTrue(
+                    importedPackages.stream().noneMatch(i -> i.startsWith("io.netty.handler")),
+                    importedPackages.toString());
         }
     }
 
     @Test
     void thePureFleetPackagesImportOnlyOneAnother() {
         imports.forEach(
-                (name, of) -> {
+                (name, importedPackages) -> {
                     if (isFleetPart(name)) {
-                        assertTrue(of.stream().allMatch(PackageLayersTest::isFleetPart), name + of);
+                        assertTrue(
+                                importedPackages.stream().allMatch(PackageLayersTest::isFleetPart),
+                                name + importedPackages);
                     }
                 });
     }
--- a/src/test/java/reeldeal/server/ShutdownDeadlinesTest.java
+++ b/src/test/java/reeldeal/server/ShutdownDeadlinesTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.Test;
 
-/** The steps of a graceful shutdown as they follow from the longest deadline. */
+/** Tests how the steps of a graceful shutdown follow from the longest deadline. */
 public class ShutdownDeadlinesTest {
     @Test
     public void theStepsFollowFromTheLongestDeadline() {
@@ -18,7 +18,7 @@
     }
 
     @Test
-    public void ofALongDeadlineThreeSecondsCountUntilTheKill() {
+    public void aLongDeadlineCountsAsThreeSecondsUntilTheKill() {
         assertEquals(
                 new ShutdownDeadlines(500, 2_900, 600, 3_400, 9_600), ShutdownDeadlines.of(9_000));
     }
