--- a/src/main/java/reeldeal/config/AdministrativeOverridesFile.java
+++ b/src/main/java/reeldeal/config/AdministrativeOverridesFile.java
@@ -20,9 +20,9 @@
     /** The words in a file; one that is not there holds none. */
     public static Map<String, AdministrativeOverride> read(Path file)
             throws InvalidConfigException, IOException {
-        Map<String, AdministrativeOverride> words = new HashMap<>();
+        Map<String, AdministrativeOverride> overrides = new HashMap<>();
         if (!Files.exists(file)) {
-            return words;
+            return overrides;
         }
         try (JsonParser json = JSON.createParser(Files.readAllBytes(file))) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
@@ -31,24 +31,24 @@
             while (json.nextToken() == JsonToken.FIELD_NAME) {
                 String name = json.currentName();
                 json.nextToken();
-                String word = json.getText();
-                AdministrativeOverride override = parse(word);
+                String value = json.getText();
+                AdministrativeOverride override = parse(value);
                 if (name.isBlank() || override == null) {
                     throw new InvalidConfigException(
                             file
                                     + ": "
                                     + name
                                     + ": expected ready, draining or gone, found "
-                                    + word);
+                                    + value);
                 }
-                words.put(name, override);
+                overrides.put(name, override);
             }
         }
-        return words;
+        return overrides;
     }
 
-    private static AdministrativeOverride parse(String word) {
-        return switch (word) {
+    private static AdministrativeOverride parse(String value) {
+        return switch (value) {
             case "ready" -> AdministrativeOverride.READY;
             case "draining" -> AdministrativeOverride.DRAINING;
             case "gone" -> AdministrativeOverride.REMOVED;
--- a/src/main/java/reeldeal/config/BrokerConfig.java
+++ b/src/main/java/reeldeal/config/BrokerConfig.java
@@ -96,9 +96,9 @@
         } catch (IOException e) {
             throw new InvalidConfigException("LB_CONFIG: " + e.getMessage());
         }
-        take(values, environment, "name", "LB_NAME");
-        take(values, environment, "listen", "LB_LISTEN");
-        take(values, environment, "discovery", "LB_DISCOVERY");
+        overrideFromEnvironment(values, environment, "name", "LB_NAME");
+        overrideFromEnvironment(values, environment, "listen", "LB_LISTEN");
+        overrideFromEnvironment(values, environment, "discovery", "LB_DISCOVERY");
         Map<String, String> settings = new HashMap<>();
         values.forEach(
                 (path, value) -> {
@@ -114,18 +114,18 @@
                 (int) number(values, "limits.sockets", 1024, 64),
                 known,
                 settings(settings, values.getOrDefault("seed", "0")),
-                names(settings),
-                list(settings, "Zones"),
-                list(settings, "Kinds"),
+                classNames(settings),
+                splitList(settings, "Zones"),
+                splitList(settings, "Kinds"),
                 shards,
                 (int) number(settings, "PolicyLimits.StreamsPerConn", 32, 1),
                 number(settings, "PolicyLimits.ConnIdleMs", 30_000, 1),
                 (int) number(settings, "PolicyLimits.DialTimeoutMs", 250, 1),
-                OpenSearchConfig.read(environment, names(settings), shards),
+                OpenSearchConfig.read(environment, classNames(settings), shards),
                 dns);
     }
 
-    private static void take(
+    private static void overrideFromEnvironment(
             Map<String, String> values,
             Map<String, String> environment,
             String key,
@@ -138,20 +138,21 @@
 
     private static Settings settings(Map<String, String> settings, String seed)
             throws InvalidConfigException {
-        long number;
+        long parsedSeed;
         try {
-            number = Long.parseUnsignedLong(seed, 16);
+            parsedSeed = Long.parseUnsignedLong(seed, 16);
         } catch (NumberFormatException e) {
             throw new InvalidConfigException("seed: not hexadecimal: " + seed);
         }
         try {
-            return SettingsParser.parse(settings, number);
+            return SettingsParser.parse(settings, parsedSeed);
         } catch (IllegalArgumentException e) {
             throw new InvalidConfigException(e.getMessage());
         }
     }
 
-    private static List<String> names(Map<String, String> settings) throws InvalidConfigException {
+    private static List<String> classNames(Map<String, String> settings)
+            throws InvalidConfigException {
         List<String> names = new ArrayList<>();
         for (int i = 0; settings.containsKey("Categories." + i + ".AimMs"); i++) {
             String name = settings.get("Categories." + i + ".Name");
@@ -163,21 +164,21 @@
         return names;
     }
 
-    private static List<String> list(Map<String, String> settings, String key) {
+    private static List<String> splitList(Map<String, String> settings, String key) {
         String joined = settings.getOrDefault(key, "");
         return joined.isEmpty() ? List.of() : List.of(joined.split(","));
     }
 
     private static double number(
-            Map<String, String> values, String key, double otherwise, double least)
+            Map<String, String> values, String key, double defaultValue, double min)
             throws InvalidConfigException {
         String value = values.get(key);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             double parsed = Double.parseDouble(value);
-            if (Double.isFinite(parsed) && parsed >= least) {
+            if (Double.isFinite(parsed) && parsed >= min) {
                 return parsed;
             }
         } catch (NumberFormatException e) {
--- a/src/main/java/reeldeal/config/ConfigValues.java
+++ b/src/main/java/reeldeal/config/ConfigValues.java
@@ -20,7 +20,7 @@
  */
 final class ConfigValues {
     private static final JsonFactory JSON = new JsonFactory();
-    private static final int PERCENT = 100;
+    private static final int MAX_PERCENT = 100;
 
     private final String source;
     private final Map<String, String> values;
@@ -46,8 +46,8 @@
     }
 
     /** An error about a key. */
-    InvalidConfigException invalid(String key, String what) {
-        return new InvalidConfigException(source + " " + key + ": " + what);
+    InvalidConfigException invalid(String key, String problem) {
+        return new InvalidConfigException(source + " " + key + ": " + problem);
     }
 
     /** All keys, in order. */
@@ -56,18 +56,19 @@
     }
 
     /** Whether any key begins so. */
-    boolean hasUnder(String prefix) {
+    boolean hasKeysUnder(String prefix) {
         return values.keySet().stream().anyMatch(key -> key.startsWith(prefix));
     }
 
     /** Throws where a key under the prefix is not known; the error lists those that are. */
-    void checkKnown(String prefix, Set<String> known, String first) throws InvalidConfigException {
+    void checkKnown(String prefix, Set<String> known, String listedFirst)
+            throws InvalidConfigException {
         for (String key : keys()) {
             if (key.startsWith(prefix) && !known.contains(key.substring(prefix.length()))) {
                 throw invalid(
                         key,
                         "no such setting; there are "
-                                + first
+                                + listedFirst
                                 + String.join(", ", new TreeSet<>(known)));
             }
         }
@@ -82,12 +83,12 @@
         return values.get(key);
     }
 
-    String get(String key, String otherwise) {
-        return values.getOrDefault(key, otherwise);
+    String get(String key, String defaultValue) {
+        return values.getOrDefault(key, defaultValue);
     }
 
     /** A setting that must be there. */
-    String text(String key) throws InvalidConfigException {
+    String required(String key) throws InvalidConfigException {
         String value = values.get(key);
         if (value == null || value.isEmpty()) {
             throw invalid(key, "not set");
@@ -105,8 +106,8 @@
     }
 
     /** Values joined by commas. */
-    List<String> list(String key, String otherwise) {
-        String joined = values.getOrDefault(key, otherwise);
+    List<String> list(String key, String defaultValue) {
+        String joined = values.getOrDefault(key, defaultValue);
         return joined.isEmpty() ? List.of() : List.of(joined.split(","));
     }
 
@@ -116,45 +117,43 @@
     }
 
     /** A whole number within bounds. */
-    long number(String key, long otherwise, long least, long most) throws InvalidConfigException {
+    long number(String key, long defaultValue, long min, long max) throws InvalidConfigException {
         String value = values.get(key);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (!value.matches("[0-9]{1,12}")
-                || Long.parseLong(value) < least
-                || Long.parseLong(value) > most) {
+                || Long.parseLong(value) < min
+                || Long.parseLong(value) > max) {
             throw invalid(
-                    key,
-                    "expected a whole number from " + least + " to " + most + ", found " + value);
+                    key, "expected a whole number from " + min + " to " + max + ", found " + value);
         }
         return Long.parseLong(value);
     }
 
     /** A time in ms, of at least so many. */
-    long millis(String key, long otherwise, long least) throws InvalidConfigException {
-        String value = values.getOrDefault(key, String.valueOf(otherwise));
-        if (!value.matches("[0-9]{1,7}") || Long.parseLong(value) < least) {
-            throw invalid(
-                    key, "expected a whole number of ms from " + least + " on, found " + value);
+    long numberAtLeast(String key, long defaultValue, long min) throws InvalidConfigException {
+        String value = values.getOrDefault(key, String.valueOf(defaultValue));
+        if (!value.matches("[0-9]{1,7}") || Long.parseLong(value) < min) {
+            throw invalid(key, "expected a whole number of ms from " + min + " on, found " + value);
         }
         return Long.parseLong(value);
     }
 
     /** A percentage, as a share from 0 to 1. */
-    double percent(String key, double otherwise) throws InvalidConfigException {
+    double percent(String key, double defaultValue) throws InvalidConfigException {
         String value = values.get(key);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
-        if (!value.matches("[0-9]{1,3}") || Integer.parseInt(value) > PERCENT) {
+        if (!value.matches("[0-9]{1,3}") || Integer.parseInt(value) > MAX_PERCENT) {
             throw invalid(key, "expected a whole number from 0 to 100, found " + value);
         }
-        return Integer.parseInt(value) / (double) PERCENT;
+        return Integer.parseInt(value) / (double) MAX_PERCENT;
     }
 
     /** An address on this machine, {@code host:port}. */
-    InetSocketAddress loopback(String key) throws InvalidConfigException {
+    InetSocketAddress loopbackAddress(String key) throws InvalidConfigException {
         InetSocketAddress address = BrokerConfig.address(values, key);
         if (address.isUnresolved() || !address.getAddress().isLoopbackAddress()) {
             throw invalid(key, "not a loopback address: " + address.getHostString());
--- a/src/main/java/reeldeal/config/JsonPaths.java
+++ b/src/main/java/reeldeal/config/JsonPaths.java
@@ -16,7 +16,7 @@
     private JsonPaths() {}
 
     /** Reads the value that the parser stands on. */
-    public static void read(JsonParser json, String path, Map<String, String> into, int depth)
+    public static void read(JsonParser json, String path, Map<String, String> target, int depth)
             throws IOException {
         if (depth > MAX_DEPTH) {
             throw new IOException("nested too deep at " + path);
@@ -26,27 +26,27 @@
             while (json.nextToken() == JsonToken.FIELD_NAME) {
                 String name = json.currentName();
                 json.nextToken();
-                read(json, path.isEmpty() ? name : path + "." + name, into, depth + 1);
+                read(json, path.isEmpty() ? name : path + "." + name, target, depth + 1);
             }
         } else if (token == JsonToken.START_ARRAY) {
-            StringJoiner plain = new StringJoiner(",");
+            StringJoiner scalars = new StringJoiner(",");
             int count = 0;
-            boolean objects = false;
+            boolean hasObjects = false;
             while (json.nextToken() != JsonToken.END_ARRAY) {
                 if (json.currentToken().isScalarValue()) {
                     // A comma in a name would split the joined list.
-                    plain.add(json.getText().replace(',', '_'));
+                    scalars.add(json.getText().replace(',', '_'));
                 } else {
-                    objects = true;
-                    read(json, path + "." + count, into, depth + 1);
+                    hasObjects = true;
+                    read(json, path + "." + count, target, depth + 1);
                 }
                 count++;
             }
-            into.put(
-                    objects ? path + ".count" : path,
-                    objects ? String.valueOf(count) : plain.toString());
+            target.put(
+                    hasObjects ? path + ".count" : path,
+                    hasObjects ? String.valueOf(count) : scalars.toString());
         } else if (token != JsonToken.VALUE_NULL) {
-            into.put(path, json.getText());
+            target.put(path, json.getText());
         }
     }
 }
--- a/src/main/java/reeldeal/config/OpenSearchConfig.java
+++ b/src/main/java/reeldeal/config/OpenSearchConfig.java
@@ -31,14 +31,14 @@
     public record Segment(String name, int shard) {}
 
     private static final JsonFactory JSON = new JsonFactory();
-    private static final String FILE = "deploy/search.json";
+    private static final String DEFAULT_FILE = "deploy/search.json";
 
     /** Reads the file, which REELDEAL_SEARCH names; null where there is none. */
     static OpenSearchConfig read(Map<String, String> environment, List<String> classes, int shards)
             throws InvalidConfigException {
-        String named = environment.getOrDefault("REELDEAL_SEARCH", "");
-        Path file = Path.of(named.isEmpty() ? FILE : named);
-        if (named.isEmpty() && !Files.exists(file)) {
+        String configuredFile = environment.getOrDefault("REELDEAL_SEARCH", "");
+        Path file = Path.of(configuredFile.isEmpty() ? DEFAULT_FILE : configuredFile);
+        if (configuredFile.isEmpty() && !Files.exists(file)) {
             return null;
         }
         Map<String, String> values = new HashMap<>();
@@ -127,10 +127,10 @@
             throws InvalidConfigException {
         String key = "indices." + index + ".segments";
         List<Segment> segments = new ArrayList<>();
-        Set<Integer> taken = new HashSet<>();
+        Set<Integer> usedShards = new HashSet<>();
         for (Map.Entry<String, Integer> segment : shardsByName.entrySet()) {
             int shard = segment.getValue();
-            if (shard < 0 || (shards > 0 && shard >= shards) || !taken.add(shard)) {
+            if (shard < 0 || (shards > 0 && shard >= shards) || !usedShards.add(shard)) {
                 throw new InvalidConfigException(
                         key + "." + segment.getKey() + ": bad shard " + shard);
             }
--- a/src/main/java/reeldeal/config/SettingsParser.java
+++ b/src/main/java/reeldeal/config/SettingsParser.java
@@ -19,7 +19,7 @@
  */
 public final class SettingsParser {
     /** What the settings call the values whose range the module's type checks. */
-    private static final Map<String, String> KEYS =
+    private static final Map<String, String> KEYS_BY_SETTING =
             Map.ofEntries(
                     Map.entry("brokers", "Instances"),
                     Map.entry("tickMs", "PeriodMs"),
@@ -55,9 +55,10 @@
     public static Settings parse(String text, long seed) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
-            int eq = line.indexOf('=');
-            if (eq > 0) {
-                values.put(line.substring(0, eq).trim(), line.substring(eq + 1).trim());
+            int separator = line.indexOf('=');
+            if (separator > 0) {
+                values.put(
+                        line.substring(0, separator).trim(), line.substring(separator + 1).trim());
             }
         }
         return parse(values, seed);
@@ -70,27 +71,27 @@
 
     private Settings settings(long seed) {
         List<QueryClass> classes = new ArrayList<>();
-        int count = whole("Categories.count");
-        for (int index = 0; index < count; index++) {
+        int classCount = integer("Categories.count");
+        for (int index = 0; index < classCount; index++) {
             classes.add(queryClass(index, "Categories." + index + "."));
         }
         List<Tenant> tenants = new ArrayList<>();
-        int orgs = values.containsKey("Orgs.count") ? whole("Orgs.count") : 0;
-        for (int index = 0; index < orgs; index++) {
+        int tenantCount = values.containsKey("Orgs.count") ? integer("Orgs.count") : 0;
+        for (int index = 0; index < tenantCount; index++) {
             tenants.add(new Tenant(number("Orgs." + index + ".AllowancePerS")));
         }
         String columns = text("Telemetry.Columns", "");
         try {
             return new Settings(
                     seed,
-                    whole("SelfIndex"),
-                    whole("Instances"),
-                    whole("MyZone"),
+                    integer("SelfIndex"),
+                    integer("Instances"),
+                    integer("MyZone"),
                     number("PeriodMs"),
                     text("Discovery", "pushed").equals("on_request"),
                     new Layout(
-                            whole("FamilyInfo.Cells"),
-                            whole("FamilyInfo.InARow"),
+                            integer("FamilyInfo.Cells"),
+                            integer("FamilyInfo.InARow"),
                             (int) number("FamilyInfo.Batch", 1),
                             number("FamilyInfo.PerCallWorkMs", 0)),
                     classes,
@@ -101,35 +102,35 @@
                     columns.isEmpty() ? List.of() : List.of(columns.split(",")));
         } catch (DecisionModule.SettingOutOfRangeException e) {
             throw new IllegalArgumentException(
-                    "setting out of range: " + KEYS.getOrDefault(e.setting, e.setting));
+                    "setting out of range: " + KEYS_BY_SETTING.getOrDefault(e.setting, e.setting));
         }
     }
 
-    private QueryClass queryClass(int index, String at) {
-        RepeatSafety effect =
-                switch (text(at + "Semantics", null)) {
+    private QueryClass queryClass(int index, String prefix) {
+        RepeatSafety repeatSafety =
+                switch (text(prefix + "Semantics", null)) {
                     case "repeatable" -> RepeatSafety.IDEMPOTENT;
                     case "by_key" -> RepeatSafety.IDEMPOTENT_WITH_KEY;
                     case "once" -> RepeatSafety.NOT_IDEMPOTENT;
-                    default -> throw bad(at + "Semantics");
+                    default -> throw malformed(prefix + "Semantics");
                 };
         return new QueryClass(
-                number(at + "AimMs"),
-                number(at + "AimStretch", 0),
-                number(at + "HardLimitMs"),
-                number(at + "Worth"),
-                number(at + "LateWorth", 0),
-                effect,
-                number(at + "WindowMs", 0),
-                listed("FamilyInfo.CompleteFrom", index, 1),
-                listed("FamilyInfo.LeastShare", index, 1),
-                listed("FamilyInfo.PartialEarns", index, 0),
-                (int) listed("FamilyInfo.ClassFetch", index, 0));
+                number(prefix + "AimMs"),
+                number(prefix + "AimStretch", 0),
+                number(prefix + "HardLimitMs"),
+                number(prefix + "Worth"),
+                number(prefix + "LateWorth", 0),
+                repeatSafety,
+                number(prefix + "WindowMs", 0),
+                valueForClass("FamilyInfo.CompleteFrom", index, 1),
+                valueForClass("FamilyInfo.LeastShare", index, 1),
+                valueForClass("FamilyInfo.PartialEarns", index, 0),
+                (int) valueForClass("FamilyInfo.ClassFetch", index, 0));
     }
 
     private Limits limits() {
         return new Limits(
-                whole("PolicyLimits.MaxAttempts"),
+                integer("PolicyLimits.MaxAttempts"),
                 flag("PolicyLimits.SecondCopies"),
                 flag("PolicyLimits.Cancel"),
                 flag("PolicyLimits.Probing"),
@@ -138,7 +139,7 @@
     }
 
     private Rules rules() {
-        boolean budgeted = values.containsKey("Rules.LookBackMs");
+        boolean hasRetryWindow = values.containsKey("Rules.LookBackMs");
         return new Rules(
                 number("Rules.DrainGraceMs"),
                 number("Rules.ColdFrom"),
@@ -147,12 +148,12 @@
                 number("Rules.FallMs"),
                 number("Rules.FreeResends", 0),
                 number("Rules.RepeatRatio", 0),
-                budgeted ? number("Rules.LookBackMs") : 0,
+                hasRetryWindow ? number("Rules.LookBackMs") : 0,
                 number("Rules.MustAskInMs", 0));
     }
 
-    private String text(String key, String otherwise) {
-        String value = values.getOrDefault(key, otherwise);
+    private String text(String key, String defaultValue) {
+        String value = values.getOrDefault(key, defaultValue);
         if (value == null) {
             throw new IllegalArgumentException("setting missing: " + key);
         }
@@ -163,14 +164,14 @@
         return parse(key, text(key, null));
     }
 
-    private double number(String key, double otherwise) {
-        return values.containsKey(key) ? number(key) : otherwise;
+    private double number(String key, double defaultValue) {
+        return values.containsKey(key) ? number(key) : defaultValue;
     }
 
-    private int whole(String key) {
+    private int integer(String key) {
         double value = number(key);
         if (value != Math.rint(value) || Math.abs(value) > Integer.MAX_VALUE) {
-            throw bad(key);
+            throw malformed(key);
         }
         return (int) value;
     }
@@ -179,20 +180,20 @@
         return switch (text(key, "false")) {
             case "true" -> true;
             case "false" -> false;
-            default -> throw bad(key);
+            default -> throw malformed(key);
         };
     }
 
-    private double listed(String key, int index, double otherwise) {
+    private double valueForClass(String key, int classIndex, double defaultValue) {
         String value = text(key, "");
         if (value.isEmpty()) {
-            return otherwise;
+            return defaultValue;
         }
         String[] items = value.split(",");
-        if (index >= items.length) {
-            throw bad(key);
+        if (classIndex >= items.length) {
+            throw malformed(key);
         }
-        return parse(key, items[index]);
+        return parse(key, items[classIndex]);
     }
 
     private double parse(String key, String value) {
@@ -204,10 +205,10 @@
         } catch (NumberFormatException e) {
             // named below
         }
-        throw bad(key);
+        throw malformed(key);
     }
 
-    private IllegalArgumentException bad(String key) {
+    private IllegalArgumentException malformed(String key) {
         return new IllegalArgumentException("setting malformed: " + key + "=" + values.get(key));
     }
 }
--- a/src/main/java/reeldeal/config/StoreConfigReader.java
+++ b/src/main/java/reeldeal/config/StoreConfigReader.java
@@ -24,15 +24,15 @@
 public record StoreConfigReader(
         StoreConfig store, ZonesConfig zones, FleetConfig fleet, TakeoverConfig handover) {
     private static final String DEFAULT_FILE = "deploy/store.json";
-    private static final String NODES = "nodes.";
-    private static final String NAME = "[A-Za-z0-9_.-]{1,64}";
+    private static final String NODES_PREFIX = "nodes.";
+    private static final String NAME_PATTERN = "[A-Za-z0-9_.-]{1,64}";
 
     /** Reads the file, which REELDEAL_STORE names; null where there is none. */
     public static StoreConfigReader read(Map<String, String> environment)
             throws InvalidConfigException {
-        String named = environment.getOrDefault("REELDEAL_STORE", "");
-        Path file = Path.of(named.isEmpty() ? DEFAULT_FILE : named);
-        if (named.isEmpty() && !Files.exists(file)) {
+        String configuredFile = environment.getOrDefault("REELDEAL_STORE", "");
+        Path file = Path.of(configuredFile.isEmpty() ? DEFAULT_FILE : configuredFile);
+        if (configuredFile.isEmpty() && !Files.exists(file)) {
             return null;
         }
         ConfigValues values = ConfigValues.read("store", file);
@@ -40,8 +40,8 @@
         int voters = store.voters().isEmpty() ? store.nodes().size() : store.voters().size();
         return new StoreConfigReader(
                 store,
-                values.hasUnder("dns.") ? ZonesConfigReader.read(values) : null,
-                values.hasUnder("fleet.") ? FleetConfigReader.read(values) : null,
+                values.hasKeysUnder("dns.") ? ZonesConfigReader.read(values) : null,
+                values.hasKeysUnder("fleet.") ? FleetConfigReader.read(values) : null,
                 TakeoverConfigReader.read(values, voters));
     }
 
@@ -49,12 +49,12 @@
     // they are not read.
     private static StoreConfig store(ConfigValues values) throws InvalidConfigException {
         Map<String, InetSocketAddress> nodes = nodes(values);
-        String node = values.text("node");
+        String node = values.required("node");
         if (!nodes.containsKey(node)) {
             throw new InvalidConfigException("store nodes: " + node + " is not among them");
         }
         String group = values.get("group", "default");
-        if (!group.matches(NAME) || !node.matches(NAME)) {
+        if (!group.matches(NAME_PATTERN) || !node.matches(NAME_PATTERN)) {
             throw new InvalidConfigException(
                     "store group, node: expected letters, digits, - _ . and 64 of them at most");
         }
@@ -71,7 +71,7 @@
                 nodes,
                 voters,
                 joins,
-                Path.of(values.text("folder")),
+                Path.of(values.required("folder")),
                 backup == null ? null : Path.of(backup),
                 backupEveryMs);
     }
@@ -80,8 +80,8 @@
             throws InvalidConfigException {
         Map<String, InetSocketAddress> nodes = new TreeMap<>();
         for (String key : values.keys()) {
-            if (key.startsWith(NODES)) {
-                nodes.put(key.substring(NODES.length()), values.loopback(key));
+            if (key.startsWith(NODES_PREFIX)) {
+                nodes.put(key.substring(NODES_PREFIX.length()), values.loopbackAddress(key));
             }
         }
         return nodes;
--- a/src/main/java/reeldeal/config/TakeoverConfigReader.java
+++ b/src/main/java/reeldeal/config/TakeoverConfigReader.java
@@ -13,9 +13,9 @@
  */
 final class TakeoverConfigReader {
     private static final String PREFIX = "handover.";
-    private static final String CLASSES = "handover.classes.";
-    private static final int LEAST_VOTERS = 3;
-    private static final Set<String> KNOWN =
+    private static final String CLASSES_PREFIX = "handover.classes.";
+    private static final int MIN_VOTERS = 3;
+    private static final Set<String> KNOWN_KEYS =
             Set.of(
                     "keyed",
                     "make_ms",
@@ -35,29 +35,29 @@
      */
     static TakeoverConfig read(ConfigValues values, int voters) throws InvalidConfigException {
         checkKeys(values);
-        boolean fleet = values.hasUnder("fleet.");
-        if (values.hasUnder(PREFIX) && !fleet) {
+        boolean hasFleet = values.hasKeysUnder("fleet.");
+        if (values.hasKeysUnder(PREFIX) && !hasFleet) {
             throw new InvalidConfigException(
                     "store handover: needs fleet, since work is taken over once its owner's lease has ended");
         }
         TakeoverConfig config = settings(values, voters);
-        boolean on =
+        boolean enabled =
                 config.keyedMode() != Mode.OFF
                         || config.classes().values().stream().anyMatch(mode -> mode != Mode.OFF);
-        return fleet && on ? config : null;
+        return hasFleet && enabled ? config : null;
     }
 
     private static void checkKeys(ConfigValues values) throws InvalidConfigException {
         for (String key : values.keys()) {
             boolean known =
                     !key.startsWith(PREFIX)
-                            || key.startsWith(CLASSES)
-                            || KNOWN.contains(key.substring(PREFIX.length()));
+                            || key.startsWith(CLASSES_PREFIX)
+                            || KNOWN_KEYS.contains(key.substring(PREFIX.length()));
             if (!known) {
                 throw values.invalid(
                         key,
                         "no such setting; there are classes, "
-                                + String.join(", ", new TreeSet<>(KNOWN)));
+                                + String.join(", ", new TreeSet<>(KNOWN_KEYS)));
             }
         }
     }
@@ -65,52 +65,53 @@
     private static TakeoverConfig settings(ConfigValues values, int voters)
             throws InvalidConfigException {
         TakeoverConfig defaults = TakeoverConfig.DEFAULT;
-        Mode keyed = voters >= LEAST_VOTERS ? defaults.keyedMode() : Mode.OFF;
+        Mode keyedMode = voters >= MIN_VOTERS ? defaults.keyedMode() : Mode.OFF;
         return new TakeoverConfig(
-                mode(values, "handover.keyed", keyed),
+                mode(values, "handover.keyed", keyedMode),
                 classes(values),
-                values.millis("handover.make_ms", defaults.recordTimeoutMs(), 1),
-                values.millis("handover.keep_ms", defaults.retentionMs(), 1_000),
-                1_000 * values.millis("handover.most_kb", defaults.maxBytes() / 1_000, 100),
-                (int) values.millis("handover.most_open", defaults.maxOpenRecords(), 1),
-                (int) values.millis("handover.claims", defaults.maxClaims(), 1),
-                values.millis("handover.error_ms", defaults.clockErrorMs(), 1),
-                values.millis("handover.least_ms", defaults.minimumTimeLeftMs(), 1),
-                learned(values, defaults));
+                values.numberAtLeast("handover.make_ms", defaults.recordTimeoutMs(), 1),
+                values.numberAtLeast("handover.keep_ms", defaults.retentionMs(), 1_000),
+                1_000 * values.numberAtLeast("handover.most_kb", defaults.maxBytes() / 1_000, 100),
+                (int) values.numberAtLeast("handover.most_open", defaults.maxOpenRecords(), 1),
+                (int) values.numberAtLeast("handover.claims", defaults.maxClaims(), 1),
+                values.numberAtLeast("handover.error_ms", defaults.clockErrorMs(), 1),
+                values.numberAtLeast("handover.least_ms", defaults.minimumTimeLeftMs(), 1),
+                sharedStats(values, defaults));
     }
 
     private static Map<String, Mode> classes(ConfigValues values) throws InvalidConfigException {
         Map<String, Mode> classes = new TreeMap<>();
         for (String key : values.keys()) {
-            if (key.startsWith(CLASSES)) {
-                classes.put(key.substring(CLASSES.length()), mode(values, key, null));
+            if (key.startsWith(CLASSES_PREFIX)) {
+                classes.put(key.substring(CLASSES_PREFIX.length()), mode(values, key, null));
             }
         }
         return classes;
     }
 
-    private static Set<String> learned(ConfigValues values, TakeoverConfig defaults)
+    private static Set<String> sharedStats(ConfigValues values, TakeoverConfig defaults)
             throws InvalidConfigException {
-        String text = values.get("handover.learned");
-        if (text == null) {
+        String configured = values.get("handover.learned");
+        if (configured == null) {
             return defaults.sharedStats();
         }
-        Set<String> learned = new TreeSet<>();
-        for (String word : text.isEmpty() ? new String[0] : text.split("[, ]+")) {
-            if (!word.matches("ejections|paces")) {
+        Set<String> sharedStats = new TreeSet<>();
+        for (String statistic : configured.isEmpty() ? new String[0] : configured.split("[, ]+")) {
+            if (!statistic.matches("ejections|paces")) {
                 throw values.invalid(
-                        "handover.learned", "expected ejections, paces, or nothing, found " + word);
+                        "handover.learned",
+                        "expected ejections, paces, or nothing, found " + statistic);
             }
-            learned.add(word);
+            sharedStats.add(statistic);
         }
-        return learned;
+        return sharedStats;
     }
 
-    private static Mode mode(ConfigValues values, String key, Mode otherwise)
+    private static Mode mode(ConfigValues values, String key, Mode defaultMode)
             throws InvalidConfigException {
         String value = values.get(key);
         if (value == null) {
-            return otherwise;
+            return defaultMode;
         }
         return switch (value) {
             case "required" -> Mode.REQUIRED;
--- a/src/main/java/reeldeal/config/TsigKeyFile.java
+++ b/src/main/java/reeldeal/config/TsigKeyFile.java
@@ -24,7 +24,7 @@
  */
 public final class TsigKeyFile {
     private static final JsonFactory JSON = new JsonFactory();
-    private static final int MIN_SECRET = 16;
+    private static final int MIN_SECRET_BYTES = 16;
 
     private TsigKeyFile() {}
 
@@ -38,10 +38,10 @@
         Map<String, String> values = new HashMap<>();
         try {
             if (checkMode && Files.getFileStore(file).supportsFileAttributeView("posix")) {
-                Set<PosixFilePermission> others =
+                Set<PosixFilePermission> otherPermissions =
                         EnumSet.copyOf(Files.getPosixFilePermissions(file));
-                others.removeAll(PosixFilePermissions.fromString("rwx------"));
-                if (!others.isEmpty()) {
+                otherPermissions.removeAll(PosixFilePermissions.fromString("rwx------"));
+                if (!otherPermissions.isEmpty()) {
                     throw new InvalidConfigException(
                             file
                                     + ": expected mode 600 or 400, found "
@@ -76,9 +76,12 @@
         }
         try {
             byte[] secret = Base64.getDecoder().decode(values.getOrDefault("secret", ""));
-            if (secret.length < MIN_SECRET) {
+            if (secret.length < MIN_SECRET_BYTES) {
                 throw new InvalidConfigException(
-                        file + ": secret: expected at least " + MIN_SECRET + " bytes in base64");
+                        file
+                                + ": secret: expected at least "
+                                + MIN_SECRET_BYTES
+                                + " bytes in base64");
             }
             return new Tsig.Key(
                     name, algorithm.endsWith(".") ? algorithm : algorithm + ".", secret);
--- a/src/main/java/reeldeal/config/ZonesConfigReader.java
+++ b/src/main/java/reeldeal/config/ZonesConfigReader.java
@@ -24,7 +24,7 @@
  * The part {@code dns} of the store's file: zones, keys, access and the rules of the endpoint view.
  */
 final class ZonesConfigReader {
-    private static final Set<String> KNOWN =
+    private static final Set<String> KNOWN_KEYS =
             Set.of(
                     "listen",
                     "origin",
@@ -42,7 +42,7 @@
                     "members.flap_limit",
                     "members.flap_reuse",
                     "members.flap_half_life_ms");
-    private static final Set<String> ZONE_KNOWN =
+    private static final Set<String> KNOWN_ZONE_KEYS =
             Set.of(
                     "origin",
                     "file",
@@ -59,8 +59,8 @@
     private ZonesConfigReader() {}
 
     static ZonesConfig read(ConfigValues values) throws InvalidConfigException {
-        checkNames(values);
-        InetSocketAddress listen = values.loopback("dns.listen");
+        checkKeys(values);
+        InetSocketAddress listen = values.loopbackAddress("dns.listen");
         Map<String, Tsig.Key> keys = new LinkedHashMap<>();
         for (String file : values.list("dns.key_files", "")) {
             // A checkout knows no modes: the example's keys, which are no secret, are read as they
@@ -78,7 +78,7 @@
             zones.add(zone(values, "dns.zones." + i + ".", keys));
         }
         if (values.has("dns.origin")) {
-            zones.add(simple(values, keys));
+            zones.add(shortFormZone(values, keys));
         }
         for (ZonesConfig.Entry zone : zones) {
             if (!origins.add(zone.origin())) {
@@ -141,25 +141,25 @@
     }
 
     /** What no one reads is a mistake: a key with a slip in it must not go unseen. */
-    private static void checkNames(ConfigValues values) throws InvalidConfigException {
+    private static void checkKeys(ConfigValues values) throws InvalidConfigException {
         for (String key : values.keys()) {
             if (!key.startsWith("dns.")) {
                 continue;
             }
-            String rest = key.substring("dns.".length());
-            String inZone = rest.replaceFirst("^zones\\.[0-9]+\\.", "");
+            String dnsKey = key.substring("dns.".length());
+            String zoneKey = dnsKey.replaceFirst("^zones\\.[0-9]+\\.", "");
             boolean known =
-                    KNOWN.contains(rest)
-                            || (!inZone.equals(rest)
-                                    && (ZONE_KNOWN.contains(inZone)
-                                            || inZone.matches(
+                    KNOWN_KEYS.contains(dnsKey)
+                            || (!zoneKey.equals(dnsKey)
+                                    && (KNOWN_ZONE_KEYS.contains(zoneKey)
+                                            || zoneKey.matches(
                                                     "(primaries|notify)\\.[0-9]+\\.(address|key)")
-                                            || inZone.matches(
+                                            || zoneKey.matches(
                                                     "grants\\.[0-9]+\\.(key|names|types)")));
             // An empty list has no form: it stands under the name of the list itself.
             boolean emptyList =
                     values.get(key).isEmpty()
-                            && rest.matches("zones|zones\\.[0-9]+\\.(primaries|notify|grants)");
+                            && dnsKey.matches("zones|zones\\.[0-9]+\\.(primaries|notify|grants)");
             if (!known && !emptyList) {
                 throw values.invalid(key, "no such setting");
             }
@@ -167,9 +167,9 @@
     }
 
     /** The short form: one zone of searchers, which loopback may read and, without keys, change. */
-    private static ZonesConfig.Entry simple(ConfigValues values, Map<String, Tsig.Key> keys)
+    private static ZonesConfig.Entry shortFormZone(ConfigValues values, Map<String, Tsig.Key> keys)
             throws InvalidConfigException {
-        Path file = file(values, "dns.zone_file");
+        Path file = readableFile(values, "dns.zone_file");
         return new ZonesConfig.Entry(
                 origin(values, "dns.origin"),
                 file,
@@ -177,16 +177,17 @@
                 List.of(),
                 AccessList.parse(List.of("any")),
                 AccessList.parse(List.of("loopback")),
-                defaultUpdate(keys, List.of()),
+                defaultUpdateAccess(keys, List.of()),
                 List.of(),
                 true,
                 100_000,
                 1_000_000);
     }
 
-    private static AccessList defaultUpdate(Map<String, Tsig.Key> keys, List<UpdateGrant> grants) {
+    private static AccessList defaultUpdateAccess(
+            Map<String, Tsig.Key> keys, List<UpdateGrant> grants) {
         List<String> entries = new ArrayList<>();
-        grants.forEach(g -> entries.add("key:" + g.key()));
+        grants.forEach(grant -> entries.add("key:" + grant.key()));
         return AccessList.parse(keys.isEmpty() ? List.of("loopback") : entries);
     }
 
@@ -203,14 +204,14 @@
         boolean searchers = values.flag(prefix + "searchers");
         return new ZonesConfig.Entry(
                 origin,
-                primaries.isEmpty() ? file(values, prefix + "file") : null,
+                primaries.isEmpty() ? readableFile(values, prefix + "file") : null,
                 primaries,
                 peers(values, prefix + "notify", keys),
                 accessList(values, prefix + "allow_query", "any", keys),
                 accessList(values, prefix + "allow_transfer", "loopback", keys),
                 values.has(prefix + "allow_update")
                         ? accessList(values, prefix + "allow_update", "", keys)
-                        : defaultUpdate(keys, grants),
+                        : defaultUpdateAccess(keys, grants),
                 grants,
                 searchers,
                 (int) values.number(prefix + "journal_records", 100_000, 0, 10_000_000),
@@ -222,7 +223,7 @@
             throws InvalidConfigException {
         List<UpdateGrant> grants = new ArrayList<>();
         for (int i = 0; i < values.count(prefix); i++) {
-            String key = key(values, prefix + "." + i + ".key", keys);
+            String key = keyName(values, prefix + "." + i + ".key", keys);
             if (key == null) {
                 throw new InvalidConfigException("store " + prefix + "." + i + ".key: not set");
             }
@@ -269,52 +270,55 @@
         for (int i = 0; i < values.count(prefix); i++) {
             peers.add(
                     new ZonesConfig.Peer(
-                            values.loopback(prefix + "." + i + ".address"),
-                            key(values, prefix + "." + i + ".key", keys)));
+                            values.loopbackAddress(prefix + "." + i + ".address"),
+                            keyName(values, prefix + "." + i + ".key", keys)));
         }
         return List.copyOf(peers);
     }
 
-    private static String key(ConfigValues values, String prefix, Map<String, Tsig.Key> keys)
+    private static String keyName(ConfigValues values, String setting, Map<String, Tsig.Key> keys)
             throws InvalidConfigException {
-        String named = values.get(prefix);
-        String name = named == null ? null : Names.parse(named, ".");
-        if (named != null && !keys.containsKey(name)) {
-            throw values.invalid(prefix, "expected a key of dns.key_files, found " + named);
+        String configuredName = values.get(setting);
+        String name = configuredName == null ? null : Names.parse(configuredName, ".");
+        if (configuredName != null && !keys.containsKey(name)) {
+            throw values.invalid(
+                    setting, "expected a key of dns.key_files, found " + configuredName);
         }
         return name;
     }
 
     private static AccessList accessList(
-            ConfigValues values, String prefix, String otherwise, Map<String, Tsig.Key> keys)
+            ConfigValues values, String setting, String defaultEntries, Map<String, Tsig.Key> keys)
             throws InvalidConfigException {
-        List<String> entries = values.list(prefix, otherwise);
+        List<String> entries = values.list(setting, defaultEntries);
         for (String entry : entries) {
             if (entry.startsWith("key:")
                     && !keys.containsKey(Names.parse(entry.substring(4), "."))) {
-                throw values.invalid(prefix, "expected a key of dns.key_files, found " + entry);
+                throw values.invalid(setting, "expected a key of dns.key_files, found " + entry);
             }
         }
         try {
             return AccessList.parse(entries);
         } catch (IllegalArgumentException e) {
-            throw values.invalid(prefix, e.getMessage());
+            throw values.invalid(setting, e.getMessage());
         }
     }
 
-    private static String origin(ConfigValues values, String prefix) throws InvalidConfigException {
-        String text = values.text(prefix);
+    private static String origin(ConfigValues values, String setting)
+            throws InvalidConfigException {
+        String text = values.required(setting);
         String origin = Names.parse(text, ".");
         if (origin == null || origin.equals(".")) {
-            throw values.invalid(prefix, "expected a domain name, found " + text);
+            throw values.invalid(setting, "expected a domain name, found " + text);
         }
         return origin;
     }
 
-    private static Path file(ConfigValues values, String prefix) throws InvalidConfigException {
-        Path file = Path.of(values.text(prefix));
+    private static Path readableFile(ConfigValues values, String setting)
+            throws InvalidConfigException {
+        Path file = Path.of(values.required(setting));
         if (!Files.isReadable(file)) {
-            throw values.invalid(prefix, "cannot be read: " + file);
+            throw values.invalid(setting, "cannot be read: " + file);
         }
         return file;
     }
--- a/src/main/java/reeldeal/opensearch/IdempotencyCache.java
+++ b/src/main/java/reeldeal/opensearch/IdempotencyCache.java
@@ -24,9 +24,9 @@
         final long requestId;
         final String fingerprint;
         final double firstSubmittedAt;
-        final List<Consumer<Reply>> waiting = new ArrayList<>();
+        final List<Consumer<Reply>> waitingClients = new ArrayList<>();
         boolean inFlight = true;
-        Reply.Served served;
+        Reply.Served servedReply;
 
         Entry(long requestId, String fingerprint, double firstSubmittedAt) {
             this.requestId = requestId;
@@ -42,7 +42,7 @@
         /** The key belongs to another request. */
         DIFFERENT_REQUEST,
         /** An earlier attempt may have taken effect, and repeats are no longer dropped. */
-        WINDOW_OVER
+        WINDOW_EXPIRED
     }
 
     private final RequestSubmitter submitter;
@@ -59,65 +59,67 @@
      * @param windowMs how long searchers drop repeats, ms
      */
     SubmitResult submit(
-            Request request, String fingerprint, double windowMs, Consumer<Reply> reply) {
+            Request request, String fingerprint, double windowMs, Consumer<Reply> client) {
         double now = submitter.now();
-        entries.values().removeIf(e -> !e.inFlight && e.firstSubmittedAt < now - RETENTION_MS);
+        entries.values()
+                .removeIf(entry -> !entry.inFlight && entry.firstSubmittedAt < now - RETENTION_MS);
         String key = key(request.classIndex(), request.idempotencyKey());
         Entry earlier = entries.get(key);
         if (earlier == null) {
-            submitNew(key, new Entry(request.id(), fingerprint, now), request, reply);
+            submitNew(key, new Entry(request.id(), fingerprint, now), request, client);
             return SubmitResult.ACCEPTED;
         }
         if (!earlier.fingerprint.equals(fingerprint)) {
             return SubmitResult.DIFFERENT_REQUEST;
         }
         if (earlier.inFlight) {
-            earlier.waiting.add(reply);
+            earlier.waitingClients.add(client);
             return SubmitResult.ACCEPTED;
         }
-        if (earlier.served != null) {
-            reply.accept(earlier.served);
+        if (earlier.servedReply != null) {
+            client.accept(earlier.servedReply);
             return SubmitResult.ACCEPTED;
         }
         if (now >= earlier.firstSubmittedAt + windowMs) {
-            return SubmitResult.WINDOW_OVER;
+            return SubmitResult.WINDOW_EXPIRED;
         }
-        Entry again = new Entry(request.id(), fingerprint, earlier.firstSubmittedAt);
-        submitNew(key, again, request, reply);
+        Entry resubmitted = new Entry(request.id(), fingerprint, earlier.firstSubmittedAt);
+        submitNew(key, resubmitted, request, client);
         return SubmitResult.ACCEPTED;
     }
 
-    private void submitNew(String key, Entry entry, Request request, Consumer<Reply> reply) {
-        entry.waiting.add(reply);
+    private void submitNew(String key, Entry entry, Request request, Consumer<Reply> client) {
+        entry.waitingClients.add(client);
         entries.put(key, entry);
         if (entries.size() > MAX_ENTRIES) {
-            removeOldestEnded();
+            evictOldestCompleted();
         }
         submitter.submit(
                 request,
-                answer -> {
+                reply -> {
                     entry.inFlight = false;
-                    entry.served = answer instanceof Reply.Served served ? served : null;
-                    List.copyOf(entry.waiting).forEach(waiting -> waiting.accept(answer));
+                    entry.servedReply = reply instanceof Reply.Served served ? served : null;
+                    List.copyOf(entry.waitingClients)
+                            .forEach(waitingClient -> waitingClient.accept(reply));
                 });
     }
 
     /** Bounds the memory. */
-    private void removeOldestEnded() {
+    private void evictOldestCompleted() {
         entries.entrySet().stream()
-                .filter(e -> !e.getValue().inFlight)
+                .filter(entry -> !entry.getValue().inFlight)
                 .findFirst()
                 .map(Map.Entry::getKey)
                 .ifPresent(entries::remove);
     }
 
     /** One client that waits has disconnected; once all have, the request is withdrawn. */
-    void leave(int classIndex, String idempotencyKey, Consumer<Reply> reply) {
+    void removeClient(int classIndex, String idempotencyKey, Consumer<Reply> client) {
         Entry entry = entries.get(key(classIndex, idempotencyKey));
         if (entry != null
                 && entry.inFlight
-                && entry.waiting.remove(reply)
-                && entry.waiting.isEmpty()) {
+                && entry.waitingClients.remove(client)
+                && entry.waitingClients.isEmpty()) {
             entry.inFlight = false;
             submitter.clientDisconnected(entry.requestId);
         }
--- a/src/main/java/reeldeal/opensearch/MsearchHeader.java
+++ b/src/main/java/reeldeal/opensearch/MsearchHeader.java
@@ -13,14 +13,14 @@
     private MsearchHeader() {}
 
     /** The index named, or the other where none is. */
-    static String index(byte[] line, String otherwise) throws UnsupportedRequestException {
+    static String index(byte[] line, String defaultIndex) throws UnsupportedRequestException {
         if (new String(line, StandardCharsets.UTF_8).isBlank()) {
-            return otherwise;
+            return defaultIndex;
         }
-        String index = otherwise;
+        String index = defaultIndex;
         try (JsonParser json = JSON.createParser(line)) {
-            boolean object = json.nextToken() == JsonToken.START_OBJECT;
-            while (object && json.nextToken() == JsonToken.FIELD_NAME) {
+            boolean isObject = json.nextToken() == JsonToken.START_OBJECT;
+            while (isObject && json.nextToken() == JsonToken.FIELD_NAME) {
                 String field = json.currentName();
                 if (!field.equals("index") || json.nextToken() != JsonToken.VALUE_STRING) {
                     throw UnsupportedRequestException.illegalArgument(
@@ -28,7 +28,7 @@
                 }
                 index = json.getText();
             }
-            if (!object || json.nextToken() != null) {
+            if (!isObject || json.nextToken() != null) {
                 throw UnsupportedRequestException.parsing("malformed metadata line");
             }
         } catch (IOException e) {
--- a/src/main/java/reeldeal/opensearch/OpenSearchCodec.java
+++ b/src/main/java/reeldeal/opensearch/OpenSearchCodec.java
@@ -20,7 +20,7 @@
     private OpenSearchCodec() {}
 
     /** The body that asks for these parts; each names its shard by {@code preference}. */
-    static byte[] call(List<Effect.Send> sends, double now) {
+    static byte[] encodeCall(List<Effect.Send> sends, double now) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256 * sends.size());
         try (JsonGenerator json = JSON.createGenerator(out)) {
             for (Effect.Send send : sends) {
@@ -37,7 +37,7 @@
                 json.writeEndObject();
                 json.writeNumberField("size", 1);
                 json.writeStringField("timeout", (long) send.remainingMs(now) + "ms");
-                ext(json, send);
+                writeExt(json, send);
                 json.writeEndObject();
                 json.writeRaw('\n');
             }
@@ -47,7 +47,7 @@
         return out.toByteArray();
     }
 
-    private static void ext(JsonGenerator json, Effect.Send send) throws IOException {
+    private static void writeExt(JsonGenerator json, Effect.Send send) throws IOException {
         json.writeObjectFieldStart("ext");
         json.writeStringField("query", send.request().name());
         if (send.request().idempotencyKey() != null) {
@@ -68,7 +68,7 @@
      * How each part ended by this body, in their order; throws IOException where it is no such
      * answer.
      */
-    static List<AttemptEnd> answer(byte[] body) throws IOException {
+    static List<AttemptEnd> decodeResponses(byte[] body) throws IOException {
         List<AttemptEnd> ends = null;
         try (JsonParser json = JSON.createParser(body)) {
             require(json.nextToken() == JsonToken.START_OBJECT);
@@ -79,7 +79,7 @@
                     require(json.currentToken() == JsonToken.START_ARRAY);
                     ends = new ArrayList<>();
                     while (json.nextToken() != JsonToken.END_ARRAY) {
-                        ends.add(response(json));
+                        ends.add(readResponse(json));
                     }
                 } else {
                     json.skipChildren();
@@ -90,18 +90,18 @@
         }
     }
 
-    private static AttemptEnd response(JsonParser json) throws IOException {
+    private static AttemptEnd readResponse(JsonParser json) throws IOException {
         require(json.currentToken() == JsonToken.START_OBJECT);
         int status = 200;
-        boolean late = false;
+        boolean timedOut = false;
         AttemptEnd.Served served = null;
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String field = json.currentName();
             json.nextToken();
             switch (field) {
                 case "status" -> status = json.getIntValue();
-                case "timed_out" -> late = json.getBooleanValue();
-                case "hits" -> served = hits(json);
+                case "timed_out" -> timedOut = json.getBooleanValue();
+                case "hits" -> served = readHits(json);
                 default -> json.skipChildren();
             }
         }
@@ -109,13 +109,13 @@
             return new AttemptEnd.Rejected();
         }
         // A part is whole or nothing: one that its searcher cut short is not in.
-        return status != 200 || late || served == null ? new AttemptEnd.Failed() : served;
+        return status != 200 || timedOut || served == null ? new AttemptEnd.Failed() : served;
     }
 
     /** The first hit; its document's {@code doc} is the part's value, else its id. */
-    private static AttemptEnd.Served hits(JsonParser json) throws IOException {
+    private static AttemptEnd.Served readHits(JsonParser json) throws IOException {
         require(json.currentToken() == JsonToken.START_OBJECT);
-        AttemptEnd.Served first = null;
+        AttemptEnd.Served firstHit = null;
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String field = json.currentName();
             json.nextToken();
@@ -125,14 +125,14 @@
             }
             require(json.currentToken() == JsonToken.START_ARRAY);
             while (json.nextToken() != JsonToken.END_ARRAY) {
-                AttemptEnd.Served hit = hit(json);
-                first = first == null ? hit : first;
+                AttemptEnd.Served hit = readHit(json);
+                firstHit = firstHit == null ? hit : firstHit;
             }
         }
-        return first;
+        return firstHit;
     }
 
-    private static AttemptEnd.Served hit(JsonParser json) throws IOException {
+    private static AttemptEnd.Served readHit(JsonParser json) throws IOException {
         require(json.currentToken() == JsonToken.START_OBJECT);
         String id = null;
         String doc = null;
@@ -161,8 +161,8 @@
         return new AttemptEnd.Served(score, doc == null ? id : doc);
     }
 
-    private static void require(boolean holds) throws IOException {
-        if (!holds) {
+    private static void require(boolean condition) throws IOException {
+        if (!condition) {
             throw new IOException("malformed answer");
         }
     }
--- a/src/main/java/reeldeal/opensearch/OpenSearchFront.java
+++ b/src/main/java/reeldeal/opensearch/OpenSearchFront.java
@@ -46,22 +46,22 @@
      */
     public void accept(HttpMessage message, Exchange exchange) {
         String path = message.path();
-        String[] steps = path.substring(Math.min(1, path.length())).split("/");
-        String last = steps[steps.length - 1];
-        String index = steps.length == 2 ? steps[0] : null;
+        String[] pathParts = path.substring(Math.min(1, path.length())).split("/");
+        String endpoint = pathParts[pathParts.length - 1];
+        String index = pathParts.length == 2 ? pathParts[0] : null;
         String method = message.first();
         try {
             if (path.equals("/")) {
-                respond(exchange, OK, 0, SearchJson.about(brokerName));
-            } else if (steps.length > 2
-                    || (!last.equals(SEARCH) && !last.equals(MULTIPLE_SEARCH))) {
+                respond(exchange, OK, 0, SearchJson.brokerInfo(brokerName));
+            } else if (pathParts.length > 2
+                    || (!endpoint.equals(SEARCH) && !endpoint.equals(MULTIPLE_SEARCH))) {
                 respond(exchange, noHandler(message));
             } else if (!method.equals("POST") && !method.equals("GET")) {
                 respond(
                         exchange,
                         SearchResult.error(
                                 METHOD_NOT_ALLOWED, "method_not_allowed", "use GET or POST"));
-            } else if (last.equals(SEARCH)) {
+            } else if (endpoint.equals(SEARCH)) {
                 search(message, index, exchange);
             } else {
                 multipleSearch(message, index, exchange);
@@ -97,14 +97,14 @@
         List<Runnable> onDisconnect = new ArrayList<>();
         exchange.onDisconnect(() -> onDisconnect.forEach(Runnable::run));
         for (int i = 0; i < lines.size() / 2; i++) {
-            Consumer<SearchResult> done = pending.slot(i);
+            Consumer<SearchResult> onResult = pending.consumerFor(i);
             byte[] metadata = lines.get(2 * i);
             byte[] body = lines.get(2 * i + 1);
             try {
-                Search search = parser.ofMultiple(message, metadata, body, defaultIndex, now);
-                onDisconnect.add(executor.execute(search, now, done));
+                Search search = parser.partOfMultiple(message, metadata, body, defaultIndex, now);
+                onDisconnect.add(executor.execute(search, now, onResult));
             } catch (UnsupportedRequestException e) {
-                done.accept(SearchResult.unsupported(e));
+                onResult.accept(SearchResult.unsupported(e));
             }
         }
     }
@@ -114,21 +114,21 @@
         private final SearchResult[] results;
         private final Exchange exchange;
         private final double startedAt;
-        private int missing;
+        private int outstanding;
 
         PendingResults(int count, Exchange exchange, double startedAt) {
             results = new SearchResult[count];
-            missing = count;
+            outstanding = count;
             this.exchange = exchange;
             this.startedAt = startedAt;
         }
 
-        Consumer<SearchResult> slot(int index) {
+        Consumer<SearchResult> consumerFor(int index) {
             return result -> {
                 results[index] = result;
-                if (--missing == 0) {
+                if (--outstanding == 0) {
                     double tookMs = submitter.now() - startedAt;
-                    respond(exchange, OK, 0, SearchJson.many(Arrays.asList(results), tookMs));
+                    respond(exchange, OK, 0, SearchJson.multiple(Arrays.asList(results), tookMs));
                 }
             };
         }
--- a/src/main/java/reeldeal/opensearch/OpenSearchTransport.java
+++ b/src/main/java/reeldeal/opensearch/OpenSearchTransport.java
@@ -45,7 +45,7 @@
     private final int connectTimeoutMs;
     private final DoubleSupplier clock;
     private final Consumer<Event> events;
-    private final Map<String, List<Connection>> byAddress = new HashMap<>();
+    private final Map<String, List<Connection>> connectionsByAddress = new HashMap<>();
     private Predicate<Effect.Send> fence; // null where all may be sent
 
     /**
@@ -73,10 +73,10 @@
         final HttpClient client;
 
         /** The shard requests of the call; null stands for one that is no longer waited for. */
-        List<Effect.Send> waiting = new ArrayList<>();
+        List<Effect.Send> pending = new ArrayList<>();
 
-        boolean written; // whether the call was given to the socket
-        double usedAt = clock.getAsDouble();
+        boolean bodyWritten; // whether the call was given to the socket
+        double lastUsedAt = clock.getAsDouble();
 
         Connection(InetSocketAddress address) {
             client = new HttpClient(group, address, connectTimeoutMs);
@@ -84,8 +84,8 @@
 
         /** Where a shard request stands among those waited for, or -1. */
         int indexOf(long shardRequestId, int attempt) {
-            for (int i = 0; i < waiting.size(); i++) {
-                Effect.Send send = waiting.get(i);
+            for (int i = 0; i < pending.size(); i++) {
+                Effect.Send send = pending.get(i);
                 if (send != null
                         && send.shardRequestId() == shardRequestId
                         && send.attempt() == attempt) {
@@ -97,11 +97,11 @@
 
         /** Stops waiting for a shard request. */
         Effect.Send remove(int index) {
-            return waiting.set(index, null);
+            return pending.set(index, null);
         }
 
-        boolean isWaitedFor() {
-            for (Effect.Send send : waiting) {
+        boolean hasPending() {
+            for (Effect.Send send : pending) {
                 if (send != null) {
                     return true;
                 }
@@ -109,8 +109,8 @@
             return false;
         }
 
-        boolean isUsable(double usedSince) {
-            return client.isFree() && usedAt > usedSince;
+        boolean isUsable(double minLastUsedAt) {
+            return client.isFree() && lastUsedAt > minLastUsedAt;
         }
     }
 
@@ -121,13 +121,13 @@
         Connection connection = connection(call.searcher());
         if (connection == null) {
             AttemptEnd end = new AttemptEnd.Broken(Reach.UNSENT, "no connection to be had");
-            call.sends().forEach(send -> end(send, end));
+            call.sends().forEach(send -> reportEnd(send, end));
             return;
         }
         double now = clock.getAsDouble();
-        connection.usedAt = now;
-        connection.waiting = new ArrayList<>(call.sends());
-        connection.written = false;
+        connection.lastUsedAt = now;
+        connection.pending = new ArrayList<>(call.sends());
+        connection.bodyWritten = false;
         double longestMs = 0;
         for (Effect.Send send : call.sends()) {
             longestMs = Math.max(longestMs, send.remainingMs(now));
@@ -138,7 +138,7 @@
                 Map.of("Content-Type", "application/x-ndjson"),
                 () -> body(connection),
                 (long) (longestMs + GRACE_MS),
-                result -> ended(connection, result));
+                result -> onCallEnd(connection, result));
     }
 
     /**
@@ -147,32 +147,32 @@
     private byte[] body(Connection connection) {
         double now = clock.getAsDouble();
         List<Effect.Send> sends = new ArrayList<>();
-        for (Effect.Send send : connection.waiting) {
+        for (Effect.Send send : connection.pending) {
             if (send == null) {
                 continue;
             }
             if (send.mayBeWritten(now) && (fence == null || fence.test(send))) {
                 sends.add(send);
             } else {
-                end(send, new AttemptEnd.Fenced());
+                reportEnd(send, new AttemptEnd.Fenced());
             }
         }
-        connection.waiting = sends;
-        connection.written = true;
-        return sends.isEmpty() ? null : OpenSearchCodec.call(sends, now);
+        connection.pending = sends;
+        connection.bodyWritten = true;
+        return sends.isEmpty() ? null : OpenSearchCodec.encodeCall(sends, now);
     }
 
-    private void ended(Connection connection, HttpClient.Result result) {
-        List<Effect.Send> waiting = connection.waiting;
-        connection.waiting = new ArrayList<>();
-        connection.usedAt = clock.getAsDouble();
-        CallEnd end = callEnd(result, waiting.size());
-        if (end.common() instanceof AttemptEnd.Broken) {
+    private void onCallEnd(Connection connection, HttpClient.Result result) {
+        List<Effect.Send> pending = connection.pending;
+        connection.pending = new ArrayList<>();
+        connection.lastUsedAt = clock.getAsDouble();
+        CallEnd callEnd = toCallEnd(result, pending.size());
+        if (callEnd.sharedEnd() instanceof AttemptEnd.Broken) {
             connection.client.close();
         }
-        for (int i = 0; i < waiting.size(); i++) {
-            if (waiting.get(i) != null) {
-                end(waiting.get(i), end.of(i));
+        for (int i = 0; i < pending.size(); i++) {
+            if (pending.get(i) != null) {
+                reportEnd(pending.get(i), callEnd.forIndex(i));
             }
         }
     }
@@ -183,20 +183,20 @@
      * @param common the end of all its shard requests, or null where each has its own
      * @param each the end of each, in their order
      */
-    private record CallEnd(AttemptEnd common, List<AttemptEnd> each) {
-        static CallEnd ofAll(AttemptEnd common) {
-            return new CallEnd(common, List.of());
+    private record CallEnd(AttemptEnd sharedEnd, List<AttemptEnd> individualEnds) {
+        static CallEnd ofAll(AttemptEnd sharedEnd) {
+            return new CallEnd(sharedEnd, List.of());
         }
 
-        AttemptEnd of(int index) {
-            return common == null ? each.get(index) : common;
+        AttemptEnd forIndex(int index) {
+            return sharedEnd == null ? individualEnds.get(index) : sharedEnd;
         }
     }
 
-    private static CallEnd callEnd(HttpClient.Result result, int shardRequests) {
-        if (result instanceof HttpClient.NoResponse none) {
-            Reach reach = none.written() ? Reach.SENT : Reach.UNSENT;
-            return CallEnd.ofAll(new AttemptEnd.Broken(reach, none.why()));
+    private static CallEnd toCallEnd(HttpClient.Result result, int shardRequests) {
+        if (result instanceof HttpClient.NoResponse noResponse) {
+            Reach reach = noResponse.written() ? Reach.SENT : Reach.UNSENT;
+            return CallEnd.ofAll(new AttemptEnd.Broken(reach, noResponse.why()));
         }
         HttpClient.Responded responded = (HttpClient.Responded) result;
         int status = responded.message().status();
@@ -205,9 +205,10 @@
             return CallEnd.ofAll(rejected ? new AttemptEnd.Rejected() : new AttemptEnd.Failed());
         }
         try {
-            List<AttemptEnd> each = OpenSearchCodec.answer(responded.message().body());
-            return each.size() == shardRequests
-                    ? new CallEnd(null, each)
+            List<AttemptEnd> individualEnds =
+                    OpenSearchCodec.decodeResponses(responded.message().body());
+            return individualEnds.size() == shardRequests
+                    ? new CallEnd(null, individualEnds)
                     : CallEnd.ofAll(
                             new AttemptEnd.Broken(Reach.SENT, "an answer to other searches"));
         } catch (IOException e) {
@@ -227,11 +228,11 @@
             if (index >= 0) {
                 Reach reach = connection.client.isWritten() ? Reach.SENT : Reach.UNSENT;
                 Effect.Send send = connection.remove(index);
-                if (!connection.isWaitedFor() || reach == Reach.UNSENT) {
+                if (!connection.hasPending() || reach == Reach.UNSENT) {
                     // Unsent, it must stay so: the call's other shard requests end unsent with it.
                     connection.client.close();
                 }
-                end(send, new AttemptEnd.Abandoned(reach, abandon.timedOut()));
+                reportEnd(send, new AttemptEnd.Abandoned(reach, abandon.timedOut()));
                 return;
             }
         }
@@ -241,8 +242,8 @@
     public void withdraw(Effect.Withdraw withdraw) {
         for (Connection connection : connections()) {
             int index = connection.indexOf(withdraw.shardRequestId(), withdraw.attempt());
-            if (index >= 0 && !connection.written) {
-                end(connection.remove(index), new AttemptEnd.Fenced());
+            if (index >= 0 && !connection.bodyWritten) {
+                reportEnd(connection.remove(index), new AttemptEnd.Fenced());
             }
         }
     }
@@ -250,7 +251,7 @@
     @Override
     public void stopSending(Searcher searcher) {
         for (Connection connection :
-                List.copyOf(byAddress.getOrDefault(searcher.address(), List.of()))) {
+                List.copyOf(connectionsByAddress.getOrDefault(searcher.address(), List.of()))) {
             if (!connection.client.isFree() && !connection.client.isWritten()) {
                 connection.client.close();
             }
@@ -274,8 +275,8 @@
                 () -> new byte[0],
                 (long) GRACE_MS,
                 result -> {
-                    connection.usedAt = clock.getAsDouble();
-                    double elapsedMs = connection.usedAt - startedAt;
+                    connection.lastUsedAt = clock.getAsDouble();
+                    double elapsedMs = connection.lastUsedAt - startedAt;
                     events.accept(new Event.Probed(name, probeOutcome(result), elapsedMs, NO_LOAD));
                 });
     }
@@ -292,7 +293,7 @@
     /** All connections, as a copy: closing one may change the list that it is in. */
     private List<Connection> connections() {
         List<Connection> all = new ArrayList<>();
-        byAddress.values().forEach(all::addAll);
+        connectionsByAddress.values().forEach(all::addAll);
         return all;
     }
 
@@ -302,10 +303,11 @@
      */
     private Connection connection(Searcher searcher) {
         String address = searcher.address();
-        List<Connection> connections = byAddress.computeIfAbsent(address, a -> new ArrayList<>());
-        double usedSince = usableSince();
+        List<Connection> connections =
+                connectionsByAddress.computeIfAbsent(address, key -> new ArrayList<>());
+        double minLastUsedAt = minUsableLastUsedAt();
         for (Connection connection : connections) {
-            if (connection.isUsable(usedSince)) {
+            if (connection.isUsable(minLastUsedAt)) {
                 return connection;
             }
         }
@@ -320,21 +322,21 @@
         return created;
     }
 
-    private double usableSince() {
+    private double minUsableLastUsedAt() {
         return clock.getAsDouble() - USABLE_IDLE_SHARE * idleMs;
     }
 
     @Override
     public void sweep() {
-        double usedSince = usableSince();
-        for (List<Connection> connections : byAddress.values()) {
-            connections.removeIf(connection -> closeIfIdle(connection, usedSince));
+        double minLastUsedAt = minUsableLastUsedAt();
+        for (List<Connection> connections : connectionsByAddress.values()) {
+            connections.removeIf(connection -> closeIfIdle(connection, minLastUsedAt));
         }
-        byAddress.values().removeIf(List::isEmpty);
+        connectionsByAddress.values().removeIf(List::isEmpty);
     }
 
-    private static boolean closeIfIdle(Connection connection, double usedSince) {
-        boolean idle = connection.client.isFree() && connection.usedAt < usedSince;
+    private static boolean closeIfIdle(Connection connection, double minLastUsedAt) {
+        boolean idle = connection.client.isFree() && connection.lastUsedAt < minLastUsedAt;
         if (idle) {
             connection.client.close();
         }
@@ -344,10 +346,11 @@
     @Override
     public void close() {
         connections().forEach(connection -> connection.client.close());
-        byAddress.clear();
+        connectionsByAddress.clear();
     }
 
-    private void end(Effect.Send send, AttemptEnd end) {
-        events.accept(new Event.AttemptEnded(send.shardRequestId(), send.attempt(), end, NO_LOAD));
+    private void reportEnd(Effect.Send send, AttemptEnd reportEnd) {
+        events.accept(
+                new Event.AttemptEnded(send.shardRequestId(), send.attempt(), reportEnd, NO_LOAD));
     }
 }
--- a/src/main/java/reeldeal/opensearch/SearchBody.java
+++ b/src/main/java/reeldeal/opensearch/SearchBody.java
@@ -21,17 +21,18 @@
 final class SearchBody {
 
     private static final JsonFactory JSON = new JsonFactory();
-    private static final int MAX_WINDOW = 10_000;
+    private static final int MAX_RESULT_WINDOW = 10_000;
 
     private static final int DEFAULT_SIZE = 10;
     private static final String NO_TIMEOUT = "-1";
-    private static final Pattern TIME = Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,6})?)(ms|s|m)");
+    private static final Pattern TIMEOUT_PATTERN =
+            Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,6})?)(ms|s|m)");
 
     private String text = "*";
     private Set<String> segments;
     private int from;
     private int size = DEFAULT_SIZE;
-    private boolean source = true;
+    private boolean includeSource = true;
     private double timeoutMs = Double.POSITIVE_INFINITY;
     private String idempotencyKey;
 
@@ -45,41 +46,42 @@
         }
         try (JsonParser json = JSON.createParser(bytes)) {
             body.json = json;
-            body.object();
+            body.readBody();
             if (json.nextToken() != null) {
-                throw bad("more than one JSON object in a body");
+                throw parsingError("more than one JSON object in a body");
             }
             return body;
         } catch (JsonProcessingException e) {
-            throw bad("malformed JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw parsingError(
+                    "malformed JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException e) {
-            throw bad("malformed JSON");
+            throw parsingError("malformed JSON");
         }
     }
 
-    private static UnsupportedRequestException bad(String reason) {
+    private static UnsupportedRequestException parsingError(String reason) {
         return UnsupportedRequestException.parsing(reason);
     }
 
-    private void object() throws IOException, UnsupportedRequestException {
-        need(json.nextToken(), JsonToken.START_OBJECT, "body");
+    private void readBody() throws IOException, UnsupportedRequestException {
+        expect(json.nextToken(), JsonToken.START_OBJECT, "body");
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String field = json.currentName();
             JsonToken value = json.nextToken();
             switch (field) {
-                case "query" -> query(value);
-                case "from" -> setFrom(whole(value, field));
-                case "size" -> setSize(whole(value, field));
+                case "query" -> readQuery(value);
+                case "from" -> setFrom(integer(value, field));
+                case "size" -> setSize(integer(value, field));
                 case "timeout" -> setTimeout(string(value, field));
-                case "_source" -> source = flag(value, field);
+                case "_source" -> includeSource = flag(value, field);
                 case "track_total_hits" -> {
                     // Totals are always exact here, so either wish is met.
                     if (value != JsonToken.VALUE_NUMBER_INT) {
                         flag(value, field);
                     }
                 }
-                case "ext" -> ext(value);
-                default -> throw bad("unknown or unsupported key [" + field + "]");
+                case "ext" -> readExt(value);
+                default -> throw parsingError("unknown or unsupported key [" + field + "]");
             }
         }
     }
@@ -97,9 +99,9 @@
     }
 
     private void checkWindow() throws UnsupportedRequestException {
-        if (from < 0 || size < 0 || (long) from + size > MAX_WINDOW) {
+        if (from < 0 || size < 0 || (long) from + size > MAX_RESULT_WINDOW) {
             throw UnsupportedRequestException.illegalArgument(
-                    "from and size must not be negative, nor together exceed " + MAX_WINDOW);
+                    "from and size must not be negative, nor together exceed " + MAX_RESULT_WINDOW);
         }
     }
 
@@ -108,14 +110,14 @@
         if (value.equals(NO_TIMEOUT)) {
             return;
         }
-        Matcher time = TIME.matcher(value);
-        if (!time.matches()) {
+        Matcher matcher = TIMEOUT_PATTERN.matcher(value);
+        if (!matcher.matches()) {
             throw UnsupportedRequestException.illegalArgument(
                     "failed to parse [timeout] with value ["
                             + value
                             + "]: a number with ms, s or m is needed");
         }
-        timeoutMs = Double.parseDouble(time.group(1)) * unitMs(time.group(2));
+        timeoutMs = Double.parseDouble(matcher.group(1)) * unitMs(matcher.group(2));
     }
 
     private static int unitMs(String unit) {
@@ -149,8 +151,8 @@
     }
 
     /** Whether hits are returned with their source. */
-    boolean source() {
-        return source;
+    boolean includeSource() {
+        return includeSource;
     }
 
     /** How long the client waits, ms; infinite where it does not say. */
@@ -163,129 +165,129 @@
         return idempotencyKey;
     }
 
-    private void query(JsonToken value) throws IOException, UnsupportedRequestException {
-        need(value, JsonToken.START_OBJECT, "query");
+    private void readQuery(JsonToken value) throws IOException, UnsupportedRequestException {
+        expect(value, JsonToken.START_OBJECT, "query");
         if (json.nextToken() != JsonToken.FIELD_NAME) {
-            throw bad("query clause is empty");
+            throw parsingError("query clause is empty");
         }
         String clause = json.currentName();
-        need(json.nextToken(), JsonToken.START_OBJECT, clause);
+        expect(json.nextToken(), JsonToken.START_OBJECT, clause);
         switch (clause) {
             case "match_all" ->
-                    need(json.nextToken(), JsonToken.END_OBJECT, "match_all, with no options");
-            case "query_string" -> queryString();
-            case "bool" -> bool();
-            default -> throw bad("unknown or unsupported query [" + clause + "]");
+                    expect(json.nextToken(), JsonToken.END_OBJECT, "match_all, with no options");
+            case "query_string" -> readQueryString();
+            case "bool" -> readBool();
+            default -> throw parsingError("unknown or unsupported query [" + clause + "]");
         }
-        need(json.nextToken(), JsonToken.END_OBJECT, "query, with one clause");
+        expect(json.nextToken(), JsonToken.END_OBJECT, "query, with one clause");
     }
 
-    private void queryString() throws IOException, UnsupportedRequestException {
+    private void readQueryString() throws IOException, UnsupportedRequestException {
         boolean found = false;
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String field = json.currentName();
             JsonToken value = json.nextToken();
             if (!field.equals("query")) {
-                throw bad("[query_string] does not support [" + field + "]");
+                throw parsingError("[query_string] does not support [" + field + "]");
             }
             text = string(value, "query_string.query");
             found = true;
         }
         if (!found || text.isEmpty()) {
-            throw bad("[query_string] needs [query]");
+            throw parsingError("[query_string] needs [query]");
         }
     }
 
-    private void bool() throws IOException, UnsupportedRequestException {
-        int musts = 0;
+    private void readBool() throws IOException, UnsupportedRequestException {
+        int mustClauses = 0;
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String field = json.currentName();
             JsonToken value = json.nextToken();
             if (!field.equals("must") && !field.equals("filter")) {
-                throw bad("[bool] does not support [" + field + "]");
+                throw parsingError("[bool] does not support [" + field + "]");
             }
-            boolean list = value == JsonToken.START_ARRAY;
-            while (!list || json.nextToken() != JsonToken.END_ARRAY) {
+            boolean isArray = value == JsonToken.START_ARRAY;
+            while (!isArray || json.nextToken() != JsonToken.END_ARRAY) {
                 if (field.equals("filter")) {
-                    filter(json.currentToken());
-                } else if (++musts > 1) {
-                    throw bad("[bool] supports one [must] clause");
+                    readFilter(json.currentToken());
+                } else if (++mustClauses > 1) {
+                    throw parsingError("[bool] supports one [must] clause");
                 } else {
-                    query(json.currentToken());
+                    readQuery(json.currentToken());
                 }
-                if (!list) {
+                if (!isArray) {
                     break;
                 }
             }
         }
     }
 
-    private void filter(JsonToken value) throws IOException, UnsupportedRequestException {
-        need(value, JsonToken.START_OBJECT, "filter");
+    private void readFilter(JsonToken value) throws IOException, UnsupportedRequestException {
+        expect(value, JsonToken.START_OBJECT, "filter");
         json.nextToken();
         String clause = json.currentName();
         if (!"term".equals(clause) && !"terms".equals(clause)) {
-            throw bad("unknown or unsupported filter [" + clause + "]");
+            throw parsingError("unknown or unsupported filter [" + clause + "]");
         }
-        need(json.nextToken(), JsonToken.START_OBJECT, clause);
+        expect(json.nextToken(), JsonToken.START_OBJECT, clause);
         json.nextToken();
         if (!"_segment".equals(json.currentName())) {
-            throw bad("[" + clause + "] supports the field [_segment] only");
+            throw parsingError("[" + clause + "] supports the field [_segment] only");
         }
-        List<String> named = new ArrayList<>();
+        List<String> names = new ArrayList<>();
         JsonToken first = json.nextToken();
         if (clause.equals("term")) {
-            named.add(string(first, "_segment"));
+            names.add(string(first, "_segment"));
         } else {
-            need(first, JsonToken.START_ARRAY, "terms._segment");
+            expect(first, JsonToken.START_ARRAY, "terms._segment");
             while (json.nextToken() != JsonToken.END_ARRAY) {
-                named.add(string(json.currentToken(), "_segment"));
+                names.add(string(json.currentToken(), "_segment"));
             }
         }
-        need(json.nextToken(), JsonToken.END_OBJECT, clause + ", with one field");
-        need(json.nextToken(), JsonToken.END_OBJECT, "filter, with one clause");
+        expect(json.nextToken(), JsonToken.END_OBJECT, clause + ", with one field");
+        expect(json.nextToken(), JsonToken.END_OBJECT, "filter, with one clause");
         if (segments == null) {
-            segments = new LinkedHashSet<>(named);
+            segments = new LinkedHashSet<>(names);
         } else {
-            segments.retainAll(named);
+            segments.retainAll(names);
         }
     }
 
-    private void ext(JsonToken value) throws IOException, UnsupportedRequestException {
-        need(value, JsonToken.START_OBJECT, "ext");
+    private void readExt(JsonToken value) throws IOException, UnsupportedRequestException {
+        expect(value, JsonToken.START_OBJECT, "ext");
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String field = json.currentName();
-            JsonToken inner = json.nextToken();
+            JsonToken fieldValue = json.nextToken();
             if (!field.equals("idempotency_key")) {
-                throw bad("[ext] does not support [" + field + "]");
+                throw parsingError("[ext] does not support [" + field + "]");
             }
-            idempotencyKey = string(inner, "ext.idempotency_key");
+            idempotencyKey = string(fieldValue, "ext.idempotency_key");
         }
     }
 
-    private static void need(JsonToken token, JsonToken wanted, String what)
+    private static void expect(JsonToken token, JsonToken expected, String name)
             throws UnsupportedRequestException {
-        if (token != wanted) {
-            throw bad("[" + what + "] is malformed");
+        if (token != expected) {
+            throw parsingError("[" + name + "] is malformed");
         }
     }
 
-    private String string(JsonToken token, String what)
+    private String string(JsonToken token, String name)
             throws IOException, UnsupportedRequestException {
-        need(token, JsonToken.VALUE_STRING, what);
+        expect(token, JsonToken.VALUE_STRING, name);
         return json.getText();
     }
 
-    private int whole(JsonToken token, String what)
+    private int integer(JsonToken token, String name)
             throws IOException, UnsupportedRequestException {
-        need(token, JsonToken.VALUE_NUMBER_INT, what);
+        expect(token, JsonToken.VALUE_NUMBER_INT, name);
         return json.getIntValue();
     }
 
-    private boolean flag(JsonToken token, String what)
+    private boolean flag(JsonToken token, String name)
             throws IOException, UnsupportedRequestException {
         if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
-            throw bad("[" + what + "] is not true or false");
+            throw parsingError("[" + name + "] is not true or false");
         }
         return json.getBooleanValue();
     }
--- a/src/main/java/reeldeal/opensearch/SearchExecutor.java
+++ b/src/main/java/reeldeal/opensearch/SearchExecutor.java
@@ -14,7 +14,7 @@
 final class SearchExecutor {
     private static final int CONFLICT = 409;
     private static final int ID_RADIX = 36;
-    private static final int MARGIN_TICKS = 2;
+    private static final int DEADLINE_MARGIN_TICKS = 2;
 
     private final RequestSubmitter submitter;
     private final Settings settings;
@@ -33,46 +33,55 @@
      *
      * @return what is to run when the client disconnects
      */
-    Runnable execute(Search search, double now, Consumer<SearchResult> done) {
+    Runnable execute(Search search, double now, Consumer<SearchResult> onResult) {
         Request request = request(search, now);
-        OneReply reply =
-                new OneReply(r -> done.accept(SearchResult.of(search, r, submitter.now() - now)));
+        FirstReplyConsumer onReply =
+                new FirstReplyConsumer(
+                        reply ->
+                                onResult.accept(
+                                        SearchResult.fromReply(
+                                                search, reply, submitter.now() - now)));
         if (search.idempotencyKey() == null || submitter.deduplicates(request.classIndex())) {
-            submitter.submit(request, search.clientKey(), reply);
+            submitter.submit(request, search.clientKey(), onReply);
             return () -> submitter.clientDisconnected(request.id());
         }
-        return executeOnce(search, request, reply, done);
+        return executeWithCache(search, request, onReply, onResult);
     }
 
     /** A search whose key this broker itself remembers. */
-    private Runnable executeOnce(
-            Search search, Request request, OneReply reply, Consumer<SearchResult> done) {
-        Runnable leave = () -> cache.leave(request.classIndex(), request.idempotencyKey(), reply);
+    private Runnable executeWithCache(
+            Search search,
+            Request request,
+            FirstReplyConsumer onReply,
+            Consumer<SearchResult> onResult) {
+        Runnable onDisconnect =
+                () -> cache.removeClient(request.classIndex(), request.idempotencyKey(), onReply);
         double windowMs = settings.classes().get(request.classIndex()).deduplicationWindowMs();
-        IdempotencyCache.SubmitResult submitted =
-                cache.submit(request, search.fingerprint(), windowMs, reply);
-        if (submitted != IdempotencyCache.SubmitResult.ACCEPTED) {
-            reply.close();
-            done.accept(conflict(submitted));
-            return leave;
+        IdempotencyCache.SubmitResult submitResult =
+                cache.submit(request, search.fingerprint(), windowMs, onReply);
+        if (submitResult != IdempotencyCache.SubmitResult.ACCEPTED) {
+            onReply.close();
+            onResult.accept(conflict(submitResult));
+            return onDisconnect;
         }
         // A retry that joined a first attempt with a later deadline must still be answered within
         // its own.
-        double waitMs = search.deadlineMs() - submitter.now() - MARGIN_TICKS * settings.tickMs();
+        double waitMs =
+                search.deadlineMs() - submitter.now() - DEADLINE_MARGIN_TICKS * settings.tickMs();
         submitter.schedule(
                 Math.max(0, waitMs),
                 () -> {
-                    if (reply.isOpen()) {
-                        leave.run();
-                        reply.accept(new Reply.Failed("time is up"));
+                    if (onReply.isOpen()) {
+                        onDisconnect.run();
+                        onReply.accept(new Reply.Failed("time is up"));
                     }
                 });
-        return leave;
+        return onDisconnect;
     }
 
-    private static SearchResult conflict(IdempotencyCache.SubmitResult submitted) {
+    private static SearchResult conflict(IdempotencyCache.SubmitResult submitResult) {
         String reason =
-                submitted == IdempotencyCache.SubmitResult.DIFFERENT_REQUEST
+                submitResult == IdempotencyCache.SubmitResult.DIFFERENT_REQUEST
                         ? "the idempotency key belongs to another request"
                         : "an earlier try may have taken effect, and repeats of it are no longer dropped";
         return SearchResult.error(CONFLICT, "version_conflict_engine_exception", reason);
@@ -98,11 +107,11 @@
     }
 
     /** Passes on the first reply and no other. */
-    private static final class OneReply implements Consumer<Reply> {
+    private static final class FirstReplyConsumer implements Consumer<Reply> {
         private final Consumer<Reply> target;
         private boolean open = true;
 
-        OneReply(Consumer<Reply> target) {
+        FirstReplyConsumer(Consumer<Reply> target) {
             this.target = target;
         }
 
--- a/src/main/java/reeldeal/opensearch/SearchJson.java
+++ b/src/main/java/reeldeal/opensearch/SearchJson.java
@@ -31,18 +31,18 @@
 
     /** The answer to one search. */
     static byte[] single(SearchResult result) {
-        return write(json -> fields(json, result, false));
+        return write(json -> writeResult(json, result, false));
     }
 
     /** The answer to many, in the order in which they were asked. */
-    static byte[] many(List<SearchResult> results, double tookMs) {
+    static byte[] multiple(List<SearchResult> results, double tookMs) {
         return write(
                 json -> {
                     json.writeNumberField("took", (long) tookMs);
                     json.writeArrayFieldStart("responses");
                     for (SearchResult result : results) {
                         json.writeStartObject();
-                        fields(json, result, true);
+                        writeResult(json, result, true);
                         json.writeEndObject();
                     }
                     json.writeEndArray();
@@ -50,7 +50,7 @@
     }
 
     /** The answer to a request for the broker's name and version. */
-    static byte[] about(String name) {
+    static byte[] brokerInfo(String name) {
         return write(
                 json -> {
                     json.writeStringField("name", name);
@@ -61,59 +61,63 @@
                 });
     }
 
-    private static void fields(JsonGenerator json, SearchResult result, boolean withStatus)
+    private static void writeResult(JsonGenerator json, SearchResult result, boolean withStatus)
             throws IOException {
         if (result.body() instanceof SearchResult.ErrorBody error) {
-            error(json, error);
+            writeError(json, error);
             json.writeNumberField("status", result.status());
             return;
         }
-        found(json, (SearchResult.Found) result.body());
+        writeFound(json, (SearchResult.Found) result.body());
         if (withStatus) {
             json.writeNumberField("status", result.status());
         }
     }
 
-    private static void error(JsonGenerator json, SearchResult.ErrorBody error) throws IOException {
+    private static void writeError(JsonGenerator json, SearchResult.ErrorBody writeError)
+            throws IOException {
         json.writeObjectFieldStart("error");
         json.writeArrayFieldStart("root_cause");
         json.writeStartObject();
-        cause(json, error);
+        writeCause(json, writeError);
         json.writeEndObject();
         json.writeEndArray();
-        cause(json, error);
+        writeCause(json, writeError);
         json.writeEndObject();
     }
 
-    private static void cause(JsonGenerator json, SearchResult.ErrorBody error) throws IOException {
+    private static void writeCause(JsonGenerator json, SearchResult.ErrorBody error)
+            throws IOException {
         json.writeStringField("type", error.type());
         json.writeStringField("reason", error.reason());
     }
 
-    private static void found(JsonGenerator json, SearchResult.Found found) throws IOException {
-        json.writeNumberField("took", (long) found.tookMs());
-        json.writeBooleanField("timed_out", !found.complete());
-        shards(json, found);
+    private static void writeFound(JsonGenerator json, SearchResult.Found writeFound)
+            throws IOException {
+        json.writeNumberField("took", (long) writeFound.tookMs());
+        json.writeBooleanField("timed_out", !writeFound.complete());
+        writeShards(json, writeFound);
         json.writeObjectFieldStart("hits");
         json.writeObjectFieldStart("total");
-        json.writeNumberField("value", found.total());
+        json.writeNumberField("value", writeFound.total());
         json.writeStringField("relation", "eq");
         json.writeEndObject();
-        if (found.total() == 0) {
+        if (writeFound.total() == 0) {
             json.writeNullField("max_score");
         } else {
-            score(json, "max_score", found.maxScore());
+            writeScore(json, "max_score", writeFound.maxScore());
         }
         json.writeArrayFieldStart("hits");
-        for (SearchResult.Hit hit : found.hits()) {
-            hit(json, found, hit);
+        for (SearchResult.Hit hit : writeFound.hits()) {
+            writeHit(json, writeFound, hit);
         }
         json.writeEndArray();
         json.writeEndObject();
     }
 
-    private static void shards(JsonGenerator json, SearchResult.Found found) throws IOException {
-        int searched = found.searched().size();
+    private static void writeShards(JsonGenerator json, SearchResult.Found found)
+            throws IOException {
+        int searched = found.searchedSegments().size();
         int successful = found.complete() ? searched : Math.min(searched, found.total());
         json.writeObjectFieldStart("_shards");
         json.writeNumberField("total", searched);
@@ -123,27 +127,29 @@
         json.writeEndObject();
     }
 
-    private static void hit(JsonGenerator json, SearchResult.Found found, SearchResult.Hit hit)
+    private static void writeHit(
+            JsonGenerator json, SearchResult.Found found, SearchResult.Hit writeHit)
             throws IOException {
         json.writeStartObject();
         json.writeStringField("_index", found.index().name());
-        json.writeStringField("_id", hit.value());
-        score(json, "_score", hit.score());
-        if (found.source()) {
+        json.writeStringField("_id", writeHit.value());
+        writeScore(json, "_score", writeHit.score());
+        if (found.includeSource()) {
             json.writeObjectFieldStart("_source");
-            json.writeStringField("segment", hit.segment().name());
-            json.writeNumberField("shard", hit.segment().shard());
-            json.writeStringField("doc", hit.value());
+            json.writeStringField("segment", writeHit.segment().name());
+            json.writeNumberField("shard", writeHit.segment().shard());
+            json.writeStringField("doc", writeHit.value());
             json.writeEndObject();
         }
         json.writeEndObject();
     }
 
-    private static void score(JsonGenerator json, String field, double score) throws IOException {
-        if (score == Math.rint(score) && Math.abs(score) < 1e15) {
-            json.writeNumberField(field, (long) score);
+    private static void writeScore(JsonGenerator json, String field, double writeScore)
+            throws IOException {
+        if (writeScore == Math.rint(writeScore) && Math.abs(writeScore) < 1e15) {
+            json.writeNumberField(field, (long) writeScore);
         } else {
-            json.writeNumberField(field, score);
+            json.writeNumberField(field, writeScore);
         }
     }
 }
--- a/src/main/java/reeldeal/opensearch/SearchParser.java
+++ b/src/main/java/reeldeal/opensearch/SearchParser.java
@@ -19,8 +19,8 @@
 /** Turns messages into searches; what is not supported is named. */
 final class SearchParser {
     private static final int MAX_SEARCHES = 100;
-    private static final String KEY_PATTERN = "[!-+\\--~]{1,128}";
-    private static final String WHOLE_NUMBER = "[0-9]{1,9}";
+    private static final String IDEMPOTENCY_KEY_PATTERN = "[!-+\\--~]{1,128}";
+    private static final String WHOLE_NUMBER_PATTERN = "[0-9]{1,9}";
 
     private final Settings settings;
     private final OpenSearchConfig config;
@@ -55,7 +55,7 @@
     }
 
     /** One search of an {@code _msearch} message, by its metadata line and its body. */
-    Search ofMultiple(
+    Search partOfMultiple(
             HttpMessage message, byte[] metadata, byte[] body, String defaultIndex, double now)
             throws UnsupportedRequestException {
         String index = MsearchHeader.index(metadata, defaultIndex);
@@ -66,12 +66,12 @@
     static List<byte[]> lines(byte[] body) throws UnsupportedRequestException {
         List<byte[]> lines = new ArrayList<>();
         ByteArrayOutputStream line = new ByteArrayOutputStream();
-        for (byte next : body) {
-            if (next == '\n') {
+        for (byte character : body) {
+            if (character == '\n') {
                 lines.add(line.toByteArray());
                 line.reset();
             } else {
-                line.write(next);
+                line.write(character);
             }
         }
         if (line.size() > 0 || lines.isEmpty()) {
@@ -93,15 +93,15 @@
     private static Map<String, String> parameters(HttpMessage message)
             throws UnsupportedRequestException {
         String target = message.second();
-        int mark = target.indexOf('?');
+        int queryStart = target.indexOf('?');
         Map<String, String> parameters = new HashMap<>();
-        if (mark < 0 || mark == target.length() - 1) {
+        if (queryStart < 0 || queryStart == target.length() - 1) {
             return parameters;
         }
-        for (String pair : target.substring(mark + 1).split("&")) {
-            int equals = pair.indexOf('=');
-            String name = equals < 0 ? pair : pair.substring(0, equals);
-            String value = equals < 0 ? "" : pair.substring(equals + 1);
+        for (String pair : target.substring(queryStart + 1).split("&")) {
+            int separator = pair.indexOf('=');
+            String name = separator < 0 ? pair : pair.substring(0, separator);
+            String value = separator < 0 ? "" : pair.substring(separator + 1);
             try {
                 parameters.put(decode(name), decode(value));
             } catch (IllegalArgumentException e) {
@@ -140,7 +140,7 @@
     }
 
     private static int number(String name, String value) throws UnsupportedRequestException {
-        if (!value.matches(WHOLE_NUMBER)) {
+        if (!value.matches(WHOLE_NUMBER_PATTERN)) {
             throw UnsupportedRequestException.illegalArgument("[" + name + "] is no whole number");
         }
         return Integer.parseInt(value);
@@ -158,16 +158,21 @@
                 body.idempotencyKey() == null
                         ? message.header("idempotency-key")
                         : body.idempotencyKey();
-        boolean usable = key != null && key.matches(KEY_PATTERN);
+        boolean validKey = key != null && key.matches(IDEMPOTENCY_KEY_PATTERN);
         boolean needsKey = queryClass.repeatSafety() == RepeatSafety.IDEMPOTENT_WITH_KEY;
-        if (needsKey && !usable) {
+        if (needsKey && !validKey) {
             throw UnsupportedRequestException.illegalArgument(
                     "index ["
                             + index.name()
                             + "] needs an idempotency key, as the header Idempotency-Key or as ext.idempotency_key");
         }
         return new Search(
-                index, segments, body, now + timeoutMs, needsKey ? key : null, usable ? key : null);
+                index,
+                segments,
+                body,
+                now + timeoutMs,
+                needsKey ? key : null,
+                validKey ? key : null);
     }
 
     private Index index(String name) throws UnsupportedRequestException {
@@ -186,13 +191,15 @@
 
     private static List<Segment> segments(Index index, SearchBody body)
             throws UnsupportedRequestException {
-        Set<String> wanted = body.segments();
+        Set<String> requested = body.segments();
         List<Segment> segments =
-                wanted == null
+                requested == null
                         ? index.segments()
-                        : index.segments().stream().filter(s -> wanted.contains(s.name())).toList();
-        boolean unknown = wanted != null && segments.size() < wanted.size();
-        if (segments.isEmpty() || unknown) {
+                        : index.segments().stream()
+                                .filter(segment -> requested.contains(segment.name()))
+                                .toList();
+        boolean hasUnknown = requested != null && segments.size() < requested.size();
+        if (segments.isEmpty() || hasUnknown) {
             throw UnsupportedRequestException.illegalArgument(
                     "no such segment in index [" + index.name() + "]");
         }
@@ -202,11 +209,11 @@
     private static double timeoutMs(HttpMessage message, SearchBody body, QueryClass queryClass)
             throws UnsupportedRequestException {
         String timeLeft = message.header("x-time-left-ms");
-        if (timeLeft != null && !timeLeft.matches(WHOLE_NUMBER)) {
+        if (timeLeft != null && !timeLeft.matches(WHOLE_NUMBER_PATTERN)) {
             throw UnsupportedRequestException.illegalArgument("X-Time-Left-Ms is malformed");
         }
-        double clientMs =
+        double clientTimeoutMs =
                 timeLeft == null ? Double.POSITIVE_INFINITY : Double.parseDouble(timeLeft);
-        return Math.min(queryClass.deadlineMs(), Math.min(body.timeoutMs(), clientMs));
+        return Math.min(queryClass.deadlineMs(), Math.min(body.timeoutMs(), clientTimeoutMs));
     }
 }
--- a/src/main/java/reeldeal/opensearch/SearchResult.java
+++ b/src/main/java/reeldeal/opensearch/SearchResult.java
@@ -33,13 +33,13 @@
      */
     record Found(
             Index index,
-            List<Segment> searched,
+            List<Segment> searchedSegments,
             boolean complete,
             double tookMs,
             int total,
             double maxScore,
             List<Hit> hits,
-            boolean source)
+            boolean includeSource)
             implements Body {}
 
     /** One hit. */
@@ -53,12 +53,12 @@
     }
 
     /** The result of a request that was not taken. */
-    static SearchResult unsupported(UnsupportedRequestException reason) {
-        return error(reason.status(), reason.type(), reason.getMessage());
+    static SearchResult unsupported(UnsupportedRequestException exception) {
+        return error(exception.status(), exception.type(), exception.getMessage());
     }
 
     /** The result of a search by the core's reply. */
-    static SearchResult of(Search search, Reply reply, double tookMs) {
+    static SearchResult fromReply(Search search, Reply reply, double tookMs) {
         if (reply instanceof Reply.Rejected rejected) {
             ErrorBody body =
                     new ErrorBody(
@@ -94,7 +94,7 @@
                         hits.size(),
                         hits.isEmpty() ? 0 : hits.get(0).score(),
                         List.copyOf(hits.subList(from, to)),
-                        search.body().source());
+                        search.body().includeSource());
         return new SearchResult(OK, 0, found);
     }
 
--- a/src/test/java/reeldeal/config/SettingsParserTest.java
+++ b/src/test/java/reeldeal/config/SettingsParserTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void theOperatorsKeysBecomeTheModulesSettings() {
+    void configuredKeysAreMappedToDecisionSettings() {
         Settings parsed = SettingsParser.parse(settings(), SEED);
         assertEquals(3, parsed.brokers());
         assertEquals(5, parsed.tickMs());
@@ -70,17 +70,18 @@
                 "Rules.FallMultiple | 0 | Rules.ColdMs, Rules.FallMs, Rules.FallMultiple",
                 "Rules.FreeResends | -1 | Rules.LookBackMs, Rules.FreeResends, Rules.RepeatRatio"
             })
-    void aValueOutOfRangeIsNamedByItsOwnKey(String key, String value, String named) {
+    void aValueOutOfRangeIsReportedWithItsConfiguredKey(
+            String key, String value, String namedKeys) {
         Map<String, String> settings = settings();
         settings.put(key, value);
         IllegalArgumentException error =
                 assertThrows(
                         IllegalArgumentException.class, () -> SettingsParser.parse(settings, SEED));
-        assertEquals("setting out of range: " + named, error.getMessage());
+        assertEquals("setting out of range: " + namedKeys, error.getMessage());
     }
 
     @Test
-    void aMissingKeyIsNamed() {
+    void aMissingKeyIsReported() {
         Map<String, String> settings = settings();
         settings.remove("Rules.ColdMs");
         IllegalArgumentException error =
--- a/src/test/java/reeldeal/config/StoreConfigReaderTest.java
+++ b/src/test/java/reeldeal/config/StoreConfigReaderTest.java
@@ -19,7 +19,7 @@
 public class StoreConfigReaderTest {
     @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
-    private TakeoverConfig read(int nodes, String more) throws Exception {
+    private TakeoverConfig read(int nodes, String extraSettings) throws Exception {
         StringBuilder file = new StringBuilder("{\"node\":\"n0\",\"folder\":\"x\",\"nodes\":{");
         for (int i = 0; i < nodes; i++) {
             file.append(i > 0 ? "," : "")
@@ -33,53 +33,54 @@
                         Map.of(
                                 "REELDEAL_STORE",
                                 Files.writeString(
-                                                folder.newFile().toPath(), file + "}" + more + "}")
+                                                folder.newFile().toPath(),
+                                                file + "}" + extraSettings + "}")
                                         .toString()))
                 .handover();
     }
 
-    private void refused(String more, String why) throws Exception {
+    private void assertInvalid(String extraSettings, String expectedMessage) throws Exception {
         try {
-            read(3, more);
-            throw new AssertionError("it was taken: " + more);
+            read(3, extraSettings);
+            throw new AssertionError("it was taken: " + extraSettings);
         } catch (BrokerConfig.InvalidConfigException e) {
-            assertTrue(e.getMessage(), e.getMessage().contains(why));
+            assertTrue(e.getMessage(), e.getMessage().contains(expectedMessage));
         }
     }
 
     @Test
-    public void keyedWorkIsKeptWhereAFleetHasThreeVoters() throws Exception {
+    public void requestsWithKeysAreRecordedByDefaultInAFleetOfThreeVoters() throws Exception {
         String fleet = ",\"fleet\":{\"zone\":\"a\"}";
         assertNull(read(3, ""));
         assertNull(read(1, fleet));
         assertEquals(TakeoverConfig.DEFAULT, read(3, fleet));
         assertNull(read(3, fleet + ",\"handover\":{\"keyed\":\"off\"}"));
-        TakeoverConfig said =
+        TakeoverConfig configured =
                 read(
                         1,
                         fleet
                                 + ",\"handover\":{\"classes\":{\"audit-report\":\"required\"},\"keep_ms\":5000,\"learned\":\"paces\"}");
-        assertEquals(Mode.REQUIRED, said.mode("audit-report", false));
-        assertEquals(Mode.OFF, said.mode("bid-mark", true));
-        assertEquals(5_000, said.retentionMs());
-        assertEquals("[paces]", said.sharedStats().toString());
+        assertEquals(Mode.REQUIRED, configured.mode("audit-report", false));
+        assertEquals(Mode.OFF, configured.mode("bid-mark", true));
+        assertEquals(5_000, configured.retentionMs());
+        assertEquals("[paces]", configured.sharedStats().toString());
     }
 
     @Test
-    public void whatIsWrongIsNamed() throws Exception {
+    public void anInvalidSettingIsReportedWithItsKey() throws Exception {
         String fleet = ",\"fleet\":{\"zone\":\"a\"}";
-        refused(",\"handover\":{\"keyed\":\"required\"}", "handover: needs fleet");
-        refused(
+        assertInvalid(",\"handover\":{\"keyed\":\"required\"}", "handover: needs fleet");
+        assertInvalid(
                 fleet + ",\"handover\":{\"keyed\":\"always\"}",
                 "handover.keyed: expected required, preferred or off, found always");
-        refused(fleet + ",\"handover\":{\"keyd\":\"off\"}", "handover.keyd: no such setting");
-        refused(
+        assertInvalid(fleet + ",\"handover\":{\"keyd\":\"off\"}", "handover.keyd: no such setting");
+        assertInvalid(
                 fleet + ",\"handover\":{\"classes\":{\"bid-mark\":\"on\"}}",
                 "handover.classes.bid-mark: expected required");
-        refused(
+        assertInvalid(
                 fleet + ",\"handover\":{\"make_ms\":\"soon\"}",
                 "handover.make_ms: expected a whole number of ms");
-        refused(
+        assertInvalid(
                 fleet + ",\"handover\":{\"learned\":\"all\"}",
                 "handover.learned: expected ejections, paces");
     }
--- a/src/test/java/reeldeal/config/ZonesConfigReaderTest.java
+++ b/src/test/java/reeldeal/config/ZonesConfigReaderTest.java
@@ -29,7 +29,7 @@
         return StoreConfigReader.read(Map.of("REELDEAL_STORE", file.toString()));
     }
 
-    private Path key(String mode) throws Exception {
+    private Path writeKeyFile(String mode) throws Exception {
         Path file = folder.getRoot().toPath().resolve("key" + mode);
         TsigKeyFile.write(file, new Tsig.Key("k.test.", "hmac-sha512.", new byte[32]));
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString(mode));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    public void theExampleIsRead() throws Exception {
+    public void theExampleConfigurationIsValid() throws Exception {
         ZonesConfig zones =
                 StoreConfigReader.read(Map.of("REELDEAL_STORE", "deploy/example/store.json"))
                         .zones();
@@ -47,67 +47,75 @@
     }
 
     @Test
-    public void whatIsWrongIsNamed() throws Exception {
+    public void anInvalidSettingIsReportedWithItsKey() throws Exception {
         String zone = "\"zones\":[{\"origin\":\"z.test\",\"file\":\"deploy/example/tartu.zone\"";
-        Map<String, String> bad = new LinkedHashMap<>();
-        bad.put("\"orign\":\"z\"", "store dns.orign: no such setting");
-        bad.put(zone + ",\"searcher\":true}]", "store dns.zones.0.searcher: no such setting");
-        bad.put(
+        Map<String, String> expectedMessages = new LinkedHashMap<>();
+        expectedMessages.put("\"orign\":\"z\"", "store dns.orign: no such setting");
+        expectedMessages.put(
+                zone + ",\"searcher\":true}]", "store dns.zones.0.searcher: no such setting");
+        expectedMessages.put(
                 zone + ",\"searchers\":\"yes\"}]",
                 "store dns.zones.0.searchers: expected true or false, found yes");
-        bad.put(
+        expectedMessages.put(
                 zone + ",\"primaries\":[{\"address\":\"127.0.0.1:3\"}]}]",
                 "store dns.zones.0.file: expected either a file or primaries");
-        bad.put(
+        expectedMessages.put(
                 zone + ",\"allow_query\":[\"10.0.0.1/8\"]}]",
                 "store dns.zones.0.allow_query: expected any, loopback");
-        bad.put(
+        expectedMessages.put(
                 zone + ",\"allow_update\":[\"key:no\"]}]",
                 "store dns.zones.0.allow_update: expected a key of dns.key_files, found key:no");
-        bad.put(
+        expectedMessages.put(
                 zone + ",\"notify\":[{\"address\":\"192.0.2.1:53\"}]}]",
                 "store dns.zones.0.notify.0.address: not a loopback address");
-        bad.put(
+        expectedMessages.put(
                 zone + "},{\"origin\":\"Z.test.\",\"file\":\"deploy/example/tartu.zone\"}]",
                 "store dns.zones: z.test. is there twice");
-        bad.put(
+        expectedMessages.put(
                 zone + "}],\"max_connections\":0",
                 "store dns.max_connections: expected a whole number from 1 to 10000, found 0");
-        bad.put(
+        expectedMessages.put(
                 "\"origin\":\"z.test\",\"zone_file\":\"no/such\"",
                 "store dns.zone_file: cannot be read: no/such");
-        bad.put("\"idle_ms\":500", "store dns: expected zones, or origin and zone_file");
-        bad.forEach(
-                (dns, why) -> {
-                    String said =
+        expectedMessages.put(
+                "\"idle_ms\":500", "store dns: expected zones, or origin and zone_file");
+        expectedMessages.forEach(
+                (dns, expectedMessage) -> {
+                    String message =
                             assertThrows(
                                             dns,
                                             BrokerConfig.InvalidConfigException.class,
                                             () -> read(dns))
                                     .getMessage();
-                    assertTrue(said + " for " + why, said.startsWith(why));
+                    assertTrue(
+                            message + " for " + expectedMessage,
+                            message.startsWith(expectedMessage));
                 });
     }
 
     @Test
-    public void aKeyThatOthersCanReadIsRefused() throws Exception {
-        assertEquals("k.test.", TsigKeyFile.read(key("rw-------")).name());
-        String said =
+    public void aKeyFileReadableByOthersOrWithAShortSecretIsRejected() throws Exception {
+        assertEquals("k.test.", TsigKeyFile.read(writeKeyFile("rw-------")).name());
+        String message =
                 assertThrows(
                                 BrokerConfig.InvalidConfigException.class,
-                                () -> TsigKeyFile.read(key("rw-r-----")))
+                                () -> TsigKeyFile.read(writeKeyFile("rw-r-----")))
                         .getMessage();
-        assertTrue(said, said.contains("expected mode 600 or 400, found rw-r-----; run chmod 600"));
-        Path short16 = folder.getRoot().toPath().resolve("short");
-        Files.writeString(short16, "{\"name\":\"k\",\"secret\":\"c2VjcmV0\"}");
-        Files.setPosixFilePermissions(short16, PosixFilePermissions.fromString("rw-------"));
-        String weak =
+        assertTrue(
+                message,
+                message.contains("expected mode 600 or 400, found rw-r-----; run chmod 600"));
+        Path shortSecretFile = folder.getRoot().toPath().resolve("short");
+        Files.writeString(shortSecretFile, "{\"name\":\"k\",\"secret\":\"c2VjcmV0\"}");
+        Files.setPosixFilePermissions(
+                shortSecretFile, PosixFilePermissions.fromString("rw-------"));
+        String shortSecretMessage =
                 assertThrows(
                                 BrokerConfig.InvalidConfigException.class,
-                                () -> TsigKeyFile.read(short16))
+                                () -> TsigKeyFile.read(shortSecretFile))
                         .getMessage();
         assertTrue(
-                weak,
-                weak.contains("secret: expected at least 16 bytes") && !weak.contains("c2VjcmV0"));
+                shortSecretMessage,
+                shortSecretMessage.contains("secret: expected at least 16 bytes")
+                        && !shortSecretMessage.contains("c2VjcmV0"));
     }
 }
--- a/src/test/java/reeldeal/opensearch/IdempotencyCacheTest.java
+++ b/src/test/java/reeldeal/opensearch/IdempotencyCacheTest.java
@@ -20,10 +20,10 @@
 
     private final FakeSubmitter submitter = new FakeSubmitter();
     private final IdempotencyCache cache = new IdempotencyCache(submitter);
-    private final List<Reply> first = new ArrayList<>();
-    private final List<Reply> second = new ArrayList<>();
-    private final Consumer<Reply> firstClient = first::add;
-    private final Consumer<Reply> secondClient = second::add;
+    private final List<Reply> firstReplies = new ArrayList<>();
+    private final List<Reply> secondReplies = new ArrayList<>();
+    private final Consumer<Reply> firstClient = firstReplies::add;
+    private final Consumer<Reply> secondClient = secondReplies::add;
 
     /** Keeps what is submitted; time stands still unless a test moves it. */
     private static final class FakeSubmitter implements RequestSubmitter {
@@ -69,7 +69,7 @@
     }
 
     @BeforeEach
-    void submitTheFirst() {
+    void submitFirstRequest() {
         assertEquals(SubmitResult.ACCEPTED, submit("a search", firstClient));
     }
 
@@ -78,26 +78,26 @@
         assertEquals(SubmitResult.ACCEPTED, submit("a search", secondClient));
         submitter.submitted.get(0).accept(SERVED);
         assertEquals(1, submitter.submitted.size());
-        assertEquals(List.of(SERVED), first);
-        assertEquals(List.of(SERVED), second);
+        assertEquals(List.of(SERVED), firstReplies);
+        assertEquals(List.of(SERVED), secondReplies);
     }
 
     @Test
-    void aRetryAfterTheAnswerGetsTheSameAnswer() {
+    void aRetryAfterTheReplyGetsTheSameReply() {
         submitter.submitted.get(0).accept(SERVED);
         assertEquals(SubmitResult.ACCEPTED, submit("a search", secondClient));
         assertEquals(1, submitter.submitted.size());
-        assertEquals(List.of(SERVED), second);
+        assertEquals(List.of(SERVED), secondReplies);
     }
 
     @Test
-    void theKeyOfAnotherRequestIsAConflict() {
+    void reusingAKeyForAnotherRequestIsAConflict() {
         assertEquals(SubmitResult.DIFFERENT_REQUEST, submit("another search", secondClient));
-        assertEquals(List.of(), second);
+        assertEquals(List.of(), secondReplies);
     }
 
     @Test
-    void aFailedRequestIsSubmittedAgainInsideTheWindow() {
+    void aFailedRequestIsResubmittedWithinTheWindow() {
         submitter.submitted.get(0).accept(FAILED);
         submitter.now += WINDOW_MS - 1;
         assertEquals(SubmitResult.ACCEPTED, submit("a search", secondClient));
@@ -105,21 +105,21 @@
     }
 
     @Test
-    void theWindowCountsFromTheFirstAttempt() {
+    void theWindowStartsAtTheFirstAttempt() {
         submitter.submitted.get(0).accept(FAILED);
         submitter.now += WINDOW_MS - 1;
         submit("a search", secondClient);
         submitter.submitted.get(1).accept(FAILED);
         submitter.now += 1;
-        assertEquals(SubmitResult.WINDOW_OVER, submit("a search", secondClient));
+        assertEquals(SubmitResult.WINDOW_EXPIRED, submit("a search", secondClient));
     }
 
     @Test
-    void theRequestIsWithdrawnOnceAllClientsHaveLeft() {
+    void theRequestIsWithdrawnOnceAllClientsHaveDisconnected() {
         submit("a search", secondClient);
-        cache.leave(0, "key", firstClient);
+        cache.removeClient(0, "key", firstClient);
         assertEquals(List.of(), submitter.disconnected);
-        cache.leave(0, "key", secondClient);
+        cache.removeClient(0, "key", secondClient);
         assertEquals(List.of(1L), submitter.disconnected);
     }
 }
