--- a/src/main/java/reeldeal/config/AdministrativeOverridesFile.java
+++ b/src/main/java/reeldeal/config/AdministrativeOverridesFile.java
@@ -11,13 +11,16 @@
 import reeldeal.config.BrokerConfig.InvalidConfigException;
 import reeldeal.endpoints.EndpointView.AdministrativeOverride;
 
-/** The operator's words on searchers: a JSON object of names, each with ready, draining or gone. */
+/**
+ * Reads the file of the operator's administrative overrides: a JSON object that maps searcher names
+ * to ready, draining or gone.
+ */
 public final class AdministrativeOverridesFile {
     private static final JsonFactory JSON = new JsonFactory();
 
     private AdministrativeOverridesFile() {}
 
-    /** The words in a file; one that is not there holds none. */
+    /** Returns the overrides by searcher name; a missing file has no overrides. */
     public static Map<String, AdministrativeOverride> read(Path file)
             throws InvalidConfigException, IOException {
         Map<String, AdministrativeOverride> overrides = new HashMap<>();
--- a/src/main/java/reeldeal/config/BrokerConfig.java
+++ b/src/main/java/reeldeal/config/BrokerConfig.java
@@ -17,10 +17,11 @@
 import reeldeal.discovery.EndpointListParser;
 
 /**
- * All that a broker is told at its start, read, checked and given defaults here and nowhere else.
- * What the module is to know stands in {@code settings}; beside it is what only sockets need.
- * {@code search} is null where the second front is off; {@code discovery} is null where {@code dns}
- * tells the searchers.
+ * The configuration of a broker, validated and with defaults applied.
+ *
+ * <p>{@code settings} is the input of the decision module; the other components are for the rest of
+ * the broker. {@code search} is null if the OpenSearch-style front is off. {@code discovery} may be
+ * null if {@code dns} is set, because searchers are then discovered from DNS zones.
  */
 public record BrokerConfig(
         String name,
@@ -41,17 +42,17 @@
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** A configuration that cannot be used; the message names the faulty key. */
+    /** Thrown for an invalid configuration; the message names the key at fault. */
     public static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        /** An error whose message names the file or key, what was expected and what was found. */
+        /** Takes a message that names the file or key, the expected value and the value found. */
         public InvalidConfigException(String message) {
             super(message);
         }
     }
 
-    /** The bytes of the file that LB_CONFIG names, or null where it is not set. */
+    /** Returns the content of the file named by LB_CONFIG, or null if the variable is not set. */
     public static byte[] file(Map<String, String> environment) throws InvalidConfigException {
         String file = environment.get("LB_CONFIG");
         if (file == null || file.isEmpty()) {
@@ -65,8 +66,10 @@
     }
 
     /**
-     * The configuration in these bytes; LB_NAME, LB_LISTEN and LB_DISCOVERY go before what they
-     * say.
+     * Parses the content of a configuration file. The environment variables LB_NAME, LB_LISTEN and
+     * LB_DISCOVERY override its {@code name}, {@code listen} and {@code discovery}.
+     *
+     * @param dns whether searchers are discovered from DNS zones
      */
     public static BrokerConfig parse(byte[] bytes, Map<String, String> environment, boolean dns)
             throws InvalidConfigException {
@@ -74,7 +77,7 @@
         List<Searcher> known = List.of();
         try (JsonParser json = JSON.createParser(bytes)) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new InvalidConfigException("LB_CONFIG: not a JSON object");
+                throw new InvalidConfigException("LB_CONFIG: expected a JSON object");
             }
             while (json.nextToken() == JsonToken.FIELD_NAME) {
                 String field = json.currentName();
@@ -182,7 +185,7 @@
                 return parsed;
             }
         } catch (NumberFormatException e) {
-            // named below
+            // reported by the exception below
         }
         throw new InvalidConfigException("setting malformed: " + key + "=" + value);
     }
@@ -191,7 +194,7 @@
             throws InvalidConfigException {
         String value = values.get(key);
         if (value == null) {
-            throw new InvalidConfigException(key + ": not set");
+            throw new InvalidConfigException(key + ": not set; expected host:port");
         }
         int colon = value.lastIndexOf(':');
         try {
@@ -200,8 +203,8 @@
                         value.substring(0, colon), Integer.parseInt(value.substring(colon + 1)));
             }
         } catch (IllegalArgumentException e) {
-            // named below
+            // reported by the exception below
         }
-        throw new InvalidConfigException(key + ": not host:port: " + value);
+        throw new InvalidConfigException(key + ": expected host:port, found " + value);
     }
 }
--- a/src/main/java/reeldeal/config/ConfigValues.java
+++ b/src/main/java/reeldeal/config/ConfigValues.java
@@ -15,8 +15,8 @@
 import reeldeal.config.BrokerConfig.InvalidConfigException;
 
 /**
- * The settings of one file by their paths, read with checks; every error names the key, what was
- * expected and what was found.
+ * The settings of one file by their paths, with validating accessors. Every error names the key,
+ * the expected value and the value found.
  */
 final class ConfigValues {
     private static final JsonFactory JSON = new JsonFactory();
@@ -30,12 +30,12 @@
         this.values = values;
     }
 
-    /** The settings of a JSON file; {@code source} stands before the keys in errors. */
+    /** Reads a JSON file; error messages put {@code source} before the key. */
     static ConfigValues read(String source, Path file) throws InvalidConfigException {
         Map<String, String> values = new HashMap<>();
         try (JsonParser json = JSON.createParser(Files.readAllBytes(file))) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new InvalidConfigException(source + ": not a JSON object");
+                throw new InvalidConfigException(source + ": expected a JSON object");
             }
             JsonPaths.read(json, "", values, 0);
         } catch (IOException e) {
@@ -45,29 +45,33 @@
         return new ConfigValues(source, values);
     }
 
-    /** An error about a key. */
+    /** Returns an exception whose message names the source, the key and the problem. */
     InvalidConfigException invalid(String key, String problem) {
         return new InvalidConfigException(source + " " + key + ": " + problem);
     }
 
-    /** All keys, in order. */
+    /** Returns all keys in alphabetical order. */
     Set<String> keys() {
         return new TreeSet<>(values.keySet());
     }
 
-    /** Whether any key begins so. */
+    /** Returns whether any key starts with the prefix. */
     boolean hasKeysUnder(String prefix) {
         return values.keySet().stream().anyMatch(key -> key.startsWith(prefix));
     }
 
-    /** Throws where a key under the prefix is not known; the error lists those that are. */
+    /**
+     * Throws if a key under the prefix is unknown.
+     *
+     * @param listedFirst text that the error puts before the list of known keys
+     */
     void checkKnown(String prefix, Set<String> known, String listedFirst)
             throws InvalidConfigException {
         for (String key : keys()) {
             if (key.startsWith(prefix) && !known.contains(key.substring(prefix.length()))) {
                 throw invalid(
                         key,
-                        "no such setting; there are "
+                        "no such setting; expected one of "
                                 + listedFirst
                                 + String.join(", ", new TreeSet<>(known)));
             }
@@ -78,7 +82,7 @@
         return values.containsKey(key);
     }
 
-    /** A setting, or null where it is not there. */
+    /** Returns the value of a setting, or null if it is not set. */
     String get(String key) {
         return values.get(key);
     }
@@ -87,7 +91,7 @@
         return values.getOrDefault(key, defaultValue);
     }
 
-    /** A setting that must be there. */
+    /** Returns the value of a setting that must be set and not empty. */
     String required(String key) throws InvalidConfigException {
         String value = values.get(key);
         if (value == null || value.isEmpty()) {
@@ -96,7 +100,7 @@
         return value;
     }
 
-    /** {@code true} or {@code false}; false where it is not there. */
+    /** Returns a boolean setting, which is false if it is not set. */
     boolean flag(String key) throws InvalidConfigException {
         String value = values.getOrDefault(key, "false");
         if (!value.matches("true|false")) {
@@ -105,18 +109,18 @@
         return value.equals("true");
     }
 
-    /** Values joined by commas. */
+    /** Returns the items of a comma-separated setting. */
     List<String> list(String key, String defaultValue) {
         String joined = values.getOrDefault(key, defaultValue);
         return joined.isEmpty() ? List.of() : List.of(joined.split(","));
     }
 
-    /** How many objects a list has. */
+    /** Returns the number of objects in a list, 0 if the list is not set. */
     int count(String key) {
         return Integer.parseInt(values.getOrDefault(key + ".count", "0"));
     }
 
-    /** A whole number within bounds. */
+    /** Returns a whole number between {@code min} and {@code max}, both inclusive. */
     long number(String key, long defaultValue, long min, long max) throws InvalidConfigException {
         String value = values.get(key);
         if (value == null) {
@@ -131,16 +135,17 @@
         return Long.parseLong(value);
     }
 
-    /** A time in ms, of at least so many. */
+    /** Returns a whole number of at most seven digits that is not below {@code min}. */
     long numberAtLeast(String key, long defaultValue, long min) throws InvalidConfigException {
         String value = values.getOrDefault(key, String.valueOf(defaultValue));
         if (!value.matches("[0-9]{1,7}") || Long.parseLong(value) < min) {
-            throw invalid(key, "expected a whole number of ms from " + min + " on, found " + value);
+            throw invalid(
+                    key, "expected a whole number from " + min + " to 9999999, found " + value);
         }
         return Long.parseLong(value);
     }
 
-    /** A percentage, as a share from 0 to 1. */
+    /** Returns a percentage setting as a share from 0 to 1. */
     double percent(String key, double defaultValue) throws InvalidConfigException {
         String value = values.get(key);
         if (value == null) {
@@ -152,11 +157,11 @@
         return Integer.parseInt(value) / (double) MAX_PERCENT;
     }
 
-    /** An address on this machine, {@code host:port}. */
+    /** Returns a loopback address, configured as {@code host:port}. */
     InetSocketAddress loopbackAddress(String key) throws InvalidConfigException {
         InetSocketAddress address = BrokerConfig.address(values, key);
         if (address.isUnresolved() || !address.getAddress().isLoopbackAddress()) {
-            throw invalid(key, "not a loopback address: " + address.getHostString());
+            throw invalid(key, "expected a loopback address, found " + address.getHostString());
         }
         return address;
     }
--- a/src/main/java/reeldeal/config/FleetConfigReader.java
+++ b/src/main/java/reeldeal/config/FleetConfigReader.java
@@ -8,7 +8,7 @@
 import reeldeal.fleet.node.FleetConfig;
 import reeldeal.fleet.recovery.RecoveryRamp;
 
-/** The part {@code fleet} of the store's file: this broker as a member of a fleet. */
+/** Reads the {@code fleet} section of the store's file: this broker's membership of a fleet. */
 final class FleetConfigReader {
     private static final String PREFIX = "fleet.";
     private static final String STEPS_KEY = "fleet.recovery.steps";
@@ -48,13 +48,15 @@
                 recoveryRamp(values));
     }
 
-    /** The version in the jar's manifest. */
+    /** Returns the version in the jar's manifest, or {@code unknown} outside a jar. */
     private static String programVersion() {
         String version = FleetConfigReader.class.getPackage().getImplementationVersion();
         return version == null ? "unknown" : version;
     }
 
-    /** How a fleet comes back from a loss of power; null where that is off. */
+    /**
+     * Returns the steps by which a fleet restores service after an outage; null if they are off.
+     */
     private static RecoveryRamp recoveryRamp(ConfigValues values) throws InvalidConfigException {
         if ("off".equals(values.get(STEPS_KEY))) {
             return null;
@@ -82,7 +84,8 @@
         for (String step : steps.split(",")) {
             if (!step.matches(SHARE_PATTERN) || Double.parseDouble(step) <= lastShare) {
                 throw values.invalid(
-                        STEPS_KEY, "expected off, or rising shares up to 1, found " + steps);
+                        STEPS_KEY,
+                        "expected off, or shares in ascending order up to 1, found " + steps);
             }
             lastShare = Double.parseDouble(step);
             shares.add(lastShare);
--- a/src/main/java/reeldeal/config/JsonPaths.java
+++ b/src/main/java/reeldeal/config/JsonPaths.java
@@ -7,19 +7,20 @@
 import java.util.StringJoiner;
 
 /**
- * Reads nested JSON into values by their paths, as the simulator's wire writes them: a list of
- * plain values joins them by commas, a list of objects gives its length under {@code count}.
+ * Flattens nested JSON into values by path, in the format of the simulator's wire protocol: an
+ * array of scalars becomes one comma-separated value; an array of objects has its length stored
+ * under {@code count}.
  */
 public final class JsonPaths {
     private static final int MAX_DEPTH = 16;
 
     private JsonPaths() {}
 
-    /** Reads the value that the parser stands on. */
+    /** Reads the value at the parser's current token into {@code target}, under its path. */
     public static void read(JsonParser json, String path, Map<String, String> target, int depth)
             throws IOException {
         if (depth > MAX_DEPTH) {
-            throw new IOException("nested too deep at " + path);
+            throw new IOException("nested more than " + MAX_DEPTH + " levels deep at " + path);
         }
         JsonToken token = json.currentToken();
         if (token == JsonToken.START_OBJECT) {
@@ -34,7 +35,7 @@
             boolean hasObjects = false;
             while (json.nextToken() != JsonToken.END_ARRAY) {
                 if (json.currentToken().isScalarValue()) {
-                    // A comma in a name would split the joined list.
+                    // A comma inside an item would later split it into two items.
                     scalars.add(json.getText().replace(',', '_'));
                 } else {
                     hasObjects = true;
--- a/src/main/java/reeldeal/config/SettingsParser.java
+++ b/src/main/java/reeldeal/config/SettingsParser.java
@@ -14,11 +14,14 @@
 import reeldeal.decision.DecisionModule.Tenant;
 
 /**
- * Turns path=value pairs into settings, for the wire and for the broker alike; a bad or missing one
- * throws, naming its key.
+ * Parses settings from path=value pairs, for the simulator's wire protocol and for the broker's
+ * configuration file. A malformed or missing setting throws an exception that names its key.
  */
 public final class SettingsParser {
-    /** What the settings call the values whose range the module's type checks. */
+    /**
+     * Configuration keys by the names that {@link DecisionModule.Settings} uses in its range
+     * checks, so that errors name the key that the operator has to change.
+     */
     private static final Map<String, String> KEYS_BY_SETTING =
             Map.ofEntries(
                     Map.entry("brokers", "Instances"),
@@ -51,7 +54,7 @@
         this.values = values;
     }
 
-    /** Settings from the wire's lines. */
+    /** Parses {@code path=value} lines, as sent by the simulator. */
     public static Settings parse(String text, long seed) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
@@ -64,7 +67,7 @@
         return parse(values, seed);
     }
 
-    /** Settings from values by their paths. */
+    /** Parses settings from values by their paths. */
     public static Settings parse(Map<String, String> values, long seed) {
         return new SettingsParser(values).settings(seed);
     }
@@ -203,7 +206,7 @@
                 return parsed;
             }
         } catch (NumberFormatException e) {
-            // named below
+            // reported by the exception below
         }
         throw malformed(key);
     }
--- a/src/main/java/reeldeal/config/StoreConfigReader.java
+++ b/src/main/java/reeldeal/config/StoreConfigReader.java
@@ -14,12 +14,12 @@
 import reeldeal.zones.ZonesConfig;
 
 /**
- * The store's file under {@code deploy/}, as it was read.
+ * Reads the store's configuration file under {@code deploy/} and holds its sections.
  *
  * @param store the replicated store
- * @param zones the zones that it keeps, or null for none
- * @param fleet the broker as a member of a fleet, or null where it is none
- * @param handover records of in-flight requests, or null where there are none
+ * @param zones the DNS zones that the broker serves, or null if there is no {@code dns} section
+ * @param fleet the broker's membership of a fleet, or null if it is not a member
+ * @param handover records of in-flight requests and their takeover, or null if none are kept
  */
 public record StoreConfigReader(
         StoreConfig store, ZonesConfig zones, FleetConfig fleet, TakeoverConfig handover) {
@@ -27,7 +27,10 @@
     private static final String NODES_PREFIX = "nodes.";
     private static final String NAME_PATTERN = "[A-Za-z0-9_.-]{1,64}";
 
-    /** Reads the file, which REELDEAL_STORE names; null where there is none. */
+    /**
+     * Reads the file named by REELDEAL_STORE, or else the default file; returns null if the
+     * variable is not set and the default file does not exist.
+     */
     public static StoreConfigReader read(Map<String, String> environment)
             throws InvalidConfigException {
         String configuredFile = environment.getOrDefault("REELDEAL_STORE", "");
@@ -45,25 +48,26 @@
                 TakeoverConfigReader.read(values, voters));
     }
 
-    // "writer" and "term" named a leader by hand before version 0.4; the group elects one now, and
-    // they are not read.
+    // The keys "writer" and "term" are ignored: they configured the leader by hand before version
+    // 0.4, and the group now elects its leader.
     private static StoreConfig store(ConfigValues values) throws InvalidConfigException {
         Map<String, InetSocketAddress> nodes = nodes(values);
         String node = values.required("node");
         if (!nodes.containsKey(node)) {
-            throw new InvalidConfigException("store nodes: " + node + " is not among them");
+            throw new InvalidConfigException("store node: " + node + " is not listed in nodes");
         }
         String group = values.get("group", "default");
         if (!group.matches(NAME_PATTERN) || !node.matches(NAME_PATTERN)) {
             throw new InvalidConfigException(
-                    "store group, node: expected letters, digits, - _ . and 64 of them at most");
+                    "store group, node: expected 1 to 64 letters, digits, hyphens, underscores and dots");
         }
         boolean joins = values.flag("joins");
         String backup = values.get("backup.file");
         long backupEveryMs = backupEveryMs(values);
         Set<String> voters = voters(values, nodes);
         if (joins && (nodes.size() < 2 || voters.equals(Set.of(node)))) {
-            throw values.invalid("joins", "expected nodes of the group that is joined among nodes");
+            throw values.invalid(
+                    "joins", "expected another node of the group in nodes, and in voters if set");
         }
         return new StoreConfig(
                 group,
@@ -105,7 +109,8 @@
                 continue;
             }
             if (!nodes.containsKey(voter)) {
-                throw new InvalidConfigException("store voters: " + voter + " is not among nodes");
+                throw new InvalidConfigException(
+                        "store voters: " + voter + " is not listed in nodes");
             }
             voters.add(voter);
         }
--- a/src/main/java/reeldeal/config/TakeoverConfigReader.java
+++ b/src/main/java/reeldeal/config/TakeoverConfigReader.java
@@ -9,7 +9,8 @@
 import reeldeal.takeover.TakeoverConfig.Mode;
 
 /**
- * The part {@code handover} of the store's file: records of in-flight requests and their takeover.
+ * Reads the {@code handover} section of the store's file: records of in-flight requests and their
+ * takeover.
  */
 final class TakeoverConfigReader {
     private static final String PREFIX = "handover.";
@@ -30,15 +31,15 @@
     private TakeoverConfigReader() {}
 
     /**
-     * The settings, or null where nothing is to be recorded. By default a fleet of three voters or
-     * more records requests with keys.
+     * Returns the configuration, or null if no requests are recorded. By default requests with
+     * idempotency keys are recorded in a fleet with at least three voters.
      */
     static TakeoverConfig read(ConfigValues values, int voters) throws InvalidConfigException {
         checkKeys(values);
         boolean hasFleet = values.hasKeysUnder("fleet.");
         if (values.hasKeysUnder(PREFIX) && !hasFleet) {
             throw new InvalidConfigException(
-                    "store handover: needs fleet, since work is taken over once its owner's lease has ended");
+                    "store handover: needs fleet, because a request is taken over when its owner's lease has ended");
         }
         TakeoverConfig config = settings(values, voters);
         boolean enabled =
@@ -56,7 +57,7 @@
             if (!known) {
                 throw values.invalid(
                         key,
-                        "no such setting; there are classes, "
+                        "no such setting; expected one of classes, "
                                 + String.join(", ", new TreeSet<>(KNOWN_KEYS)));
             }
         }
--- a/src/main/java/reeldeal/config/TsigKeyFile.java
+++ b/src/main/java/reeldeal/config/TsigKeyFile.java
@@ -19,8 +19,8 @@
 import reeldeal.dns.Tsig;
 
 /**
- * A file with one TSIG key: {@code {"name": "...", "algorithm": "hmac-sha256", "secret":
- * "base64"}}. It must be open to its owner only.
+ * Reads and writes files with one TSIG key each: {@code {"name": "...", "algorithm": "hmac-sha256",
+ * "secret": "base64"}}. Only the owner may have access to such a file.
  */
 public final class TsigKeyFile {
     private static final JsonFactory JSON = new JsonFactory();
@@ -28,12 +28,12 @@
 
     private TsigKeyFile() {}
 
-    /** The key in a file. */
+    /** Reads the key in a file; rejects a file to which others than its owner have access. */
     public static Tsig.Key read(Path file) throws InvalidConfigException {
         return read(file, true);
     }
 
-    /** The key in a file, whose mode is looked at or not. */
+    /** Reads the key in a file and checks the file's mode only if {@code checkMode} is set. */
     static Tsig.Key read(Path file, boolean checkMode) throws InvalidConfigException {
         Map<String, String> values = new HashMap<>();
         try {
@@ -61,7 +61,7 @@
                 JsonPaths.read(json, "", values, 0);
             }
         } catch (IOException e) {
-            // The text of a JSON error may quote the secret.
+            // The message of a JSON error may quote the secret, so it is not passed on.
             throw new InvalidConfigException(
                     file
                             + ": cannot be read: "
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Writes a key to a new file that only its owner can read. */
+    /** Writes a key to a new file that only its owner can read and write. */
     public static void write(Path file, Tsig.Key key) throws IOException {
         String text =
                 "{\"name\": \""
--- a/src/main/java/reeldeal/config/ZonesConfigReader.java
+++ b/src/main/java/reeldeal/config/ZonesConfigReader.java
@@ -21,7 +21,8 @@
 import reeldeal.zones.ZonesConfig;
 
 /**
- * The part {@code dns} of the store's file: zones, keys, access and the rules of the endpoint view.
+ * Reads the {@code dns} section of the store's file: zones, keys, access lists and the rules of the
+ * endpoint view.
  */
 final class ZonesConfigReader {
     private static final Set<String> KNOWN_KEYS =
@@ -63,12 +64,12 @@
         InetSocketAddress listen = values.loopbackAddress("dns.listen");
         Map<String, Tsig.Key> keys = new LinkedHashMap<>();
         for (String file : values.list("dns.key_files", "")) {
-            // A checkout knows no modes: the example's keys, which are no secret, are read as they
-            // lie.
+            // A checkout does not preserve file modes, so the mode of the example's keys, which are
+            // not secret, is not checked.
             Tsig.Key key = TsigKeyFile.read(Path.of(file), !values.flag("dns.example_keys"));
             if (keys.put(key.name(), key) != null) {
                 throw new InvalidConfigException(
-                        "store dns.key_files: " + key.name() + " is in two files");
+                        "store dns.key_files: key " + key.name() + " is in more than one file");
             }
         }
         List<ZonesConfig.Entry> zones = new ArrayList<>();
@@ -83,7 +84,7 @@
         for (ZonesConfig.Entry zone : zones) {
             if (!origins.add(zone.origin())) {
                 throw new InvalidConfigException(
-                        "store dns.zones: " + zone.origin() + " is there twice");
+                        "store dns.zones: zone " + zone.origin() + " is configured twice");
             }
         }
         if (zones.stream().noneMatch(ZonesConfig.Entry::searchers) && zones.isEmpty()) {
@@ -135,12 +136,12 @@
                                 3_600_000));
         if (rules.flapReuse() > rules.flapLimit()) {
             throw new InvalidConfigException(
-                    "store dns.members.flap_reuse: expected at most flap_limit");
+                    "store dns.members.flap_reuse: expected at most the value of flap_limit");
         }
         return rules;
     }
 
-    /** What no one reads is a mistake: a key with a slip in it must not go unseen. */
+    /** Rejects unknown keys, so that a misspelled setting is not silently ignored. */
     private static void checkKeys(ConfigValues values) throws InvalidConfigException {
         for (String key : values.keys()) {
             if (!key.startsWith("dns.")) {
@@ -156,7 +157,9 @@
                                                     "(primaries|notify)\\.[0-9]+\\.(address|key)")
                                             || zoneKey.matches(
                                                     "grants\\.[0-9]+\\.(key|names|types)")));
-            // An empty list has no form: it stands under the name of the list itself.
+            // An empty list is stored under its own key: whether its items would be scalars or
+            // objects
+            // is unknown, so that it has no count.
             boolean emptyList =
                     values.get(key).isEmpty()
                             && dnsKey.matches("zones|zones\\.[0-9]+\\.(primaries|notify|grants)");
@@ -166,7 +169,10 @@
         }
     }
 
-    /** The short form: one zone of searchers, which loopback may read and, without keys, change. */
+    /**
+     * Returns the zone of the short form, {@code origin} and {@code zone_file}: it lists searchers
+     * and anyone may query it. Loopback may transfer it and, if no keys are configured, update it.
+     */
     private static ZonesConfig.Entry shortFormZone(ConfigValues values, Map<String, Tsig.Key> keys)
             throws InvalidConfigException {
         Path file = readableFile(values, "dns.zone_file");
@@ -184,6 +190,7 @@
                 1_000_000);
     }
 
+    /** Allows updates by the keys with grants; if no keys are configured, by loopback. */
     private static AccessList defaultUpdateAccess(
             Map<String, Tsig.Key> keys, List<UpdateGrant> grants) {
         List<String> entries = new ArrayList<>();
--- a/src/main/java/reeldeal/config/package-info.java
+++ b/src/main/java/reeldeal/config/package-info.java
@@ -1,10 +1,10 @@
 /**
- * All configuration: read, checked and given defaults here and nowhere else. Errors are {@code
- * InvalidConfigException}s that name the file's part and the key, what was expected and what was
- * found.
+ * Reads and validates all configuration and supplies its defaults; no other package does. An
+ * invalid setting is reported by an {@code InvalidConfigException} that names the section of the
+ * file and the key, the expected value and the value found.
  *
- * <p>Imports the settings' types of what it configures, and nothing that runs. It has no state;
- * files are read by whoever calls, at start and, for the broker's configuration and the
- * administrative overrides, at SIGHUP.
+ * <p>The package depends only on the settings types of the components that it configures, never on
+ * the running components. It has no state: callers read the files at start and, for the broker's
+ * configuration and the administrative overrides, again at SIGHUP.
  */
 package reeldeal.config;
--- a/src/main/java/reeldeal/opensearch/IdempotencyCache.java
+++ b/src/main/java/reeldeal/opensearch/IdempotencyCache.java
@@ -10,16 +10,18 @@
 import reeldeal.core.RequestSubmitter;
 
 /**
- * Requests by their idempotency keys, in this broker's memory. A retry that comes while the first
- * attempt is in flight waits for its reply; one that comes after it was served gets the same reply.
- * A key whose effect is unknown may be submitted again while searchers drop repeats, and not after
- * that. Runs on the broker's event loop.
+ * Deduplicates requests by idempotency key, in this broker's memory.
+ *
+ * <p>A retry that arrives while the first request is in flight waits for its reply; a retry that
+ * arrives after the request was served gets the same reply. If it is unknown whether the request
+ * took effect, it may be submitted again only within the deduplication window of the searchers, who
+ * drop repeats until its end. Runs on the broker's event loop.
  */
 final class IdempotencyCache {
     private static final int MAX_ENTRIES = 4_096;
     private static final double RETENTION_MS = 600_000;
 
-    /** One key's request. */
+    /** The latest request submitted under a key. */
     private static final class Entry {
         final long requestId;
         final String fingerprint;
@@ -35,13 +37,13 @@
         }
     }
 
-    /** Whether a request was accepted, and if not, why. */
+    /** Whether a request was accepted, or the reason for its rejection. */
     enum SubmitResult {
-        /** Its reply will come, or has come. */
+        /** The request is in flight or was already answered from the cache. */
         ACCEPTED,
-        /** The key belongs to another request. */
+        /** The key was used before for a different request. */
         DIFFERENT_REQUEST,
-        /** An earlier attempt may have taken effect, and repeats are no longer dropped. */
+        /** An earlier request may have taken effect, and searchers no longer drop its repeats. */
         WINDOW_EXPIRED
     }
 
@@ -53,10 +55,11 @@
     }
 
     /**
-     * Submits a request, or joins it to the first attempt under its key.
+     * Submits a request, or lets it share the reply of an earlier request under the same key.
      *
-     * @param fingerprint what a retry has to repeat
-     * @param windowMs how long searchers drop repeats, ms
+     * @param fingerprint text that must equal that of the earlier request under the same key
+     * @param windowMs the deduplication window of the searchers, ms
+     * @param client takes the reply
      */
     SubmitResult submit(
             Request request, String fingerprint, double windowMs, Consumer<Reply> client) {
@@ -104,7 +107,7 @@
                 });
     }
 
-    /** Bounds the memory. */
+    /** Removes the oldest key whose request is not in flight, which bounds the cache's memory. */
     private void evictOldestCompleted() {
         entries.entrySet().stream()
                 .filter(entry -> !entry.getValue().inFlight)
@@ -113,7 +116,7 @@
                 .ifPresent(entries::remove);
     }
 
-    /** One client that waits has disconnected; once all have, the request is withdrawn. */
+    /** Removes a disconnected client; withdraws the request once no client waits for it. */
     void removeClient(int classIndex, String idempotencyKey, Consumer<Reply> client) {
         Entry entry = entries.get(key(classIndex, idempotencyKey));
         if (entry != null
--- a/src/main/java/reeldeal/opensearch/MsearchHeader.java
+++ b/src/main/java/reeldeal/opensearch/MsearchHeader.java
@@ -6,13 +6,16 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 
-/** The line before each search of many: it may name the index, and nothing else is supported. */
+/**
+ * Parses the metadata line that precedes each search of an {@code _msearch} body. Its only
+ * supported key is {@code index}.
+ */
 final class MsearchHeader {
     private static final JsonFactory JSON = new JsonFactory();
 
     private MsearchHeader() {}
 
-    /** The index named, or the other where none is. */
+    /** Returns the index named in the line, or the default if the line names none. */
     static String index(byte[] line, String defaultIndex) throws UnsupportedRequestException {
         if (new String(line, StandardCharsets.UTF_8).isBlank()) {
             return defaultIndex;
--- a/src/main/java/reeldeal/opensearch/OpenSearchCodec.java
+++ b/src/main/java/reeldeal/opensearch/OpenSearchCodec.java
@@ -12,14 +12,17 @@
 import reeldeal.core.AttemptEnd;
 import reeldeal.core.Effect;
 
-/** A call to a searcher in OpenSearch's form: one {@code _msearch} with a search for each part. */
+/**
+ * Encodes and decodes calls to searchers in OpenSearch's format: one {@code _msearch} with a search
+ * for each shard request.
+ */
 final class OpenSearchCodec {
     private static final JsonFactory JSON = new JsonFactory().setRootValueSeparator("");
     static final String INDEX = "segments";
 
     private OpenSearchCodec() {}
 
-    /** The body that asks for these parts; each names its shard by {@code preference}. */
+    /** Encodes shard requests as one body; {@code preference} names the shard of each. */
     static byte[] encodeCall(List<Effect.Send> sends, double now) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256 * sends.size());
         try (JsonGenerator json = JSON.createGenerator(out)) {
@@ -42,7 +45,7 @@
                 json.writeRaw('\n');
             }
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory does not fail
+            throw new UncheckedIOException(e); // cannot happen: the output is in memory
         }
         return out.toByteArray();
     }
@@ -65,8 +68,9 @@
     }
 
     /**
-     * How each part ended by this body, in their order; throws IOException where it is no such
-     * answer.
+     * Decodes a response body into the end of each shard request, in the order of the searches.
+     *
+     * @throws IOException if the body is not a well-formed {@code _msearch} response
      */
     static List<AttemptEnd> decodeResponses(byte[] body) throws IOException {
         List<AttemptEnd> ends = null;
@@ -108,11 +112,15 @@
         if (status == 429) {
             return new AttemptEnd.Rejected();
         }
-        // A part is whole or nothing: one that its searcher cut short is not in.
+        // A shard's result counts only if it is complete: a search that timed out at the searcher
+        // has failed.
         return status != 200 || timedOut || served == null ? new AttemptEnd.Failed() : served;
     }
 
-    /** The first hit; its document's {@code doc} is the part's value, else its id. */
+    /**
+     * Returns the first hit, or null if there is none. Its value is the field {@code doc} of its
+     * source, or its id if the field is missing.
+     */
     private static AttemptEnd.Served readHits(JsonParser json) throws IOException {
         require(json.currentToken() == JsonToken.START_OBJECT);
         AttemptEnd.Served firstHit = null;
@@ -163,7 +171,7 @@
 
     private static void require(boolean condition) throws IOException {
         if (!condition) {
-            throw new IOException("malformed answer");
+            throw new IOException("malformed _msearch response");
         }
     }
 }
--- a/src/main/java/reeldeal/opensearch/OpenSearchFront.java
+++ b/src/main/java/reeldeal/opensearch/OpenSearchFront.java
@@ -14,8 +14,8 @@
 import reeldeal.http.HttpMessage;
 
 /**
- * The OpenSearch-style front: {@code _search} and {@code _msearch} over the same core and rules.
- * Runs on the broker's event loop.
+ * The OpenSearch-style front: serves {@code _search} and {@code _msearch} through the same core and
+ * rules as the platform's front. Runs on the broker's event loop.
  */
 public final class OpenSearchFront {
     private static final int OK = 200;
@@ -29,7 +29,7 @@
     private final SearchParser parser;
     private final SearchExecutor executor;
 
-    /** A front that submits requests under this broker's name. */
+    /** Creates a front; the broker's name is part of the names of the requests that it submits. */
     public OpenSearchFront(
             RequestSubmitter submitter,
             Settings settings,
@@ -42,7 +42,8 @@
     }
 
     /**
-     * Handles one message; the response goes to the exchange, unless the client disconnects first.
+     * Handles one HTTP request and writes the response to the exchange, unless the client
+     * disconnects first.
      */
     public void accept(HttpMessage message, Exchange exchange) {
         String path = message.path();
@@ -87,7 +88,10 @@
         onDisconnect.add(executor.execute(search, now, result -> respond(exchange, result)));
     }
 
-    /** Each search has an answer and a status of its own; they come in the order asked. */
+    /**
+     * Executes each search on its own. The response has a result with a status for each of them, in
+     * the order of the request.
+     */
     private void multipleSearch(HttpMessage message, String defaultIndex, Exchange exchange)
             throws UnsupportedRequestException {
         double now = submitter.now();
@@ -109,7 +113,7 @@
         }
     }
 
-    /** The results of one {@code _msearch}, answered once all are there. */
+    /** Collects the results of one {@code _msearch} and responds once all are complete. */
     private final class PendingResults {
         private final SearchResult[] results;
         private final Exchange exchange;
--- a/src/main/java/reeldeal/opensearch/OpenSearchTransport.java
+++ b/src/main/java/reeldeal/opensearch/OpenSearchTransport.java
@@ -20,9 +20,9 @@
 import reeldeal.searchers.SearcherTransport;
 
 /**
- * The transport to searchers that answer in OpenSearch's form. A call has a connection to itself
- * while it is in flight; it is abandoned by closing that connection, once none of its shard
- * requests is waited for. Runs on the broker's event loop.
+ * The transport to searchers that serve OpenSearch's format. A call has exclusive use of a
+ * connection while it is in flight. A call is abandoned by closing its connection once none of its
+ * shard requests is pending. Runs on the broker's event loop.
  */
 public final class OpenSearchTransport implements SearcherTransport {
     private static final int MAX_CONNECTIONS_PER_SEARCHER = 8;
@@ -30,12 +30,15 @@
     private static final int TOO_MANY_REQUESTS = 429;
 
     /**
-     * Share of the idle time at which searchers reset a connection, after which it is not used
-     * again.
+     * Share of the searchers' idle timeout after which an idle connection is not used again,
+     * because the searcher may be about to reset it.
      */
     private static final double USABLE_IDLE_SHARE = 0.6;
 
-    /** How long after its last deadline a call's connection is closed, ms. */
+    /**
+     * Time after the latest deadline of a call's shard requests at which the call times out; also
+     * the timeout of a probe, ms.
+     */
     private static final double GRACE_MS = 1_000;
 
     private static final double[] NO_LOAD = new double[0];
@@ -46,14 +49,14 @@
     private final DoubleSupplier clock;
     private final Consumer<Event> events;
     private final Map<String, List<Connection>> connectionsByAddress = new HashMap<>();
-    private Predicate<Effect.Send> fence; // null where all may be sent
+    private Predicate<Effect.Send> fence; // null if all may be sent
 
     /**
-     * A transport without connections.
+     * Creates a transport without connections; they are opened when calls need them.
      *
-     * @param idleMs after which searchers reset idle connections, ms
+     * @param idleMs the time after which searchers reset an idle connection, ms
      * @param clock the broker's clock, ms
-     * @param events takes the end of each attempt
+     * @param events takes the end of each attempt and the result of each probe
      */
     public OpenSearchTransport(
             EventLoopGroup group,
@@ -68,21 +71,21 @@
         this.events = events;
     }
 
-    /** A connection and the call in flight on it. */
+    /** A connection and the shard requests of the call in flight on it. */
     private final class Connection {
         final HttpClient client;
 
-        /** The shard requests of the call; null stands for one that is no longer waited for. */
+        /** The shard requests of the call; null replaces each whose end was already reported. */
         List<Effect.Send> pending = new ArrayList<>();
 
-        boolean bodyWritten; // whether the call was given to the socket
+        boolean bodyWritten; // whether the call's body was handed to the socket
         double lastUsedAt = clock.getAsDouble();
 
         Connection(InetSocketAddress address) {
             client = new HttpClient(group, address, connectTimeoutMs);
         }
 
-        /** Where a shard request stands among those waited for, or -1. */
+        /** Returns the position of an attempt among the pending shard requests, or -1. */
         int indexOf(long shardRequestId, int attempt) {
             for (int i = 0; i < pending.size(); i++) {
                 Effect.Send send = pending.get(i);
@@ -95,7 +98,7 @@
             return -1;
         }
 
-        /** Stops waiting for a shard request. */
+        /** Removes a pending shard request; the positions of the others stay the same. */
         Effect.Send remove(int index) {
             return pending.set(index, null);
         }
@@ -120,7 +123,8 @@
     public void call(Effect.Call call) {
         Connection connection = connection(call.searcher());
         if (connection == null) {
-            AttemptEnd end = new AttemptEnd.Broken(Reach.UNSENT, "no connection to be had");
+            AttemptEnd end =
+                    new AttemptEnd.Broken(Reach.UNSENT, "no free connection to the searcher");
             call.sends().forEach(send -> reportEnd(send, end));
             return;
         }
@@ -142,7 +146,8 @@
     }
 
     /**
-     * What may still be written of a call once its connection is up; null where that is nothing.
+     * Encodes the shard requests of a call that may still be written once its connection is open,
+     * and ends the others as fenced. Returns null if none are left.
      */
     private byte[] body(Connection connection) {
         double now = clock.getAsDouble();
@@ -178,10 +183,11 @@
     }
 
     /**
-     * How a call ended.
+     * The end of a call.
      *
-     * @param common the end of all its shard requests, or null where each has its own
-     * @param each the end of each, in their order
+     * @param sharedEnd the end that all shard requests of the call share, or null if each has its
+     *     own
+     * @param individualEnds the end of each shard request, in the order of the call
      */
     private record CallEnd(AttemptEnd sharedEnd, List<AttemptEnd> individualEnds) {
         static CallEnd ofAll(AttemptEnd sharedEnd) {
@@ -210,9 +216,11 @@
             return individualEnds.size() == shardRequests
                     ? new CallEnd(null, individualEnds)
                     : CallEnd.ofAll(
-                            new AttemptEnd.Broken(Reach.SENT, "an answer to other searches"));
+                            new AttemptEnd.Broken(
+                                    Reach.SENT,
+                                    "number of responses differs from the number of searches"));
         } catch (IOException e) {
-            return CallEnd.ofAll(new AttemptEnd.Broken(Reach.SENT, "malformed answer"));
+            return CallEnd.ofAll(new AttemptEnd.Broken(Reach.SENT, "malformed _msearch response"));
         }
     }
 
@@ -229,7 +237,8 @@
                 Reach reach = connection.client.isWritten() ? Reach.SENT : Reach.UNSENT;
                 Effect.Send send = connection.remove(index);
                 if (!connection.hasPending() || reach == Reach.UNSENT) {
-                    // Unsent, it must stay so: the call's other shard requests end unsent with it.
+                    // Closing the connection keeps an unsent call from being sent later; its other
+                    // shard requests end as unsent too.
                     connection.client.close();
                 }
                 reportEnd(send, new AttemptEnd.Abandoned(reach, abandon.timedOut()));
@@ -258,7 +267,7 @@
         }
     }
 
-    /** This form has no load report: a probe shows only that the searcher answers. */
+    /** OpenSearch's format has no load report: a probe only tests whether the searcher responds. */
     @Override
     public void probe(Effect.Probe probe) {
         String name = probe.searcher().name();
@@ -290,7 +299,9 @@
 
     // ---- connections ----
 
-    /** All connections, as a copy: closing one may change the list that it is in. */
+    /**
+     * Returns a copy of all connections, because closing a connection may change the original list.
+     */
     private List<Connection> connections() {
         List<Connection> all = new ArrayList<>();
         connectionsByAddress.values().forEach(all::addAll);
@@ -298,8 +309,8 @@
     }
 
     /**
-     * A free connection to a searcher, a new one, or null where the searcher has all that it may
-     * have.
+     * Returns a usable free connection to a searcher or else a new one; returns null if the
+     * searcher's connection limit is reached.
      */
     private Connection connection(Searcher searcher) {
         String address = searcher.address();
--- a/src/main/java/reeldeal/opensearch/Search.java
+++ b/src/main/java/reeldeal/opensearch/Search.java
@@ -5,14 +5,14 @@
 import reeldeal.config.OpenSearchConfig.Segment;
 
 /**
- * One search of a message, checked and ready to be submitted.
+ * One validated search of a client's HTTP request, ready to be submitted.
  *
- * @param index that is searched
- * @param segments of it, in the configuration's order
+ * @param index the index that is searched
+ * @param segments the segments that are searched, in the order of the configuration
  * @param body the query and its options
- * @param deadlineMs until which the client waits, on the broker's clock
- * @param idempotencyKey the key, for classes that need one; else null
- * @param clientKey the key that the client sent, whatever the class; null for none
+ * @param deadlineMs the time until which the client waits, on the broker's clock, ms
+ * @param idempotencyKey the idempotency key if the class requires one, else null
+ * @param clientKey the valid idempotency key that the client sent, for any class, or null
  */
 record Search(
         Index index,
@@ -22,7 +22,7 @@
         String idempotencyKey,
         String clientKey) {
 
-    /** What a retry under the same key has to repeat. */
+    /** Returns a text that is equal for a request and its retries under the same key. */
     String fingerprint() {
         return index.name() + " " + segments + " " + body.text();
     }
--- a/src/main/java/reeldeal/opensearch/SearchBody.java
+++ b/src/main/java/reeldeal/opensearch/SearchBody.java
@@ -14,9 +14,10 @@
 import java.util.regex.Pattern;
 
 /**
- * The part of the query language that the broker can carry: {@code match_all}, {@code
- * query_string}, and {@code bool} of one of these with a filter on {@code _segment}. Anything else
- * is rejected by name, never ignored: an answer to a query that was not asked is worse than none.
+ * The body of a search, in the supported subset of OpenSearch's query language: {@code match_all},
+ * {@code query_string}, and {@code bool} of one of these with a filter on {@code _segment}.
+ * Anything else is rejected with an error that names it, never ignored: the result of a different
+ * query is worse than an error.
  */
 final class SearchBody {
 
@@ -38,7 +39,7 @@
 
     private JsonParser json;
 
-    /** Reads a body; an empty one asks for everything. */
+    /** Parses a body; an empty body matches all documents of all segments. */
     static SearchBody parse(byte[] bytes) throws UnsupportedRequestException {
         SearchBody body = new SearchBody();
         if (new String(bytes, StandardCharsets.ISO_8859_1).isBlank()) {
@@ -75,7 +76,7 @@
                 case "timeout" -> setTimeout(string(value, field));
                 case "_source" -> includeSource = flag(value, field);
                 case "track_total_hits" -> {
-                    // Totals are always exact here, so either wish is met.
+                    // Totals are always exact, which satisfies both values.
                     if (value != JsonToken.VALUE_NUMBER_INT) {
                         flag(value, field);
                     }
@@ -86,13 +87,13 @@
         }
     }
 
-    /** The first hit that is returned, from 0. */
+    /** Sets the position of the first hit to return, from 0. */
     void setFrom(int value) throws UnsupportedRequestException {
         from = value;
         checkWindow();
     }
 
-    /** How many hits are returned at most. */
+    /** Sets the maximum number of hits to return. */
     void setSize(int value) throws UnsupportedRequestException {
         size = value;
         checkWindow();
@@ -105,7 +106,10 @@
         }
     }
 
-    /** A time with its unit, as in {@code 500ms} or {@code 1.5s}; {@code -1} is none. */
+    /**
+     * Sets the timeout from a number and unit such as {@code 500ms} or {@code 1.5s}; {@code -1} is
+     * none.
+     */
     void setTimeout(String value) throws UnsupportedRequestException {
         if (value.equals(NO_TIMEOUT)) {
             return;
@@ -128,7 +132,7 @@
         };
     }
 
-    /** The text that searchers look for. */
+    /** Returns the query text that is sent to searchers. */
     String text() {
         return text;
     }
@@ -137,7 +141,7 @@
         text = value;
     }
 
-    /** The names of the segments that are searched, or null for all. */
+    /** Returns the names of the segments to search, or null for all. */
     Set<String> segments() {
         return segments;
     }
@@ -150,17 +154,17 @@
         return size;
     }
 
-    /** Whether hits are returned with their source. */
+    /** Returns whether hits include their source. */
     boolean includeSource() {
         return includeSource;
     }
 
-    /** How long the client waits, ms; infinite where it does not say. */
+    /** Returns the client's timeout, ms; infinite if the body sets none. */
     double timeoutMs() {
         return timeoutMs;
     }
 
-    /** The key in the body, or null. */
+    /** Returns the idempotency key in the body, or null. */
     String idempotencyKey() {
         return idempotencyKey;
     }
--- a/src/main/java/reeldeal/opensearch/SearchExecutor.java
+++ b/src/main/java/reeldeal/opensearch/SearchExecutor.java
@@ -8,8 +8,8 @@
 import reeldeal.decision.DecisionModule.Settings;
 
 /**
- * Submits searches as requests of the core and turns replies into results. Runs on the broker's
- * event loop.
+ * Submits searches to the core as requests and converts the replies to search results. Runs on the
+ * broker's event loop.
  */
 final class SearchExecutor {
     private static final int CONFLICT = 409;
@@ -29,9 +29,10 @@
     }
 
     /**
-     * Submits one search. Its result comes exactly once, or never once the client has disconnected.
+     * Submits one search. {@code onResult} is called exactly once, or never if the client
+     * disconnects first.
      *
-     * @return what is to run when the client disconnects
+     * @return the action to run when the client disconnects
      */
     Runnable execute(Search search, double now, Consumer<SearchResult> onResult) {
         Request request = request(search, now);
@@ -48,7 +49,7 @@
         return executeWithCache(search, request, onReply, onResult);
     }
 
-    /** A search whose key this broker itself remembers. */
+    /** Submits a search with an idempotency key that this broker deduplicates in its own cache. */
     private Runnable executeWithCache(
             Search search,
             Request request,
@@ -64,8 +65,8 @@
             onResult.accept(conflict(submitResult));
             return onDisconnect;
         }
-        // A retry that joined a first attempt with a later deadline must still be answered within
-        // its own.
+        // A retry that shares the reply of a first request with a later deadline must still be
+        // answered before its own deadline.
         double waitMs =
                 search.deadlineMs() - submitter.now() - DEADLINE_MARGIN_TICKS * settings.tickMs();
         submitter.schedule(
@@ -106,7 +107,7 @@
                 shards);
     }
 
-    /** Passes on the first reply and no other. */
+    /** Passes the first reply on to the target and drops all others. */
     private static final class FirstReplyConsumer implements Consumer<Reply> {
         private final Consumer<Reply> target;
         private boolean open = true;
--- a/src/main/java/reeldeal/opensearch/SearchJson.java
+++ b/src/main/java/reeldeal/opensearch/SearchJson.java
@@ -7,7 +7,7 @@
 import java.io.UncheckedIOException;
 import java.util.List;
 
-/** Writes the bodies of answers as OpenSearch does. */
+/** Writes response bodies in OpenSearch's format. */
 final class SearchJson {
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -24,17 +24,19 @@
             body.write(json);
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory does not fail
+            throw new UncheckedIOException(e); // cannot happen: the output is in memory
         }
         return out.toByteArray();
     }
 
-    /** The answer to one search. */
+    /** Returns the response to a {@code _search}. */
     static byte[] single(SearchResult result) {
         return write(json -> writeResult(json, result, false));
     }
 
-    /** The answer to many, in the order in which they were asked. */
+    /**
+     * Returns the response to an {@code _msearch}, with the results in the order of its searches.
+     */
     static byte[] multiple(List<SearchResult> results, double tookMs) {
         return write(
                 json -> {
@@ -49,7 +51,7 @@
                 });
     }
 
-    /** The answer to a request for the broker's name and version. */
+    /** Returns the response to {@code GET /}: the broker's name and distribution. */
     static byte[] brokerInfo(String name) {
         return write(
                 json -> {
--- a/src/main/java/reeldeal/opensearch/SearchParser.java
+++ b/src/main/java/reeldeal/opensearch/SearchParser.java
@@ -16,7 +16,7 @@
 import reeldeal.decision.DecisionModule.Settings;
 import reeldeal.http.HttpMessage;
 
-/** Turns messages into searches; what is not supported is named. */
+/** Parses HTTP requests into searches; errors name the unsupported key or parameter. */
 final class SearchParser {
     private static final int MAX_SEARCHES = 100;
     private static final String IDEMPOTENCY_KEY_PATTERN = "[!-+\\--~]{1,128}";
@@ -30,9 +30,7 @@
         this.config = config;
     }
 
-    /**
-     * The search of a {@code _search} message; {@code indexName} is null where the path names none.
-     */
+    /** Parses a {@code _search} request; {@code indexName} is null if the path names no index. */
     Search single(HttpMessage message, String indexName, double now)
             throws UnsupportedRequestException {
         SearchBody body = SearchBody.parse(message.body());
@@ -43,8 +41,8 @@
     }
 
     /**
-     * Checks the parameters of an {@code _msearch} message, which has none that bear on its
-     * searches.
+     * Checks the parameters of an {@code _msearch} request; none that affect its searches are
+     * supported.
      */
     void checkMultipleParameters(HttpMessage message) throws UnsupportedRequestException {
         for (String name : parameters(message).keySet()) {
@@ -54,7 +52,9 @@
         }
     }
 
-    /** One search of an {@code _msearch} message, by its metadata line and its body. */
+    /**
+     * Parses one search of an {@code _msearch} request from its metadata line and its body line.
+     */
     Search partOfMultiple(
             HttpMessage message, byte[] metadata, byte[] body, String defaultIndex, double now)
             throws UnsupportedRequestException {
@@ -62,7 +62,9 @@
         return search(message, index, SearchBody.parse(body), now);
     }
 
-    /** The lines of an {@code _msearch} body: metadata and search in turn. */
+    /**
+     * Splits an {@code _msearch} body into lines, which are alternately metadata and search bodies.
+     */
     static List<byte[]> lines(byte[] body) throws UnsupportedRequestException {
         List<byte[]> lines = new ArrayList<>();
         ByteArrayOutputStream line = new ByteArrayOutputStream();
@@ -123,7 +125,7 @@
             throws UnsupportedRequestException {
         switch (name) {
             case "pretty", "human" -> {
-                // Answers have one form.
+                // Ignored: all responses have the same format.
             }
             case "q" -> body.setText(value);
             case "timeout" -> body.setTimeout(value);
@@ -146,7 +148,7 @@
         return Integer.parseInt(value);
     }
 
-    // ---- a search ----
+    // ---- search ----
 
     private Search search(HttpMessage message, String indexName, SearchBody body, double now)
             throws UnsupportedRequestException {
--- a/src/main/java/reeldeal/opensearch/SearchResult.java
+++ b/src/main/java/reeldeal/opensearch/SearchResult.java
@@ -10,9 +10,9 @@
 /**
  * The outcome of one search.
  *
- * @param status of HTTP
- * @param retryAfterMs when the client should retry, ms; 0 where nothing is said
- * @param body what is written
+ * @param status the HTTP status
+ * @param retryAfterMs the time after which the client should retry, ms; 0 for no Retry-After
+ * @param body the content of the response body
  */
 record SearchResult(int status, double retryAfterMs, Body body) {
     private static final int OK = 200;
@@ -20,16 +20,17 @@
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int GATEWAY_TIMEOUT = 504;
 
-    /** What stands in the body. */
+    /** The content of a response body: hits or an error. */
     sealed interface Body {}
 
     /**
-     * Hits in order of their scores.
+     * The hits of a search, ordered by descending score.
      *
-     * @param searched the segments that were asked
-     * @param complete whether all of them are in
-     * @param total how many hits there are, of which {@code hits} is a window
-     * @param source whether hits are written with their source
+     * @param searchedSegments the segments that were searched
+     * @param complete whether every segment that a complete result needs has answered
+     * @param total the number of all hits
+     * @param hits the hits from {@code from} on, at most {@code size}
+     * @param includeSource whether hits are written with their source
      */
     record Found(
             Index index,
@@ -42,22 +43,22 @@
             boolean includeSource)
             implements Body {}
 
-    /** One hit. */
+    /** The hit of a segment; {@code value} is written as the document's id. */
     record Hit(Segment segment, String value, double score) {}
 
-    /** An error, by OpenSearch's name for it. */
+    /** An error with one of OpenSearch's error types. */
     record ErrorBody(String type, String reason) implements Body {}
 
     static SearchResult error(int status, String type, String reason) {
         return new SearchResult(status, 0, new ErrorBody(type, reason));
     }
 
-    /** The result of a request that was not taken. */
+    /** Returns the error result for a malformed or unsupported request. */
     static SearchResult unsupported(UnsupportedRequestException exception) {
         return error(exception.status(), exception.type(), exception.getMessage());
     }
 
-    /** The result of a search by the core's reply. */
+    /** Converts the core's reply to the result of a search. */
     static SearchResult fromReply(Search search, Reply reply, double tookMs) {
         if (reply instanceof Reply.Rejected rejected) {
             ErrorBody body =
--- a/src/main/java/reeldeal/opensearch/UnsupportedRequestException.java
+++ b/src/main/java/reeldeal/opensearch/UnsupportedRequestException.java
@@ -1,8 +1,8 @@
 package reeldeal.opensearch;
 
 /**
- * A request that is malformed, or asks for what the broker does not support; the message is the
- * reason that the client gets.
+ * Thrown for a request that is malformed or uses an unsupported feature. The message is sent to the
+ * client as the reason.
  */
 final class UnsupportedRequestException extends Exception {
     private static final long serialVersionUID = 1L;
@@ -17,27 +17,27 @@
         this.type = type;
     }
 
-    /** An argument that cannot be used. */
+    /** Returns an exception for an invalid or unsupported argument. */
     static UnsupportedRequestException illegalArgument(String reason) {
         return new UnsupportedRequestException(ILLEGAL_ARGUMENT, reason);
     }
 
-    /** A body that cannot be read. */
+    /** Returns an exception for a body that cannot be parsed. */
     static UnsupportedRequestException parsing(String reason) {
         return new UnsupportedRequestException(PARSING, reason);
     }
 
-    /** No index of this name is configured. */
+    /** Returns an exception for an index that is not configured. */
     static UnsupportedRequestException indexNotFound(String name) {
         return new UnsupportedRequestException(INDEX_NOT_FOUND, "no such index [" + name + "]");
     }
 
-    /** OpenSearch's name for what is wrong. */
+    /** Returns the OpenSearch error type. */
     String type() {
         return type;
     }
 
-    /** The status that goes with it. */
+    /** Returns the HTTP status for the error type. */
     int status() {
         return type.equals(INDEX_NOT_FOUND) ? 404 : 400;
     }
--- a/src/test/java/reeldeal/config/SettingsParserTest.java
+++ b/src/test/java/reeldeal/config/SettingsParserTest.java
@@ -11,7 +11,9 @@
 import reeldeal.decision.DecisionModule.RepeatSafety;
 import reeldeal.decision.DecisionModule.Settings;
 
-/** Settings by their paths, and errors that name the operators' keys. */
+/**
+ * Tests that settings are parsed by path and that errors name the keys of the configuration file.
+ */
 class SettingsParserTest {
     private static final long SEED = 7;
 
--- a/src/test/java/reeldeal/config/StoreConfigReaderTest.java
+++ b/src/test/java/reeldeal/config/StoreConfigReaderTest.java
@@ -13,8 +13,8 @@
 import reeldeal.takeover.TakeoverConfig.Mode;
 
 /**
- * The store's file: work in hand, what it is where nothing is said, and what is wrong with what is
- * said.
+ * Tests the takeover settings in the store's file: their defaults, configured values and the errors
+ * for invalid values.
  */
 public class StoreConfigReaderTest {
     @Rule public final TemporaryFolder folder = new TemporaryFolder();
@@ -42,7 +42,7 @@
     private void assertInvalid(String extraSettings, String expectedMessage) throws Exception {
         try {
             read(3, extraSettings);
-            throw new AssertionError("it was taken: " + extraSettings);
+            throw new AssertionError("invalid settings were accepted: " + extraSettings);
         } catch (BrokerConfig.InvalidConfigException e) {
             assertTrue(e.getMessage(), e.getMessage().contains(expectedMessage));
         }
@@ -79,7 +79,7 @@
                 "handover.classes.bid-mark: expected required");
         assertInvalid(
                 fleet + ",\"handover\":{\"make_ms\":\"soon\"}",
-                "handover.make_ms: expected a whole number of ms");
+                "handover.make_ms: expected a whole number from 1 to 9999999, found soon");
         assertInvalid(
                 fleet + ",\"handover\":{\"learned\":\"all\"}",
                 "handover.learned: expected ejections, paces");
--- a/src/test/java/reeldeal/config/ZonesConfigReaderTest.java
+++ b/src/test/java/reeldeal/config/ZonesConfigReaderTest.java
@@ -15,7 +15,7 @@
 import reeldeal.dns.Tsig;
 import reeldeal.zones.ZonesConfig;
 
-/** The store's file and keys, good and bad. */
+/** Tests valid and invalid {@code dns} sections of the store's file, and TSIG key files. */
 public class ZonesConfigReaderTest {
     @Rule public TemporaryFolder folder = new TemporaryFolder();
 
@@ -67,10 +67,10 @@
                 "store dns.zones.0.allow_update: expected a key of dns.key_files, found key:no");
         expectedMessages.put(
                 zone + ",\"notify\":[{\"address\":\"192.0.2.1:53\"}]}]",
-                "store dns.zones.0.notify.0.address: not a loopback address");
+                "store dns.zones.0.notify.0.address: expected a loopback address, found 192.0.2.1");
         expectedMessages.put(
                 zone + "},{\"origin\":\"Z.test.\",\"file\":\"deploy/example/tartu.zone\"}]",
-                "store dns.zones: z.test. is there twice");
+                "store dns.zones: zone z.test. is configured twice");
         expectedMessages.put(
                 zone + "}],\"max_connections\":0",
                 "store dns.max_connections: expected a whole number from 1 to 10000, found 0");
@@ -88,7 +88,7 @@
                                             () -> read(dns))
                                     .getMessage();
                     assertTrue(
-                            message + " for " + expectedMessage,
+                            message + ", expected " + expectedMessage,
                             message.startsWith(expectedMessage));
                 });
     }
--- a/src/test/java/reeldeal/opensearch/IdempotencyCacheTest.java
+++ b/src/test/java/reeldeal/opensearch/IdempotencyCacheTest.java
@@ -12,7 +12,7 @@
 import reeldeal.core.RequestSubmitter;
 import reeldeal.opensearch.IdempotencyCache.SubmitResult;
 
-/** What becomes of a request whose idempotency key was seen before. */
+/** Tests how requests with an already used idempotency key are handled. */
 class IdempotencyCacheTest {
     private static final double WINDOW_MS = 2_000;
     private static final Reply SERVED = new Reply.Served(true, List.of());
@@ -25,7 +25,7 @@
     private final Consumer<Reply> firstClient = firstReplies::add;
     private final Consumer<Reply> secondClient = secondReplies::add;
 
-    /** Keeps what is submitted; time stands still unless a test moves it. */
+    /** Records submitted requests; the clock advances only when a test sets it. */
     private static final class FakeSubmitter implements RequestSubmitter {
         double now = 1_000;
         final List<Consumer<Reply>> submitted = new ArrayList<>();
