--- a/src/main/java/reeldeal/config/ZonesConfigReader.java
+++ b/src/main/java/reeldeal/config/ZonesConfigReader.java
@@ -157,9 +157,8 @@
                                                     "(primaries|notify)\\.[0-9]+\\.(address|key)")
                                             || zoneKey.matches(
                                                     "grants\\.[0-9]+\\.(key|names|types)")));
-            // An empty list is stored under its own key: whether its items would be scalars or
-            // objects
-            // is unknown, so that it has no count.
+            // An empty list is stored under its own key and without a count, since whether it
+            // would hold scalars or objects is unknown.
             boolean emptyList =
                     values.get(key).isEmpty()
                             && dnsKey.matches("zones|zones\\.[0-9]+\\.(primaries|notify|grants)");
--- a/src/main/java/reeldeal/opensearch/OpenSearchTransport.java
+++ b/src/main/java/reeldeal/opensearch/OpenSearchTransport.java
@@ -360,8 +360,7 @@
         connectionsByAddress.clear();
     }
 
-    private void reportEnd(Effect.Send send, AttemptEnd reportEnd) {
-        events.accept(
-                new Event.AttemptEnded(send.shardRequestId(), send.attempt(), reportEnd, NO_LOAD));
+    private void reportEnd(Effect.Send send, AttemptEnd end) {
+        events.accept(new Event.AttemptEnded(send.shardRequestId(), send.attempt(), end, NO_LOAD));
     }
 }
--- a/src/main/java/reeldeal/opensearch/SearchJson.java
+++ b/src/main/java/reeldeal/opensearch/SearchJson.java
@@ -76,15 +76,15 @@
         }
     }
 
-    private static void writeError(JsonGenerator json, SearchResult.ErrorBody writeError)
+    private static void writeError(JsonGenerator json, SearchResult.ErrorBody error)
             throws IOException {
         json.writeObjectFieldStart("error");
         json.writeArrayFieldStart("root_cause");
         json.writeStartObject();
-        writeCause(json, writeError);
+        writeCause(json, error);
         json.writeEndObject();
         json.writeEndArray();
-        writeCause(json, writeError);
+        writeCause(json, error);
         json.writeEndObject();
     }
 
@@ -94,24 +94,24 @@
         json.writeStringField("reason", error.reason());
     }
 
-    private static void writeFound(JsonGenerator json, SearchResult.Found writeFound)
+    private static void writeFound(JsonGenerator json, SearchResult.Found found)
             throws IOException {
-        json.writeNumberField("took", (long) writeFound.tookMs());
-        json.writeBooleanField("timed_out", !writeFound.complete());
-        writeShards(json, writeFound);
+        json.writeNumberField("took", (long) found.tookMs());
+        json.writeBooleanField("timed_out", !found.complete());
+        writeShards(json, found);
         json.writeObjectFieldStart("hits");
         json.writeObjectFieldStart("total");
-        json.writeNumberField("value", writeFound.total());
+        json.writeNumberField("value", found.total());
         json.writeStringField("relation", "eq");
         json.writeEndObject();
-        if (writeFound.total() == 0) {
+        if (found.total() == 0) {
             json.writeNullField("max_score");
         } else {
-            writeScore(json, "max_score", writeFound.maxScore());
+            writeScore(json, "max_score", found.maxScore());
         }
         json.writeArrayFieldStart("hits");
-        for (SearchResult.Hit hit : writeFound.hits()) {
-            writeHit(json, writeFound, hit);
+        for (SearchResult.Hit hit : found.hits()) {
+            writeHit(json, found, hit);
         }
         json.writeEndArray();
         json.writeEndObject();
@@ -129,29 +129,28 @@
         json.writeEndObject();
     }
 
-    private static void writeHit(
-            JsonGenerator json, SearchResult.Found found, SearchResult.Hit writeHit)
+    private static void writeHit(JsonGenerator json, SearchResult.Found found, SearchResult.Hit hit)
             throws IOException {
         json.writeStartObject();
         json.writeStringField("_index", found.index().name());
-        json.writeStringField("_id", writeHit.value());
-        writeScore(json, "_score", writeHit.score());
+        json.writeStringField("_id", hit.value());
+        writeScore(json, "_score", hit.score());
         if (found.includeSource()) {
             json.writeObjectFieldStart("_source");
-            json.writeStringField("segment", writeHit.segment().name());
-            json.writeNumberField("shard", writeHit.segment().shard());
-            json.writeStringField("doc", writeHit.value());
+            json.writeStringField("segment", hit.segment().name());
+            json.writeNumberField("shard", hit.segment().shard());
+            json.writeStringField("doc", hit.value());
             json.writeEndObject();
         }
         json.writeEndObject();
     }
 
-    private static void writeScore(JsonGenerator json, String field, double writeScore)
+    private static void writeScore(JsonGenerator json, String field, double score)
             throws IOException {
-        if (writeScore == Math.rint(writeScore) && Math.abs(writeScore) < 1e15) {
-            json.writeNumberField(field, (long) writeScore);
+        if (score == Math.rint(score) && Math.abs(score) < 1e15) {
+            json.writeNumberField(field, (long) score);
         } else {
-            json.writeNumberField(field, writeScore);
+            json.writeNumberField(field, score);
         }
     }
 }
--- a/src/main/java/reeldeal/opensearch/SearchParser.java
+++ b/src/main/java/reeldeal/opensearch/SearchParser.java
@@ -68,12 +68,12 @@
     static List<byte[]> lines(byte[] body) throws UnsupportedRequestException {
         List<byte[]> lines = new ArrayList<>();
         ByteArrayOutputStream line = new ByteArrayOutputStream();
-        for (byte character : body) {
-            if (character == '\n') {
+        for (byte nextByte : body) {
+            if (nextByte == '\n') {
                 lines.add(line.toByteArray());
                 line.reset();
             } else {
-                line.write(character);
+                line.write(nextByte);
             }
         }
         if (line.size() > 0 || lines.isEmpty()) {
--- a/src/test/java/reeldeal/config/SettingsParserTest.java
+++ b/src/test/java/reeldeal/config/SettingsParserTest.java
@@ -73,13 +73,13 @@
                 "Rules.FreeResends | -1 | Rules.LookBackMs, Rules.FreeResends, Rules.RepeatRatio"
             })
     void aValueOutOfRangeIsReportedWithItsConfiguredKey(
-            String key, String value, String namedKeys) {
+            String key, String value, String reportedKeys) {
         Map<String, String> settings = settings();
         settings.put(key, value);
         IllegalArgumentException error =
                 assertThrows(
                         IllegalArgumentException.class, () -> SettingsParser.parse(settings, SEED));
-        assertEquals("setting out of range: " + namedKeys, error.getMessage());
+        assertEquals("setting out of range: " + reportedKeys, error.getMessage());
     }
 
     @Test
--- a/src/test/java/reeldeal/opensearch/IdempotencyCacheTest.java
+++ b/src/test/java/reeldeal/opensearch/IdempotencyCacheTest.java
@@ -53,7 +53,7 @@
 
         @Override
         public void schedule(double delayMs, Runnable task) {
-            throw new UnsupportedOperationException("the cache sets no timers");
+            throw new UnsupportedOperationException("the cache must not schedule tasks");
         }
 
         @Override
