--- a/src/main/java/reeldeal/config/TsigKeyFile.java
+++ b/src/main/java/reeldeal/config/TsigKeyFile.java
@@ -19,29 +19,29 @@
 import reeldeal.dns.Tsig;
 
 /**
- * A file with one TSIG key: {@code {"name": "...", "algorithm": "hmac-sha256", "secret":
- * "base64"}}. It must be open to its owner only.
+ * Reads and writes files with one TSIG key each: {@code {"name": "...", "algorithm": "hmac-sha256",
+ * "secret": "base64"}}. Only the owner may have access to such a file.
  */
 public final class TsigKeyFile {
     private static final JsonFactory JSON = new JsonFactory();
-    private static final int MIN_SECRET = 16;
+    private static final int MIN_SECRET_BYTES = 16;
 
     private TsigKeyFile() {}
 
-    /** The key in a file. */
+    /** Reads the key in a file; rejects a file to which others than its owner have access. */
     public static Tsig.Key read(Path file) throws InvalidConfigException {
         return read(file, true);
     }
 
-    /** The key in a file, whose mode is looked at or not. */
+    /** Reads the key in a file and checks the file's mode only if {@code checkMode} is set. */
     static Tsig.Key read(Path file, boolean checkMode) throws InvalidConfigException {
         Map<String, String> values = new HashMap<>();
         try {
             if (checkMode && Files.getFileStore(file).supportsFileAttributeView("posix")) {
-                Set<PosixFilePermission> others =
+                Set<PosixFilePermission> otherPermissions =
                         EnumSet.copyOf(Files.getPosixFilePermissions(file));
-                others.removeAll(PosixFilePermissions.fromString("rwx------"));
-                if (!others.isEmpty()) {
+                otherPermissions.removeAll(PosixFilePermissions.fromString("rwx------"));
+                if (!otherPermissions.isEmpty()) {
                     throw new InvalidConfigException(
                             file
                                     + ": expected mode 600 or 400, found "
@@ -61,7 +61,7 @@
                 JsonPaths.read(json, "", values, 0);
             }
         } catch (IOException e) {
-            // The text of a JSON error may quote the secret.
+            // The message of a JSON error may quote the secret, so it is not passed on.
             throw new InvalidConfigException(
                     file
                             + ": cannot be read: "
@@ -76,9 +76,12 @@
         }
         try {
             byte[] secret = Base64.getDecoder().decode(values.getOrDefault("secret", ""));
-            if (secret.length < MIN_SECRET) {
+            if (secret.length < MIN_SECRET_BYTES) {
                 throw new InvalidConfigException(
-                        file + ": secret: expected at least " + MIN_SECRET + " bytes in base64");
+                        file
+                                + ": secret: expected at least "
+                                + MIN_SECRET_BYTES
+                                + " bytes in base64");
             }
             return new Tsig.Key(
                     name, algorithm.endsWith(".") ? algorithm : algorithm + ".", secret);
@@ -91,7 +94,7 @@
         }
     }
 
-    /** Writes a key to a new file that only its owner can read. */
+    /** Writes a key to a new file that only its owner can read and write. */
     public static void write(Path file, Tsig.Key key) throws IOException {
         String text =
                 "{\"name\": \""
--- a/src/main/java/reeldeal/opensearch/IdempotencyCache.java
+++ b/src/main/java/reeldeal/opensearch/IdempotencyCache.java
@@ -10,23 +10,25 @@
 import reeldeal.core.RequestSubmitter;
 
 /**
- * Requests by their idempotency keys, in this broker's memory. A retry that comes while the first
- * attempt is in flight waits for its reply; one that comes after it was served gets the same reply.
- * A key whose effect is unknown may be submitted again while searchers drop repeats, and not after
- * that. Runs on the broker's event loop.
+ * Deduplicates requests by idempotency key, in this broker's memory.
+ *
+ * <p>A retry that arrives while the first request is in flight waits for its reply; a retry that
+ * arrives after the request was served gets the same reply. If it is unknown whether the request
+ * took effect, it may be submitted again only within the deduplication window of the searchers, who
+ * drop repeats until its end. Runs on the broker's event loop.
  */
 final class IdempotencyCache {
     private static final int MAX_ENTRIES = 4_096;
     private static final double RETENTION_MS = 600_000;
 
-    /** One key's request. */
+    /** The latest request submitted under a key. */
     private static final class Entry {
         final long requestId;
         final String fingerprint;
         final double firstSubmittedAt;
-        final List<Consumer<Reply>> waiting = new ArrayList<>();
+        final List<Consumer<Reply>> waitingClients = new ArrayList<>();
         boolean inFlight = true;
-        Reply.Served served;
+        Reply.Served servedReply;
 
         Entry(long requestId, String fingerprint, double firstSubmittedAt) {
             this.requestId = requestId;
@@ -35,14 +37,14 @@
         }
     }
 
-    /** Whether a request was accepted, and if not, why. */
+    /** Whether a request was accepted, or the reason for its rejection. */
     enum SubmitResult {
-        /** Its reply will come, or has come. */
+        /** The request is in flight or was already answered from the cache. */
         ACCEPTED,
-        /** The key belongs to another request. */
+        /** The key was used before for a different request. */
         DIFFERENT_REQUEST,
-        /** An earlier attempt may have taken effect, and repeats are no longer dropped. */
-        WINDOW_OVER
+        /** An earlier request may have taken effect, and searchers no longer drop its repeats. */
+        WINDOW_EXPIRED
     }
 
     private final RequestSubmitter submitter;
@@ -53,71 +55,74 @@
     }
 
     /**
-     * Submits a request, or joins it to the first attempt under its key.
+     * Submits a request, or lets it share the reply of an earlier request under the same key.
      *
-     * @param fingerprint what a retry has to repeat
-     * @param windowMs how long searchers drop repeats, ms
+     * @param fingerprint text that must equal that of the earlier request under the same key
+     * @param windowMs the deduplication window of the searchers, ms
+     * @param client takes the reply
      */
     SubmitResult submit(
-            Request request, String fingerprint, double windowMs, Consumer<Reply> reply) {
+            Request request, String fingerprint, double windowMs, Consumer<Reply> client) {
         double now = submitter.now();
-        entries.values().removeIf(e -> !e.inFlight && e.firstSubmittedAt < now - RETENTION_MS);
+        entries.values()
+                .removeIf(entry -> !entry.inFlight && entry.firstSubmittedAt < now - RETENTION_MS);
         String key = key(request.classIndex(), request.idempotencyKey());
         Entry earlier = entries.get(key);
         if (earlier == null) {
-            submitNew(key, new Entry(request.id(), fingerprint, now), request, reply);
+            submitNew(key, new Entry(request.id(), fingerprint, now), request, client);
             return SubmitResult.ACCEPTED;
         }
         if (!earlier.fingerprint.equals(fingerprint)) {
             return SubmitResult.DIFFERENT_REQUEST;
         }
         if (earlier.inFlight) {
-            earlier.waiting.add(reply);
+            earlier.waitingClients.add(client);
             return SubmitResult.ACCEPTED;
         }
-        if (earlier.served != null) {
-            reply.accept(earlier.served);
+        if (earlier.servedReply != null) {
+            client.accept(earlier.servedReply);
             return SubmitResult.ACCEPTED;
         }
         if (now >= earlier.firstSubmittedAt + windowMs) {
-            return SubmitResult.WINDOW_OVER;
+            return SubmitResult.WINDOW_EXPIRED;
         }
-        Entry again = new Entry(request.id(), fingerprint, earlier.firstSubmittedAt);
-        submitNew(key, again, request, reply);
+        Entry resubmitted = new Entry(request.id(), fingerprint, earlier.firstSubmittedAt);
+        submitNew(key, resubmitted, request, client);
         return SubmitResult.ACCEPTED;
     }
 
-    private void submitNew(String key, Entry entry, Request request, Consumer<Reply> reply) {
-        entry.waiting.add(reply);
+    private void submitNew(String key, Entry entry, Request request, Consumer<Reply> client) {
+        entry.waitingClients.add(client);
         entries.put(key, entry);
         if (entries.size() > MAX_ENTRIES) {
-            removeOldestEnded();
+            evictOldestCompleted();
         }
         submitter.submit(
                 request,
-                answer -> {
+                reply -> {
                     entry.inFlight = false;
-                    entry.served = answer instanceof Reply.Served served ? served : null;
-                    List.copyOf(entry.waiting).forEach(waiting -> waiting.accept(answer));
+                    entry.servedReply = reply instanceof Reply.Served served ? served : null;
+                    List.copyOf(entry.waitingClients)
+                            .forEach(waitingClient -> waitingClient.accept(reply));
                 });
     }
 
-    /** Bounds the memory. */
-    private void removeOldestEnded() {
+    /** Removes the oldest key whose request is not in flight, which bounds the cache's memory. */
+    private void evictOldestCompleted() {
         entries.entrySet().stream()
-                .filter(e -> !e.getValue().inFlight)
+                .filter(entry -> !entry.getValue().inFlight)
                 .findFirst()
                 .map(Map.Entry::getKey)
                 .ifPresent(entries::remove);
     }
 
-    /** One client that waits has disconnected; once all have, the request is withdrawn. */
-    void leave(int classIndex, String idempotencyKey, Consumer<Reply> reply) {
+    /** Removes a disconnected client; withdraws the request once no client waits for it. */
+    void removeClient(int classIndex, String idempotencyKey, Consumer<Reply> client) {
         Entry entry = entries.get(key(classIndex, idempotencyKey));
         if (entry != null
                 && entry.inFlight
-                && entry.waiting.remove(reply)
-                && entry.waiting.isEmpty()) {
+                && entry.waitingClients.remove(client)
+                && entry.waitingClients.isEmpty()) {
             entry.inFlight = false;
             submitter.clientDisconnected(entry.requestId);
         }
--- a/src/main/java/reeldeal/opensearch/MsearchHeader.java
+++ b/src/main/java/reeldeal/opensearch/MsearchHeader.java
@@ -6,21 +6,24 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 
-/** The line before each search of many: it may name the index, and nothing else is supported. */
+/**
+ * Parses the metadata line that precedes each search of an {@code _msearch} body. Its only
+ * supported key is {@code index}.
+ */
 final class MsearchHeader {
     private static final JsonFactory JSON = new JsonFactory();
 
     private MsearchHeader() {}
 
-    /** The index named, or the other where none is. */
-    static String index(byte[] line, String otherwise) throws UnsupportedRequestException {
+    /** Returns the index named in the line, or the default if the line names none. */
+    static String index(byte[] line, String defaultIndex) throws UnsupportedRequestException {
         if (new String(line, StandardCharsets.UTF_8).isBlank()) {
-            return otherwise;
+            return defaultIndex;
         }
-        String index = otherwise;
+        String index = defaultIndex;
         try (JsonParser json = JSON.createParser(line)) {
-            boolean object = json.nextToken() == JsonToken.START_OBJECT;
-            while (object && json.nextToken() == JsonToken.FIELD_NAME) {
+            boolean isObject = json.nextToken() == JsonToken.START_OBJECT;
+            while (isObject && json.nextToken() == JsonToken.FIELD_NAME) {
                 String field = json.currentName();
                 if (!field.equals("index") || json.nextToken() != JsonToken.VALUE_STRING) {
                     throw UnsupportedRequestException.illegalArgument(
@@ -28,7 +31,7 @@
                 }
                 index = json.getText();
             }
-            if (!object || json.nextToken() != null) {
+            if (!isObject || json.nextToken() != null) {
                 throw UnsupportedRequestException.parsing("malformed metadata line");
             }
         } catch (IOException e) {
--- a/src/main/java/reeldeal/opensearch/OpenSearchCodec.java
+++ b/src/main/java/reeldeal/opensearch/OpenSearchCodec.java
@@ -12,15 +12,18 @@
 import reeldeal.core.AttemptEnd;
 import reeldeal.core.Effect;
 
-/** A call to a searcher in OpenSearch's form: one {@code _msearch} with a search for each part. */
+/**
+ * Encodes and decodes calls to searchers in OpenSearch's format: one {@code _msearch} with a search
+ * for each shard request.
+ */
 final class OpenSearchCodec {
     private static final JsonFactory JSON = new JsonFactory().setRootValueSeparator("");
     static final String INDEX = "segments";
 
     private OpenSearchCodec() {}
 
-    /** The body that asks for these parts; each names its shard by {@code preference}. */
-    static byte[] call(List<Effect.Send> sends, double now) {
+    /** Encodes shard requests as one body; {@code preference} names the shard of each. */
+    static byte[] encodeCall(List<Effect.Send> sends, double now) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256 * sends.size());
         try (JsonGenerator json = JSON.createGenerator(out)) {
             for (Effect.Send send : sends) {
@@ -37,17 +40,17 @@
                 json.writeEndObject();
                 json.writeNumberField("size", 1);
                 json.writeStringField("timeout", (long) send.remainingMs(now) + "ms");
-                ext(json, send);
+                writeExt(json, send);
                 json.writeEndObject();
                 json.writeRaw('\n');
             }
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory does not fail
+            throw new UncheckedIOException(e); // cannot happen: the output is in memory
         }
         return out.toByteArray();
     }
 
-    private static void ext(JsonGenerator json, Effect.Send send) throws IOException {
+    private static void writeExt(JsonGenerator json, Effect.Send send) throws IOException {
         json.writeObjectFieldStart("ext");
         json.writeStringField("query", send.request().name());
         if (send.request().idempotencyKey() != null) {
@@ -65,10 +68,11 @@
     }
 
     /**
-     * How each part ended by this body, in their order; throws IOException where it is no such
-     * answer.
+     * Decodes a response body into the end of each shard request, in the order of the searches.
+     *
+     * @throws IOException if the body is not a well-formed {@code _msearch} response
      */
-    static List<AttemptEnd> answer(byte[] body) throws IOException {
+    static List<AttemptEnd> decodeResponses(byte[] body) throws IOException {
         List<AttemptEnd> ends = null;
         try (JsonParser json = JSON.createParser(body)) {
             require(json.nextToken() == JsonToken.START_OBJECT);
@@ -79,7 +83,7 @@
                     require(json.currentToken() == JsonToken.START_ARRAY);
                     ends = new ArrayList<>();
                     while (json.nextToken() != JsonToken.END_ARRAY) {
-                        ends.add(response(json));
+                        ends.add(readResponse(json));
                     }
                 } else {
                     json.skipChildren();
@@ -90,32 +94,36 @@
         }
     }
 
-    private static AttemptEnd response(JsonParser json) throws IOException {
+    private static AttemptEnd readResponse(JsonParser json) throws IOException {
         require(json.currentToken() == JsonToken.START_OBJECT);
         int status = 200;
-        boolean late = false;
+        boolean timedOut = false;
         AttemptEnd.Served served = null;
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String field = json.currentName();
             json.nextToken();
             switch (field) {
                 case "status" -> status = json.getIntValue();
-                case "timed_out" -> late = json.getBooleanValue();
-                case "hits" -> served = hits(json);
+                case "timed_out" -> timedOut = json.getBooleanValue();
+                case "hits" -> served = readHits(json);
                 default -> json.skipChildren();
             }
         }
         if (status == 429) {
             return new AttemptEnd.Rejected();
         }
-        // A part is whole or nothing: one that its searcher cut short is not in.
-        return status != 200 || late || served == null ? new AttemptEnd.Failed() : served;
+        // A shard's result counts only if it is complete: a search that timed out at the searcher
+        // has failed.
+        return status != 200 || timedOut || served == null ? new AttemptEnd.Failed() : served;
     }
 
-    /** The first hit; its document's {@code doc} is the part's value, else its id. */
-    private static AttemptEnd.Served hits(JsonParser json) throws IOException {
+    /**
+     * Returns the first hit, or null if there is none. Its value is the field {@code doc} of its
+     * source, or its id if the field is missing.
+     */
+    private static AttemptEnd.Served readHits(JsonParser json) throws IOException {
         require(json.currentToken() == JsonToken.START_OBJECT);
-        AttemptEnd.Served first = null;
+        AttemptEnd.Served firstHit = null;
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String field = json.currentName();
             json.nextToken();
@@ -125,14 +133,14 @@
             }
             require(json.currentToken() == JsonToken.START_ARRAY);
             while (json.nextToken() != JsonToken.END_ARRAY) {
-                AttemptEnd.Served hit = hit(json);
-                first = first == null ? hit : first;
+                AttemptEnd.Served hit = readHit(json);
+                firstHit = firstHit == null ? hit : firstHit;
             }
         }
-        return first;
+        return firstHit;
     }
 
-    private static AttemptEnd.Served hit(JsonParser json) throws IOException {
+    private static AttemptEnd.Served readHit(JsonParser json) throws IOException {
         require(json.currentToken() == JsonToken.START_OBJECT);
         String id = null;
         String doc = null;
@@ -161,9 +169,9 @@
         return new AttemptEnd.Served(score, doc == null ? id : doc);
     }
 
-    private static void require(boolean holds) throws IOException {
-        if (!holds) {
-            throw new IOException("malformed answer");
+    private static void require(boolean condition) throws IOException {
+        if (!condition) {
+            throw new IOException("malformed _msearch response");
         }
     }
 }
--- a/src/main/java/reeldeal/opensearch/OpenSearchFront.java
+++ b/src/main/java/reeldeal/opensearch/OpenSearchFront.java
@@ -14,8 +14,8 @@
 import reeldeal.http.HttpMessage;
 
 /**
- * The OpenSearch-style front: {@code _search} and {@code _msearch} over the same core and rules.
- * Runs on the broker's event loop.
+ * The OpenSearch-style front: serves {@code _search} and {@code _msearch} through the same core and
+ * rules as the platform's front. Runs on the broker's event loop.
  */
 public final class OpenSearchFront {
     private static final int OK = 200;
@@ -29,7 +29,7 @@
     private final SearchParser parser;
     private final SearchExecutor executor;
 
-    /** A front that submits requests under this broker's name. */
+    /** Creates a front; the broker's name is part of the names of the requests that it submits. */
     public OpenSearchFront(
             RequestSubmitter submitter,
             Settings settings,
@@ -42,26 +42,27 @@
     }
 
     /**
-     * Handles one message; the response goes to the exchange, unless the client disconnects first.
+     * Handles one HTTP request and writes the response to the exchange, unless the client
+     * disconnects first.
      */
     public void accept(HttpMessage message, Exchange exchange) {
         String path = message.path();
-        String[] steps = path.substring(Math.min(1, path.length())).split("/");
-        String last = steps[steps.length - 1];
-        String index = steps.length == 2 ? steps[0] : null;
+        String[] pathParts = path.substring(Math.min(1, path.length())).split("/");
+        String endpoint = pathParts[pathParts.length - 1];
+        String index = pathParts.length == 2 ? pathParts[0] : null;
         String method = message.first();
         try {
             if (path.equals("/")) {
-                respond(exchange, OK, 0, SearchJson.about(brokerName));
-            } else if (steps.length > 2
-                    || (!last.equals(SEARCH) && !last.equals(MULTIPLE_SEARCH))) {
+                respond(exchange, OK, 0, SearchJson.brokerInfo(brokerName));
+            } else if (pathParts.length > 2
+                    || (!endpoint.equals(SEARCH) && !endpoint.equals(MULTIPLE_SEARCH))) {
                 respond(exchange, noHandler(message));
             } else if (!method.equals("POST") && !method.equals("GET")) {
                 respond(
                         exchange,
                         SearchResult.error(
                                 METHOD_NOT_ALLOWED, "method_not_allowed", "use GET or POST"));
-            } else if (last.equals(SEARCH)) {
+            } else if (endpoint.equals(SEARCH)) {
                 search(message, index, exchange);
             } else {
                 multipleSearch(message, index, exchange);
@@ -87,7 +88,10 @@
         onDisconnect.add(executor.execute(search, now, result -> respond(exchange, result)));
     }
 
-    /** Each search has an answer and a status of its own; they come in the order asked. */
+    /**
+     * Executes each search on its own. The response has a result with a status for each of them, in
+     * the order of the request.
+     */
     private void multipleSearch(HttpMessage message, String defaultIndex, Exchange exchange)
             throws UnsupportedRequestException {
         double now = submitter.now();
@@ -97,38 +101,38 @@
         List<Runnable> onDisconnect = new ArrayList<>();
         exchange.onDisconnect(() -> onDisconnect.forEach(Runnable::run));
         for (int i = 0; i < lines.size() / 2; i++) {
-            Consumer<SearchResult> done = pending.slot(i);
+            Consumer<SearchResult> onResult = pending.consumerFor(i);
             byte[] metadata = lines.get(2 * i);
             byte[] body = lines.get(2 * i + 1);
             try {
-                Search search = parser.ofMultiple(message, metadata, body, defaultIndex, now);
-                onDisconnect.add(executor.execute(search, now, done));
+                Search search = parser.partOfMultiple(message, metadata, body, defaultIndex, now);
+                onDisconnect.add(executor.execute(search, now, onResult));
             } catch (UnsupportedRequestException e) {
-                done.accept(SearchResult.unsupported(e));
+                onResult.accept(SearchResult.unsupported(e));
             }
         }
     }
 
-    /** The results of one {@code _msearch}, answered once all are there. */
+    /** Collects the results of one {@code _msearch} and responds once all are complete. */
     private final class PendingResults {
         private final SearchResult[] results;
         private final Exchange exchange;
         private final double startedAt;
-        private int missing;
+        private int outstanding;
 
         PendingResults(int count, Exchange exchange, double startedAt) {
             results = new SearchResult[count];
-            missing = count;
+            outstanding = count;
             this.exchange = exchange;
             this.startedAt = startedAt;
         }
 
-        Consumer<SearchResult> slot(int index) {
+        Consumer<SearchResult> consumerFor(int index) {
             return result -> {
                 results[index] = result;
-                if (--missing == 0) {
+                if (--outstanding == 0) {
                     double tookMs = submitter.now() - startedAt;
-                    respond(exchange, OK, 0, SearchJson.many(Arrays.asList(results), tookMs));
+                    respond(exchange, OK, 0, SearchJson.multiple(Arrays.asList(results), tookMs));
                 }
             };
         }
--- a/src/main/java/reeldeal/opensearch/SearchJson.java
+++ b/src/main/java/reeldeal/opensearch/SearchJson.java
@@ -7,7 +7,7 @@
 import java.io.UncheckedIOException;
 import java.util.List;
 
-/** Writes the bodies of answers as OpenSearch does. */
+/** Writes response bodies in OpenSearch's format. */
 final class SearchJson {
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -24,33 +24,35 @@
             body.write(json);
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory does not fail
+            throw new UncheckedIOException(e); // cannot happen: the output is in memory
         }
         return out.toByteArray();
     }
 
-    /** The answer to one search. */
+    /** Returns the response to a {@code _search}. */
     static byte[] single(SearchResult result) {
-        return write(json -> fields(json, result, false));
+        return write(json -> writeResult(json, result, false));
     }
 
-    /** The answer to many, in the order in which they were asked. */
-    static byte[] many(List<SearchResult> results, double tookMs) {
+    /**
+     * Returns the response to an {@code _msearch}, with the results in the order of its searches.
+     */
+    static byte[] multiple(List<SearchResult> results, double tookMs) {
         return write(
                 json -> {
                     json.writeNumberField("took", (long) tookMs);
                     json.writeArrayFieldStart("responses");
                     for (SearchResult result : results) {
                         json.writeStartObject();
-                        fields(json, result, true);
+                        writeResult(json, result, true);
                         json.writeEndObject();
                     }
                     json.writeEndArray();
                 });
     }
 
-    /** The answer to a request for the broker's name and version. */
-    static byte[] about(String name) {
+    /** Returns the response to {@code GET /}: the broker's name and distribution. */
+    static byte[] brokerInfo(String name) {
         return write(
                 json -> {
                     json.writeStringField("name", name);
@@ -61,39 +63,42 @@
                 });
     }
 
-    private static void fields(JsonGenerator json, SearchResult result, boolean withStatus)
+    private static void writeResult(JsonGenerator json, SearchResult result, boolean withStatus)
             throws IOException {
         if (result.body() instanceof SearchResult.ErrorBody error) {
-            error(json, error);
+            writeError(json, error);
             json.writeNumberField("status", result.status());
             return;
         }
-        found(json, (SearchResult.Found) result.body());
+        writeFound(json, (SearchResult.Found) result.body());
         if (withStatus) {
             json.writeNumberField("status", result.status());
         }
     }
 
-    private static void error(JsonGenerator json, SearchResult.ErrorBody error) throws IOException {
+    private static void writeError(JsonGenerator json, SearchResult.ErrorBody error)
+            throws IOException {
         json.writeObjectFieldStart("error");
         json.writeArrayFieldStart("root_cause");
         json.writeStartObject();
-        cause(json, error);
+        writeCause(json, error);
         json.writeEndObject();
         json.writeEndArray();
-        cause(json, error);
+        writeCause(json, error);
         json.writeEndObject();
     }
 
-    private static void cause(JsonGenerator json, SearchResult.ErrorBody error) throws IOException {
+    private static void writeCause(JsonGenerator json, SearchResult.ErrorBody error)
+            throws IOException {
         json.writeStringField("type", error.type());
         json.writeStringField("reason", error.reason());
     }
 
-    private static void found(JsonGenerator json, SearchResult.Found found) throws IOException {
+    private static void writeFound(JsonGenerator json, SearchResult.Found found)
+            throws IOException {
         json.writeNumberField("took", (long) found.tookMs());
         json.writeBooleanField("timed_out", !found.complete());
-        shards(json, found);
+        writeShards(json, found);
         json.writeObjectFieldStart("hits");
         json.writeObjectFieldStart("total");
         json.writeNumberField("value", found.total());
@@ -102,18 +107,19 @@
         if (found.total() == 0) {
             json.writeNullField("max_score");
         } else {
-            score(json, "max_score", found.maxScore());
+            writeScore(json, "max_score", found.maxScore());
         }
         json.writeArrayFieldStart("hits");
         for (SearchResult.Hit hit : found.hits()) {
-            hit(json, found, hit);
+            writeHit(json, found, hit);
         }
         json.writeEndArray();
         json.writeEndObject();
     }
 
-    private static void shards(JsonGenerator json, SearchResult.Found found) throws IOException {
-        int searched = found.searched().size();
+    private static void writeShards(JsonGenerator json, SearchResult.Found found)
+            throws IOException {
+        int searched = found.searchedSegments().size();
         int successful = found.complete() ? searched : Math.min(searched, found.total());
         json.writeObjectFieldStart("_shards");
         json.writeNumberField("total", searched);
@@ -123,13 +129,13 @@
         json.writeEndObject();
     }
 
-    private static void hit(JsonGenerator json, SearchResult.Found found, SearchResult.Hit hit)
+    private static void writeHit(JsonGenerator json, SearchResult.Found found, SearchResult.Hit hit)
             throws IOException {
         json.writeStartObject();
         json.writeStringField("_index", found.index().name());
         json.writeStringField("_id", hit.value());
-        score(json, "_score", hit.score());
-        if (found.source()) {
+        writeScore(json, "_score", hit.score());
+        if (found.includeSource()) {
             json.writeObjectFieldStart("_source");
             json.writeStringField("segment", hit.segment().name());
             json.writeNumberField("shard", hit.segment().shard());
@@ -139,7 +145,8 @@
         json.writeEndObject();
     }
 
-    private static void score(JsonGenerator json, String field, double score) throws IOException {
+    private static void writeScore(JsonGenerator json, String field, double score)
+            throws IOException {
         if (score == Math.rint(score) && Math.abs(score) < 1e15) {
             json.writeNumberField(field, (long) score);
         } else {
--- a/src/test/java/reeldeal/config/SettingsParserTest.java
+++ b/src/test/java/reeldeal/config/SettingsParserTest.java
@@ -11,7 +11,9 @@
 import reeldeal.decision.DecisionModule.RepeatSafety;
 import reeldeal.decision.DecisionModule.Settings;
 
-/** Settings by their paths, and errors that name the operators' keys. */
+/**
+ * Tests that settings are parsed by path and that errors name the keys of the configuration file.
+ */
 class SettingsParserTest {
     private static final long SEED = 7;
 
@@ -38,7 +40,7 @@
     }
 
     @Test
-    void theOperatorsKeysBecomeTheModulesSettings() {
+    void configuredKeysAreMappedToDecisionSettings() {
         Settings parsed = SettingsParser.parse(settings(), SEED);
         assertEquals(3, parsed.brokers());
         assertEquals(5, parsed.tickMs());
@@ -70,17 +72,18 @@
                 "Rules.FallMultiple | 0 | Rules.ColdMs, Rules.FallMs, Rules.FallMultiple",
                 "Rules.FreeResends | -1 | Rules.LookBackMs, Rules.FreeResends, Rules.RepeatRatio"
             })
-    void aValueOutOfRangeIsNamedByItsOwnKey(String key, String value, String named) {
+    void aValueOutOfRangeIsReportedWithItsConfiguredKey(
+            String key, String value, String reportedKeys) {
         Map<String, String> settings = settings();
         settings.put(key, value);
         IllegalArgumentException error =
                 assertThrows(
                         IllegalArgumentException.class, () -> SettingsParser.parse(settings, SEED));
-        assertEquals("setting out of range: " + named, error.getMessage());
+        assertEquals("setting out of range: " + reportedKeys, error.getMessage());
     }
 
     @Test
-    void aMissingKeyIsNamed() {
+    void aMissingKeyIsReported() {
         Map<String, String> settings = settings();
         settings.remove("Rules.ColdMs");
         IllegalArgumentException error =
