--- a/src/main/java/reeldeal/zones/AccessList.java
+++ b/src/main/java/reeldeal/zones/AccessList.java
@@ -11,54 +11,60 @@
 import java.util.Set;
 
 /**
- * Who may ask for something: networks, of which the narrowest that holds the sender counts, and
- * keys. An entry is {@code any}, {@code loopback}, an address, a network as {@code 10.0.0.0/8}, any
- * of these after {@code !} to shut it out, or {@code key:NAME}. Who is in no entry may not.
+ * Permits an operation to senders by network or by TSIG key. Among the networks that contain the
+ * sender, the one with the longest prefix decides. An entry is {@code any}, {@code loopback}, an
+ * address, a network such as {@code 10.0.0.0/8}, one of these prefixed with {@code !} to deny it,
+ * or {@code key:NAME}. A sender that matches no entry is denied.
  */
 public final class AccessList {
-    /** Nobody. */
+    /** Denies every sender. */
     public static final AccessList NOBODY = parse(List.of());
 
     private static final IPAddressGenerator ADDRESSES = new IPAddressGenerator();
 
     private final DualIPv4v6AssociativeTries<Boolean> networks = new DualIPv4v6AssociativeTries<>();
     private final Set<String> keys = new HashSet<>();
-    private final boolean any;
+    private final boolean anySender;
 
-    private AccessList(boolean any) {
-        this.any = any;
+    private AccessList(boolean anySender) {
+        this.anySender = anySender;
     }
 
-    /** A list from its entries; throws IllegalArgumentException that names a bad one. */
+    /**
+     * Parses a list of entries.
+     *
+     * @throws IllegalArgumentException if an entry is invalid; its message quotes the entry
+     */
     public static AccessList parse(List<String> entries) {
         AccessList acl = new AccessList(entries.equals(List.of("any")));
         for (String entry : entries) {
             boolean allow = !entry.startsWith("!");
-            String what = allow ? entry : entry.substring(1);
-            if (what.startsWith("key:") && allow) {
-                String name = reeldeal.dns.Names.parse(what.substring(4), ".");
+            String target = allow ? entry : entry.substring(1);
+            if (target.startsWith("key:") && allow) {
+                String name = reeldeal.dns.Names.parse(target.substring(4), ".");
                 if (name == null) {
                     throw new IllegalArgumentException("expected key:NAME, found " + entry);
                 }
                 acl.keys.add(name);
-            } else if (what.equals("any") || what.equals("loopback")) {
-                for (String n :
-                        what.equals("any")
+            } else if (target.equals("any") || target.equals("loopback")) {
+                for (String block :
+                        target.equals("any")
                                 ? List.of("0.0.0.0/0", "::/0")
                                 : List.of("127.0.0.0/8", "::1")) {
-                    acl.networks.put(new IPAddressString(n).getAddress().toPrefixBlock(), allow);
+                    acl.networks.put(
+                            new IPAddressString(block).getAddress().toPrefixBlock(), allow);
                 }
             } else {
                 IPAddress network =
-                        what.matches("[0-9a-fA-F.:]+(/[0-9]{1,3})?")
-                                ? new IPAddressString(what).getAddress()
+                        target.matches("[0-9a-fA-F.:]+(/[0-9]{1,3})?")
+                                ? new IPAddressString(target).getAddress()
                                 : null;
                 if (network == null
                         || (network.isMultiple() && !network.isPrefixBlock())
                         || (network.isPrefixed()
                                 && !network.isPrefixBlock()
                                 && !network.isSingleNetwork())
-                        || (what.contains("/")
+                        || (target.contains("/")
                                 && !network.toZeroHost().equals(network.getLower()))) {
                     throw new IllegalArgumentException(
                             "expected any, loopback, an address, a network whose host"
@@ -71,9 +77,12 @@
         return acl;
     }
 
-    /** Whether a sender at this address, who signed with this key (null for none), may. */
+    /**
+     * Returns whether a sender at this address is permitted, given the key that signed its message,
+     * or null for an unsigned message.
+     */
     public boolean allows(InetAddress sender, String key) {
-        if (any || (key != null && keys.contains(key))) {
+        if (anySender || (key != null && keys.contains(key))) {
             return true;
         }
         AssociativeTrieNode<? extends IPAddress, Boolean> narrowest =
--- a/src/main/java/reeldeal/zones/DnsServer.java
+++ b/src/main/java/reeldeal/zones/DnsServer.java
@@ -26,13 +26,13 @@
 import reeldeal.dns.TransferOut;
 import reeldeal.frames.FrameBuffer;
 
-/** The sockets of the zone service (RFC 1035, section 4.2; RFC 7766). */
+/** Serves the zone service over UDP and TCP (RFC 1035, section 4.2; RFC 7766). */
 public final class DnsServer {
-    private static final int UDP_BYTES = 4_096;
-    private static final int UDP_TURN = 64;
-    private static final int SWEEP_MS = 500;
-    private static final long STALLED_NS = 30_000_000_000L;
-    private static final int MAX_QUEUED = 64;
+    private static final int MAX_DATAGRAM_BYTES = 4_096;
+    private static final int MAX_DATAGRAMS_PER_READ = 64;
+    private static final int INACTIVITY_CHECK_MS = 500;
+    private static final long STALL_TIMEOUT_NS = 30_000_000_000L;
+    private static final int MAX_OUTSTANDING = 64;
 
     private final EventLoopGroup group;
     private final ZoneService service;
@@ -41,12 +41,12 @@
     private final Consumer<String> log;
     private final List<Channel> channels = new ArrayList<>();
 
-    /** Connections on which nothing is being done, the longest so first. */
-    private final LinkedHashSet<Tcp> idle = new LinkedHashSet<>();
+    /** Connections without an open request or transfer, the one idle for longest first. */
+    private final LinkedHashSet<TcpConnection> idleConnections = new LinkedHashSet<>();
 
-    private final LinkedHashSet<Tcp> open = new LinkedHashSet<>();
+    private final LinkedHashSet<TcpConnection> openConnections = new LinkedHashSet<>();
 
-    /** A server on a group of one loop. */
+    /** Creates a server on an event loop group, which must have a single loop. */
     public DnsServer(
             EventLoopGroup group,
             ZoneService service,
@@ -60,9 +60,9 @@
         this.log = log;
     }
 
-    /** Listens over TCP and, at the same address, over UDP. */
+    /** Listens over TCP and, at the same address, over UDP; returns the bound address. */
     public InetSocketAddress start(InetSocketAddress listen) throws Exception {
-        Channel tcp =
+        Channel tcpChannel =
                 new ServerBootstrap()
                         .group(group, group)
                         .channel(NioServerSocketChannel.class)
@@ -73,57 +73,65 @@
                                 new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel channel) {
-                                        channel.pipeline().addLast(new Tcp());
+                                        channel.pipeline().addLast(new TcpConnection());
                                     }
                                 })
                         .bind(listen)
                         .sync()
                         .channel();
-        InetSocketAddress bound = (InetSocketAddress) tcp.localAddress();
-        channels.add(tcp);
+        InetSocketAddress bound = (InetSocketAddress) tcpChannel.localAddress();
+        channels.add(tcpChannel);
         channels.add(
                 new Bootstrap()
                         .group(group)
                         .channel(NioDatagramChannel.class)
                         .option(
                                 ChannelOption.RCVBUF_ALLOCATOR,
-                                new FixedRecvByteBufAllocator(UDP_BYTES)
-                                        .maxMessagesPerRead(UDP_TURN))
+                                new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES)
+                                        .maxMessagesPerRead(MAX_DATAGRAMS_PER_READ))
                         .option(ChannelOption.SO_RCVBUF, 1 << 20)
-                        .handler(new Udp())
+                        .handler(new UdpHandler())
                         .bind(bound)
                         .sync()
                         .channel());
-        group.next().scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        group.next()
+                .scheduleWithFixedDelay(
+                        this::closeInactiveConnections,
+                        INACTIVITY_CHECK_MS,
+                        INACTIVITY_CHECK_MS,
+                        TimeUnit.MILLISECONDS);
         return bound;
     }
 
-    /** Listens no more. */
+    /** Closes the listening sockets; open TCP connections stay. */
     public void stop() {
         channels.forEach(Channel::close);
     }
 
-    /** Closes connections that ask nothing, or do not read what they asked for. */
-    private void sweep() {
+    /**
+     * Closes idle connections after the idle timeout, and busy ones without progress (such as a
+     * client that does not read its responses) after the stall timeout.
+     */
+    private void closeInactiveConnections() {
         long now = System.nanoTime();
-        for (Tcp tcp : List.copyOf(open)) {
-            if (now - tcp.lastNs > (tcp.busy() ? STALLED_NS : idleNs)) {
-                tcp.ctx.close();
+        for (TcpConnection connection : List.copyOf(openConnections)) {
+            if (now - connection.lastActivityNs > (connection.busy() ? STALL_TIMEOUT_NS : idleNs)) {
+                connection.ctx.close();
             }
         }
     }
 
-    private final class Udp extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class UdpHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            byte[] asked = new byte[packet.content().readableBytes()];
-            packet.content().readBytes(asked);
+            byte[] request = new byte[packet.content().readableBytes()];
+            packet.content().readBytes(request);
             InetSocketAddress sender = packet.sender();
             if (sender.getPort() == 0) {
                 return;
             }
             service.handle(
-                    asked,
+                    request,
                     sender,
                     false,
                     new ReplyChannel() {
@@ -134,90 +142,96 @@
                         }
 
                         @Override
-                        public void stream(TransferOut transfer, Runnable ended) {
-                            ended.run(); // not over UDP
+                        public void stream(TransferOut transfer, Runnable onEnd) {
+                            onEnd.run(); // transfers are not sent over UDP
                         }
                     });
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            log.accept("dns: " + cause); // the socket stays: it serves all
+            log.accept("dns: " + cause); // the socket stays open: all UDP clients share it
         }
     }
 
-    /** A transfer on a connection. */
-    private record Streaming(TransferOut transfer, Runnable ended) {}
+    /** A transfer that a connection sends, and the callback that runs when it ends. */
+    private record QueuedTransfer(TransferOut transfer, Runnable onEnd) {}
 
     /**
-     * One connection: messages are answered as each is ready (RFC 7766, section 7), transfers one
-     * at a time.
+     * A client connection. Responses are sent as soon as each is ready, in any order (RFC 7766,
+     * section 7); transfers are sent one at a time.
      */
-    private final class Tcp extends ChannelInboundHandlerAdapter implements ReplyChannel {
+    private final class TcpConnection extends ChannelInboundHandlerAdapter implements ReplyChannel {
         private final FrameBuffer frames = new FrameBuffer(2, 65_535);
-        private final ArrayDeque<Streaming> streams = new ArrayDeque<>();
+        private final ArrayDeque<QueuedTransfer> transfers = new ArrayDeque<>();
         private ChannelHandlerContext ctx;
         private int outstanding;
-        private boolean pumping;
-        private long lastNs = System.nanoTime();
+        private boolean writing;
+        private long lastActivityNs = System.nanoTime();
 
         boolean busy() {
-            return outstanding > 0 || !streams.isEmpty();
+            return outstanding > 0 || !transfers.isEmpty();
         }
 
-        private void touch() {
-            lastNs = System.nanoTime();
-            idle.remove(this);
+        private void recordActivity() {
+            lastActivityNs = System.nanoTime();
+            idleConnections.remove(this);
             if (!busy()) {
-                idle.add(this);
+                idleConnections.add(this);
             }
         }
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
             ctx = context;
-            open.add(this);
-            idle.add(this);
-            if (open.size() > maxConnections) {
-                // The one that has asked nothing for the longest gives way; where all work, the new
-                // one.
-                Tcp first = idle.iterator().next();
-                first.drop();
-                first.ctx.close();
+            openConnections.add(this);
+            idleConnections.add(this);
+            if (openConnections.size() > maxConnections) {
+                // Closes the connection that has been idle for longest; if all others are busy,
+                // that
+                // is the new one.
+                TcpConnection longestIdle = idleConnections.iterator().next();
+                longestIdle.unregister();
+                longestIdle.ctx.close();
             }
         }
 
-        /** At once, so that the next one that comes finds room. */
-        private void drop() {
-            open.remove(this);
-            idle.remove(this);
-            streams.forEach(s -> s.ended().run());
-            streams.clear();
+        /**
+         * Removes this connection from the server's lists and ends its transfers. When the server
+         * closes a connection, it calls this first, so that its place is free at once and not only
+         * once the channel has closed.
+         */
+        private void unregister() {
+            openConnections.remove(this);
+            idleConnections.remove(this);
+            transfers.forEach(queued -> queued.onEnd().run());
+            transfers.clear();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            drop();
+            unregister();
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             frames.feed((ByteBuf) message);
-            for (byte[] f = frames.next(); f != null; f = frames.next()) {
-                if (f.length < Message.HEADER || (f[2] & 0x80) != 0) {
-                    ctx.close(); // not even a header to answer, or an answer itself
+            for (byte[] frame = frames.next(); frame != null; frame = frames.next()) {
+                if (frame.length < Message.HEADER || (frame[2] & 0x80) != 0) {
+                    ctx.close(); // no complete header to reply to, or a response
                     return;
                 }
                 outstanding++;
-                touch();
-                service.handle(f, (InetSocketAddress) ctx.channel().remoteAddress(), true, this);
+                recordActivity();
+                service.handle(
+                        frame, (InetSocketAddress) ctx.channel().remoteAddress(), true, this);
             }
             if (frames.malformed()) {
                 ctx.close();
             }
             ctx.channel()
                     .config()
-                    .setAutoRead(outstanding < MAX_QUEUED && ctx.channel().isWritable());
+                    .setAutoRead(outstanding < MAX_OUTSTANDING && ctx.channel().isWritable());
         }
 
         private void write(byte[] message) {
@@ -231,58 +245,58 @@
         public void send(byte[] message) {
             outstanding--;
             write(message);
-            touch();
+            recordActivity();
             ctx.channel()
                     .config()
-                    .setAutoRead(outstanding < MAX_QUEUED && ctx.channel().isWritable());
+                    .setAutoRead(outstanding < MAX_OUTSTANDING && ctx.channel().isWritable());
         }
 
         @Override
-        public void stream(TransferOut transfer, Runnable ended) {
+        public void stream(TransferOut transfer, Runnable onEnd) {
             outstanding--;
-            if (!open.contains(this)) {
-                ended.run();
+            if (!openConnections.contains(this)) {
+                onEnd.run();
                 return;
             }
-            streams.add(new Streaming(transfer, ended));
-            touch();
-            if (streams.size() == 1) {
-                pump();
+            transfers.add(new QueuedTransfer(transfer, onEnd));
+            recordActivity();
+            if (transfers.size() == 1) {
+                writeNextTransferMessage();
             }
         }
 
         /**
-         * One message a turn of the loop, and only while the client reads: queries go on between
-         * them.
+         * Sends the next message of the first queued transfer if the channel is writable. Only one
+         * message is sent per turn of the loop, so that queries are served in between.
          */
-        @SuppressWarnings("ReferenceEquality") // the very transfer that is being written
-        private void pump() {
-            Streaming first = streams.peek();
-            if (first == null || pumping || !ctx.channel().isWritable()) {
+        @SuppressWarnings("ReferenceEquality") // identity: the transfer that was being written
+        private void writeNextTransferMessage() {
+            QueuedTransfer current = transfers.peek();
+            if (current == null || writing || !ctx.channel().isWritable()) {
                 return;
             }
-            pumping = true; // writing may come back here at once, when the socket takes all
-            write(first.transfer().next(System.currentTimeMillis() / 1_000));
-            pumping = false;
-            if (streams.peek() != first) {
-                return; // the connection ended under it
+            writing = true; // a write that completes at once can re-enter this method
+            write(current.transfer().next(System.currentTimeMillis() / 1_000));
+            writing = false;
+            if (transfers.peek() != current) {
+                return; // the write closed the connection
             }
-            lastNs = System.nanoTime();
-            if (!first.transfer().hasNext()) {
-                streams.poll();
-                first.ended().run();
-                touch();
+            lastActivityNs = System.nanoTime();
+            if (!current.transfer().hasNext()) {
+                transfers.poll();
+                current.onEnd().run();
+                recordActivity();
             }
-            if (!streams.isEmpty()) {
-                ctx.executor().execute(this::pump);
+            if (!transfers.isEmpty()) {
+                ctx.executor().execute(this::writeNextTransferMessage);
             }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
             if (ctx.channel().isWritable()) {
-                ctx.channel().config().setAutoRead(outstanding < MAX_QUEUED);
-                pump();
+                ctx.channel().config().setAutoRead(outstanding < MAX_OUTSTANDING);
+                writeNextTransferMessage();
             }
         }
 
--- a/src/main/java/reeldeal/zones/EndpointViewRecords.java
+++ b/src/main/java/reeldeal/zones/EndpointViewRecords.java
@@ -14,12 +14,12 @@
 import reeldeal.endpoints.EndpointView;
 
 /**
- * The view of the searchers as TXT records of class CH, for the operators' command {@code zone
- * members}.
+ * Publishes the endpoint view of the searchers as TXT records of class CH, for the command {@code
+ * zone members}.
  */
 final class EndpointViewRecords {
-    private static final int PAGE = 60;
-    private static final int LONGEST_STRING = 255;
+    private static final int ENTRIES_PER_PAGE = 60;
+    private static final int MAX_STRING_BYTES = 255;
 
     private final EndpointFeed feed;
 
@@ -28,27 +28,29 @@
     }
 
     /**
-     * {@code N.members.reeldeal.} has the Nth page; the last is followed by a name that does not
-     * exist.
+     * Answers {@code N.members.reeldeal.} with page N, counted from 0; a page after the last one is
+     * answered with NXDOMAIN.
      */
     byte[] answer(Message.Question question, Responder responder) {
-        String page = page(question.name());
-        if (!page.matches("[0-9]{1,6}")) {
+        String pageNumber = pageNumber(question.name());
+        if (!pageNumber.matches("[0-9]{1,6}")) {
             return responder.code(Rcode.REFUSED);
         }
         List<EndpointView.Entry> view = feed.view();
-        int from = Integer.parseInt(page) * PAGE;
-        if (from >= Math.max(1, view.size())) {
+        int firstIndex = Integer.parseInt(pageNumber) * ENTRIES_PER_PAGE;
+        if (firstIndex >= Math.max(1, view.size())) {
             return responder.code(Rcode.NXDOMAIN);
         }
         List<Rr> records = new ArrayList<>();
-        for (EndpointView.Entry entry : view.subList(from, Math.min(view.size(), from + PAGE))) {
-            records.add(new Rr(question.name(), Rr.TXT, Rr.CH, 0, strings(attributes(entry))));
+        for (EndpointView.Entry entry :
+                view.subList(firstIndex, Math.min(view.size(), firstIndex + ENTRIES_PER_PAGE))) {
+            records.add(
+                    new Rr(question.name(), Rr.TXT, Rr.CH, 0, encodeStrings(attributes(entry))));
         }
         return responder.records(records);
     }
 
-    private static String page(String name) {
+    private static String pageNumber(String name) {
         if (name.equals(ZoneService.MEMBERS)) {
             return "0";
         }
@@ -79,12 +81,12 @@
         };
     }
 
-    /** Character strings as TXT data has them, cut at the longest that fits. */
-    private static byte[] strings(List<String> texts) {
+    /** Encodes TXT character strings, each cut to the longest length that fits. */
+    private static byte[] encodeStrings(List<String> texts) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (String text : texts) {
             byte[] utf8 = text.getBytes(StandardCharsets.UTF_8);
-            int length = Math.min(LONGEST_STRING, utf8.length);
+            int length = Math.min(MAX_STRING_BYTES, utf8.length);
             out.write(length);
             out.write(utf8, 0, length);
         }
--- a/src/main/java/reeldeal/zones/HostedZone.java
+++ b/src/main/java/reeldeal/zones/HostedZone.java
@@ -22,41 +22,51 @@
 import reeldeal.store.StoreNode;
 
 /**
- * One zone as the store has it, and the updates on their way there. Updates that wait while a write
- * is out go into the next one together, each judged alone against what the ones before it left.
+ * A zone with its committed content and the updates that are not yet committed. While a write to
+ * the store is in flight, further updates wait and are then written as one batch; each is evaluated
+ * on its own against the zone as the updates before it leave it.
  */
 final class HostedZone {
-    private static final int MAX_WAITING = 4_000;
+    private static final int MAX_PENDING_UPDATES = 4_000;
     private static final int BATCH_CHARS = 100_000;
     private static final int CHUNK_CHARS = 60_000;
-    private static final int CLEARED = 500;
+    private static final int KEYS_PER_DELETION = 500;
 
     private record PendingUpdate(Message message, IntConsumer rcode) {}
 
-    /** A write that is out: its changes, and what its updates are to be answered. */
+    /**
+     * A write in flight.
+     *
+     * @param changes the changes that were sent to the store
+     * @param whenCommitted send the responses of the updates once the write is committed
+     * @param rcodeCallbacks the response callbacks of all updates, for an error code if the write
+     *     fails
+     */
     private record Batch(
-            List<Change> changes, List<Runnable> whenCommitted, List<IntConsumer> all) {}
+            List<Change> changes, List<Runnable> whenCommitted, List<IntConsumer> rcodeCallbacks) {}
 
     final ZonesConfig.Entry entry;
     final Journal journal;
     private final StoreNode store;
     private final Executor loop;
     private final Consumer<String> log;
-    private final ArrayDeque<PendingUpdate> waiting = new ArrayDeque<>();
-    private final Map<Long, Zone> generations = new HashMap<>();
+    private final ArrayDeque<PendingUpdate> pendingUpdates = new ArrayDeque<>();
+
+    /** Zones of generations that the head key does not name yet, by generation. */
+    private final Map<Long, Zone> inactiveGenerations = new HashMap<>();
 
-    /** Generations that count no more, whose sets may still be in the store. */
-    private final Set<Long> stale = new LinkedHashSet<>();
+    /** Generations that are no longer in use but may still have record sets in the store. */
+    private final Set<Long> obsoleteGenerations = new LinkedHashSet<>();
 
-    private long generation = -1;
+    private long activeGeneration = -1;
     private Zone zone;
-    private Batch out;
-    private boolean planned;
+    private Batch inFlight;
+    private boolean flushScheduled;
     private boolean replacing;
     private boolean expired;
     private long confirmedAt;
-    private final Set<String> touched = new LinkedHashSet<>();
-    private boolean replaced;
+    private final Set<String> changedNames = new LinkedHashSet<>();
+    private boolean allNamesChanged;
 
     HostedZone(ZonesConfig.Entry entry, StoreNode store, Executor loop, Consumer<String> log) {
         this.entry = entry;
@@ -67,12 +77,12 @@
         this.zone = Zone.empty(entry.origin());
     }
 
-    /** The zone as it is committed; empty where there is none yet. */
+    /** Returns the committed zone, which is empty if the store has none yet. */
     Zone zone() {
         return zone;
     }
 
-    /** Whether the zone can answer. */
+    /** Returns whether queries can be answered: the zone has an SOA record and has not expired. */
     boolean serves() {
         return zone.soa() != null && !expired;
     }
@@ -85,343 +95,402 @@
         return confirmedAt;
     }
 
-    // ---- what the store tells ----
+    // ---- changes from the store ----
 
-    /** A committed write, as far as it is of this zone. */
-    void committed(List<Change> changes, Map<Change, ZoneKeys.Parsed> mine) {
+    /**
+     * Applies a committed write, and adds its difference to the journal.
+     *
+     * @param changes all changes of the write
+     * @param zoneChanges the changes of the write that concern this zone, with their parsed keys
+     */
+    void applyCommitted(List<Change> changes, Map<Change, ZoneKeys.Parsed> zoneChanges) {
         Zone before = zone;
-        Set<String[]> places = new LinkedHashSet<>();
-        mine.forEach(
-                (change, at) -> {
-                    if (at.generation() < 0) {
-                        apart(at.name(), change.value());
+        Set<String[]> changedSets = new LinkedHashSet<>();
+        zoneChanges.forEach(
+                (change, key) -> {
+                    if (key.generation() < 0) {
+                        applyHeadOrState(key.name(), change.value());
                         return;
                     }
-                    if (generation < 0 && at.generation() == 0) {
-                        generation = 0; // a zone that an earlier version of the program kept
+                    if (activeGeneration < 0 && key.generation() == 0) {
+                        // Stored by an earlier version of the program, which had no generations.
+                        activeGeneration = 0;
                     }
-                    if (at.generation() == generation) {
-                        zone = ZoneKeys.apply(zone, at, change.value());
-                        places.add(new String[] {at.name(), String.valueOf(at.type())});
-                        touched.add(at.name());
+                    if (key.generation() == activeGeneration) {
+                        zone = ZoneKeys.apply(zone, key, change.value());
+                        changedSets.add(new String[] {key.name(), String.valueOf(key.type())});
+                        changedNames.add(key.name());
                     } else if (change.value() != null) {
-                        generations.merge(
-                                at.generation(),
-                                ZoneKeys.apply(Zone.empty(entry.origin()), at, change.value()),
-                                (old, fresh) -> ZoneKeys.apply(old, at, change.value()));
+                        inactiveGenerations.merge(
+                                key.generation(),
+                                ZoneKeys.apply(Zone.empty(entry.origin()), key, change.value()),
+                                (existing, added) -> ZoneKeys.apply(existing, key, change.value()));
                     }
                 });
-        if (!places.isEmpty()
+        if (!changedSets.isEmpty()
                 && before.soa() != null
                 && zone.soa() != null
                 && before.serial() != zone.serial()) {
-            journal.add(Journal.Diff.between(before, zone, places));
+            journal.add(Journal.Diff.between(before, zone, changedSets));
         }
     }
 
-    /** Answers the updates of a committed write; comes once the write has been told on. */
-    void told(List<Change> changes) {
-        if (out != null && out.changes() == changes) {
-            Batch done = out;
-            out = null;
-            done.whenCommitted().forEach(Runnable::run);
-            planFlush();
+    /** Answers the updates of a committed write; called after the change has been published. */
+    void answerCommittedUpdates(List<Change> changes) {
+        if (inFlight != null && inFlight.changes() == changes) {
+            Batch batch = inFlight;
+            inFlight = null;
+            batch.whenCommitted().forEach(Runnable::run);
+            scheduleFlush();
         }
     }
 
-    private void apart(String what, String value) {
-        if (what.equals(ZoneKeys.HEAD) && value != null) {
-            if (generation >= 0) {
-                stale.add(generation);
+    /** Applies a change of the zone's head or state key. */
+    private void applyHeadOrState(String name, String value) {
+        if (name.equals(ZoneKeys.HEAD) && value != null) {
+            if (activeGeneration >= 0) {
+                obsoleteGenerations.add(activeGeneration);
             }
-            generation = Long.parseLong(value);
-            Zone fresh = generations.remove(generation);
-            generations.keySet().stream().filter(g -> g < generation).forEach(stale::add);
-            generations.keySet().removeAll(stale);
-            zone = fresh == null ? Zone.empty(entry.origin()) : fresh;
+            activeGeneration = Long.parseLong(value);
+            Zone replacement = inactiveGenerations.remove(activeGeneration);
+            inactiveGenerations.keySet().stream()
+                    .filter(g -> g < activeGeneration)
+                    .forEach(obsoleteGenerations::add);
+            inactiveGenerations.keySet().removeAll(obsoleteGenerations);
+            zone = replacement == null ? Zone.empty(entry.origin()) : replacement;
             journal.clear();
-            replaced = true;
-        } else if (what.equals(ZoneKeys.STATE) && value != null) {
-            String[] words = value.split(" ");
-            confirmedAt = Long.parseLong(words[0]);
-            expired = words[1].equals("expired");
-            replaced = true;
+            allNamesChanged = true;
+        } else if (name.equals(ZoneKeys.STATE) && value != null) {
+            String[] fields = value.split(" ");
+            confirmedAt = Long.parseLong(fields[0]);
+            expired = fields[1].equals("expired");
+            allNamesChanged = true;
         }
     }
 
     /**
-     * The names that changed since the last call, null where all may have; an empty set where none
-     * did.
+     * Returns the names that changed since the last call, which may be an empty set; null if any
+     * name may have changed.
      */
-    Set<String> takeTouched() {
-        Set<String> taken = replaced ? null : Set.copyOf(touched);
-        touched.clear();
-        replaced = false;
+    Set<String> takeChangedNames() {
+        Set<String> taken = allNamesChanged ? null : Set.copyOf(changedNames);
+        changedNames.clear();
+        allNamesChanged = false;
         return taken;
     }
 
-    /** This node writes anew: what was out before has been decided, one way or the other. */
-    void reset() {
-        out = null;
+    /**
+     * Clears the state of earlier writes when this node begins to accept writes: each of those
+     * writes has been committed or discarded by then.
+     */
+    void resetWriteState() {
+        inFlight = null;
         replacing = false;
-        planFlush();
+        scheduleFlush();
     }
 
     // ---- updates ----
 
-    /** Judges and keeps an update; its code comes once what it asks is committed. */
+    /**
+     * Queues an update. Its response code is passed on once it is committed, refused or has failed.
+     */
     void update(Message message, IntConsumer rcode) {
-        if (waiting.size() >= MAX_WAITING) {
+        if (pendingUpdates.size() >= MAX_PENDING_UPDATES) {
             rcode.accept(Rcode.SERVFAIL);
             return;
         }
-        waiting.add(new PendingUpdate(message, rcode));
-        planFlush();
+        pendingUpdates.add(new PendingUpdate(message, rcode));
+        scheduleFlush();
     }
 
-    /** Not at once: what else this turn of the loop reads goes into the same write. */
-    private void planFlush() {
-        if (!planned && out == null && !replacing && !waiting.isEmpty()) {
-            planned = true;
+    /**
+     * Schedules a flush instead of flushing at once, so that all updates read in this turn of the
+     * loop go into the same write.
+     */
+    private void scheduleFlush() {
+        if (!flushScheduled && inFlight == null && !replacing && !pendingUpdates.isEmpty()) {
+            flushScheduled = true;
             loop.execute(
                     () -> {
-                        planned = false;
+                        flushScheduled = false;
                         flush();
                     });
         }
     }
 
     private void flush() {
-        if (out != null || replacing || waiting.isEmpty()) {
+        if (inFlight != null || replacing || pendingUpdates.isEmpty()) {
             return;
         }
-        Zone head = zone;
-        Set<String> keys = new LinkedHashSet<>();
-        List<Runnable> answers = new ArrayList<>();
-        List<IntConsumer> all = new ArrayList<>();
+        Zone updated = zone;
+        Set<String> setKeys = new LinkedHashSet<>();
+        List<Runnable> responses = new ArrayList<>();
+        List<IntConsumer> rcodeCallbacks = new ArrayList<>();
         int chars = 0;
-        while (!waiting.isEmpty() && chars < BATCH_CHARS) {
-            PendingUpdate one = waiting.poll();
+        while (!pendingUpdates.isEmpty() && chars < BATCH_CHARS) {
+            PendingUpdate pending = pendingUpdates.poll();
             Update.Outcome outcome =
                     !store.acceptsWrites()
-                            ? new Update.Outcome(Rcode.REFUSED, head, null)
+                            ? new Update.Outcome(Rcode.REFUSED, updated, null)
                             : !serves()
-                                    ? new Update.Outcome(Rcode.SERVFAIL, head, null)
-                                    : Update.apply(one.message(), head);
+                                    ? new Update.Outcome(Rcode.SERVFAIL, updated, null)
+                                    : Update.apply(pending.message(), updated);
             int rcode = outcome.rcode();
-            if (outcome.zone().size() > entry.maxRecords() && outcome.zone().size() > head.size()) {
+            if (outcome.zone().size() > entry.maxRecords()
+                    && outcome.zone().size() > updated.size()) {
                 log.accept(
                         "dns: "
                                 + entry.origin()
-                                + " holds "
+                                + ": update refused: the zone would exceed its limit of "
                                 + entry.maxRecords()
-                                + " records; update refused");
+                                + " records");
                 rcode = Rcode.REFUSED;
             } else if (outcome.diff() != null) {
-                head = outcome.zone();
-                chars += touch(outcome.diff(), keys);
+                updated = outcome.zone();
+                chars += collectSetKeys(outcome.diff(), setKeys);
             }
-            int code = rcode;
-            answers.add(() -> one.rcode().accept(code));
-            all.add(one.rcode());
+            int finalRcode = rcode;
+            responses.add(() -> pending.rcode().accept(finalRcode));
+            rcodeCallbacks.add(pending.rcode());
         }
-        if (head == zone) {
-            answers.forEach(Runnable::run);
-            planFlush();
+        if (updated == zone) {
+            responses.forEach(Runnable::run);
+            scheduleFlush();
             return;
         }
-        write(changes(head, keys), answers, all);
+        write(changes(updated, setKeys), responses, rcodeCallbacks);
     }
 
     /**
-     * Notes the sets that a step touches; returns about how many characters they take in the store.
+     * Adds the keys of the record sets that a difference changes to {@code setKeys}; returns the
+     * approximate number of characters that its records take in the store.
      */
-    private static int touch(Journal.Diff diff, Set<String> keys) {
+    private static int collectSetKeys(Journal.Diff diff, Set<String> setKeys) {
         int chars = 0;
         for (List<Rr> records : List.of(diff.removed(), diff.added())) {
-            for (Rr r : records) {
-                keys.add(r.name() + "/" + r.type());
-                chars += 60 + r.name().length() + 2 * r.data().length;
+            for (Rr record : records) {
+                setKeys.add(record.name() + "/" + record.type());
+                chars += 60 + record.name().length() + 2 * record.data().length;
             }
         }
         return chars;
     }
 
-    /** The sets at these places, and the SOA, as changes. */
-    private List<Change> changes(Zone from, Set<String> keys) {
+    /** Returns changes that store these record sets and the SOA record as the source has them. */
+    private List<Change> changes(Zone source, Set<String> setKeys) {
         List<Change> changes = new ArrayList<>();
-        for (String key : keys) {
-            int slash = key.lastIndexOf('/');
+        for (String setKey : setKeys) {
+            int slash = setKey.lastIndexOf('/');
             changes.add(
                     change(
-                            from,
-                            key.substring(0, slash),
-                            Integer.parseInt(key.substring(slash + 1))));
+                            source,
+                            setKey.substring(0, slash),
+                            Integer.parseInt(setKey.substring(slash + 1))));
         }
-        changes.add(change(from, entry.origin(), Rr.SOA));
+        changes.add(change(source, entry.origin(), Rr.SOA));
         return List.copyOf(changes);
     }
 
-    private Change change(Zone from, String name, int type) {
-        RrSet set = from.get(name, type);
+    private Change change(Zone source, String name, int type) {
+        RrSet set = source.get(name, type);
         String key =
-                generation == 0
+                activeGeneration == 0
                         ? ZoneKeys.LEGACY + entry.origin() + "/" + name + "/" + type
-                        : ZoneKeys.set(entry.origin(), generation, name, type);
-        return new Change(key, set == null ? null : ZoneKeys.value(set));
+                        : ZoneKeys.recordSetKey(entry.origin(), activeGeneration, name, type);
+        return new Change(key, set == null ? null : ZoneKeys.encode(set));
     }
 
-    @SuppressWarnings("ReferenceEquality") // the very batch that was sent
-    private void write(List<Change> changes, List<Runnable> answers, List<IntConsumer> all) {
-        Batch batch = new Batch(changes, answers, all);
-        out = batch;
+    @SuppressWarnings("ReferenceEquality") // identity: the batch that was sent
+    private void write(
+            List<Change> changes, List<Runnable> responses, List<IntConsumer> rcodeCallbacks) {
+        Batch batch = new Batch(changes, responses, rcodeCallbacks);
+        inFlight = batch;
         store.write(
                 changes,
                 result -> {
                     if (result instanceof StoreNode.Committed) {
-                        return; // told, and answered, by committed()
+                        return; // published and answered when the store delivers the write
                     }
-                    log.accept("dns: " + entry.origin() + ": update not kept: " + result);
-                    batch.all().forEach(rcode -> rcode.accept(Rcode.SERVFAIL));
-                    if (result instanceof StoreNode.Rejected && out == batch) {
-                        out = null;
-                        planFlush();
+                    log.accept(
+                            "dns: "
+                                    + entry.origin()
+                                    + ": updates were not confirmed as committed: "
+                                    + result);
+                    batch.rcodeCallbacks().forEach(rcode -> rcode.accept(Rcode.SERVFAIL));
+                    if (result instanceof StoreNode.Rejected && inFlight == batch) {
+                        inFlight = null;
+                        scheduleFlush();
                         return;
                     }
-                    // It may yet be committed: until then nothing can be judged, and what waits is
-                    // not kept waiting.
+                    // The result is unknown, and the write may still be committed. Until that is
+                    // decided no update can be evaluated, so the waiting ones fail now instead of
+                    // waiting on.
                     batch.whenCommitted().clear();
-                    List<PendingUpdate> left = List.copyOf(waiting);
-                    waiting.clear();
-                    left.forEach(w -> w.rcode().accept(Rcode.SERVFAIL));
+                    List<PendingUpdate> dropped = List.copyOf(pendingUpdates);
+                    pendingUpdates.clear();
+                    dropped.forEach(update -> update.rcode().accept(Rcode.SERVFAIL));
                 });
     }
 
-    /** Changes that a transfer brought, as one write; the zone is what they lead to. */
-    void follow(Zone fresh, List<Journal.Diff> diffs, Consumer<Boolean> then) {
-        Set<String> keys = new LinkedHashSet<>();
+    /**
+     * Stores the result of an incremental transfer as one write, or by {@link #replace} if the
+     * changes are too large for one write or the store has no zone yet.
+     *
+     * @param transferred the zone after all changes
+     * @param onDone receives whether the zone was committed
+     */
+    void applyTransferredChanges(
+            Zone transferred, List<Journal.Diff> diffs, Consumer<Boolean> onDone) {
+        Set<String> setKeys = new LinkedHashSet<>();
         int chars = 0;
         for (Journal.Diff diff : diffs) {
-            chars += touch(diff, keys);
+            chars += collectSetKeys(diff, setKeys);
         }
-        if (chars > BATCH_CHARS || generation < 0) {
-            replace(fresh, then);
+        if (chars > BATCH_CHARS || activeGeneration < 0) {
+            replace(transferred, onDone);
             return;
         }
         store.write(
-                changes(fresh, keys), result -> then.accept(result instanceof StoreNode.Committed));
+                changes(transferred, setKeys),
+                result -> onDone.accept(result instanceof StoreNode.Committed));
     }
 
-    // ---- replacing the zone whole ----
+    // ---- replacement of the whole zone ----
 
-    /** Writes a whole zone in steps, then has it count; true once it does. */
-    void replace(Zone fresh, Consumer<Boolean> then) {
+    /**
+     * Writes a whole zone as a new generation in several writes, and makes it the active one with
+     * the last write.
+     *
+     * @param onDone receives true once the new zone is active, false if that failed or another
+     *     replacement is running
+     */
+    void replace(Zone replacement, Consumer<Boolean> onDone) {
         if (replacing) {
-            then.accept(false);
+            onDone.accept(false);
             return;
         }
         replacing = true;
-        long next =
+        long newGeneration =
                 1
                         + Math.max(
-                                Math.max(0, generation),
-                                generations.keySet().stream().mapToLong(g -> g).max().orElse(0));
+                                Math.max(0, activeGeneration),
+                                inactiveGenerations.keySet().stream()
+                                        .mapToLong(g -> g)
+                                        .max()
+                                        .orElse(0));
         new Replacement(
-                        next,
-                        fresh.sets(),
-                        done -> {
+                        newGeneration,
+                        replacement.sets(),
+                        committed -> {
                             replacing = false;
-                            then.accept(done);
-                            planFlush();
+                            onDone.accept(committed);
+                            scheduleFlush();
                         })
-                .step();
+                .writeNextChunk();
     }
 
+    /** Writes a zone as a new generation, one chunk after the other. */
     private final class Replacement {
-        private final long next;
+        private final long newGeneration;
         private final Iterator<Zone.Placed> sets;
-        private final Consumer<Boolean> then;
+        private final Consumer<Boolean> onDone;
 
-        Replacement(long next, Iterator<Zone.Placed> sets, Consumer<Boolean> then) {
-            this.next = next;
+        Replacement(long newGeneration, Iterator<Zone.Placed> sets, Consumer<Boolean> onDone) {
+            this.newGeneration = newGeneration;
             this.sets = sets;
-            this.then = then;
+            this.onDone = onDone;
         }
 
-        void step() {
+        void writeNextChunk() {
             List<Change> changes = new ArrayList<>();
             for (int chars = 0; chars < CHUNK_CHARS && sets.hasNext(); ) {
-                Zone.Placed p = sets.next();
+                Zone.Placed placed = sets.next();
                 Change change =
                         new Change(
-                                ZoneKeys.set(entry.origin(), next, p.name(), p.type()),
-                                ZoneKeys.value(p.set()));
+                                ZoneKeys.recordSetKey(
+                                        entry.origin(),
+                                        newGeneration,
+                                        placed.name(),
+                                        placed.type()),
+                                ZoneKeys.encode(placed.set()));
                 changes.add(change);
                 chars += 20 + change.key().length() + change.value().length();
             }
             boolean last = !sets.hasNext();
             if (last) {
-                changes.add(new Change(ZoneKeys.head(entry.origin()), String.valueOf(next)));
+                changes.add(
+                        new Change(
+                                ZoneKeys.headKey(entry.origin()), String.valueOf(newGeneration)));
             }
             store.write(
                     changes,
                     result -> {
                         if (!(result instanceof StoreNode.Committed)) {
-                            log.accept("dns: " + entry.origin() + ": zone not kept: " + result);
-                            then.accept(false);
+                            log.accept(
+                                    "dns: "
+                                            + entry.origin()
+                                            + ": replacement zone was not confirmed as committed: "
+                                            + result);
+                            onDone.accept(false);
                         } else if (last) {
-                            then.accept(true);
-                            clear();
+                            onDone.accept(true);
+                            deleteObsoleteGenerations();
                         } else {
-                            loop.execute(this::step);
+                            loop.execute(this::writeNextChunk);
                         }
                     });
         }
 
         /**
-         * Takes old generations out of the store, those of broken off replacements too, a piece at
-         * a time.
+         * Deletes the record sets of obsolete generations from the store, including those of
+         * interrupted replacements, a limited number of keys per write.
          */
-        private void clear() {
-            if (stale.isEmpty()) {
+        private void deleteObsoleteGenerations() {
+            if (obsoleteGenerations.isEmpty()) {
                 return;
             }
-            long old = stale.iterator().next();
-            List<Change> gone =
+            long obsolete = obsoleteGenerations.iterator().next();
+            List<Change> deletions =
                     store
                             .keysUnder(
-                                    old == 0
+                                    obsolete == 0
                                             ? ZoneKeys.LEGACY + entry.origin() + "/"
-                                            : ZoneKeys.generation(entry.origin(), old),
-                                    CLEARED)
+                                            : ZoneKeys.generationPrefix(entry.origin(), obsolete),
+                                    KEYS_PER_DELETION)
                             .stream()
                             .map(k -> new Change(k, null))
                             .toList();
-            if (gone.isEmpty()) {
-                stale.remove(old);
-                clear();
+            if (deletions.isEmpty()) {
+                obsoleteGenerations.remove(obsolete);
+                deleteObsoleteGenerations();
                 return;
             }
             store.write(
-                    gone,
+                    deletions,
                     result -> {
                         if (result instanceof StoreNode.Committed) {
-                            loop.execute(this::clear);
+                            loop.execute(this::deleteObsoleteGenerations);
                         }
                     });
         }
     }
 
-    /** Keeps what a secondary knows of its copy. */
-    void keepState(long confirmed, boolean isExpired) {
+    /**
+     * Stores when a primary last confirmed this secondary zone, and whether the zone has expired.
+     */
+    void storeState(long confirmedAtMs, boolean isExpired) {
         store.write(
                 List.of(
                         new Change(
-                                ZoneKeys.state(entry.origin()),
-                                confirmed + (isExpired ? " expired" : " good"))),
+                                ZoneKeys.stateKey(entry.origin()),
+                                confirmedAtMs + (isExpired ? " expired" : " good"))),
                 result -> {
                     if (!(result instanceof StoreNode.Committed)) {
-                        log.accept("dns: " + entry.origin() + ": state not kept: " + result);
+                        log.accept(
+                                "dns: "
+                                        + entry.origin()
+                                        + ": state of the secondary zone was not confirmed as committed: "
+                                        + result);
                     }
                 });
     }
--- a/src/main/java/reeldeal/zones/HostedZones.java
+++ b/src/main/java/reeldeal/zones/HostedZones.java
@@ -5,26 +5,26 @@
 import java.util.Map;
 import reeldeal.dns.Names;
 
-/** The zones that this node serves, by their origins. */
+/** Holds the zones that this node serves, by origin. */
 final class HostedZones {
     private final Map<String, HostedZone> zones = new LinkedHashMap<>();
 
-    /** Adds a zone; all are added before the service starts. */
+    /** Adds a zone; called only before the service starts. */
     void add(HostedZone zone) {
         zones.put(zone.entry.origin(), zone);
     }
 
-    /** All zones, in the order in which they were added. */
+    /** Returns all zones in the order in which they were added. */
     Collection<HostedZone> all() {
         return zones.values();
     }
 
-    /** The zone of this origin, or null. */
+    /** Returns the zone with this origin, or null. */
     HostedZone get(String origin) {
         return zones.get(origin);
     }
 
-    /** The closest zone at or above a name, or null. */
+    /** Returns the closest zone at or above a name, or null if there is none. */
     HostedZone closest(String name) {
         for (String ancestor = name; ; ancestor = Names.parent(ancestor)) {
             HostedZone zone = zones.get(ancestor);
--- a/src/main/java/reeldeal/zones/MessageHandler.java
+++ b/src/main/java/reeldeal/zones/MessageHandler.java
@@ -18,13 +18,17 @@
  * list. Runs on the state loop.
  */
 final class MessageHandler {
-    private static final int UDP_BYTES = 1_232;
-    private static final int TCP_BYTES = 65_535;
+    private static final int MAX_UDP_RESPONSE_BYTES = 1_232;
+    private static final int MAX_TCP_RESPONSE_BYTES = 65_535;
     private static final int MAX_TRANSFERS = 16;
 
-    /** What follows a primary's notification. */
+    /** Receives the accepted notifications from primaries. */
     interface NotificationListener {
-        /** A primary says that a zone has this serial; -1 where it does not say which. */
+        /**
+         * Called when a primary reports a change of a zone.
+         *
+         * @param serial the serial in the notification, or -1 if it has none
+         */
         void onNotify(HostedZone zone, long serial);
     }
 
@@ -34,12 +38,12 @@
     private final EndpointViewRecords endpoints;
     private final NotificationListener notifications;
     private final LongSupplier now;
-    private final RateLimitedLog complaints;
-    private UpdateForwarder relay;
+    private final RateLimitedLog refusalLog;
+    private UpdateForwarder forwarder;
     private int transfers;
 
     /**
-     * A handler without a relay yet.
+     * Creates a handler, which cannot forward updates until {@link #setUpdateForwarder} is called.
      *
      * @param now Unix time in ms
      */
@@ -50,25 +54,27 @@
             EndpointViewRecords endpoints,
             NotificationListener notifications,
             LongSupplier now,
-            RateLimitedLog complaints) {
+            RateLimitedLog refusalLog) {
         this.config = config;
         this.zones = zones;
         this.store = store;
         this.endpoints = endpoints;
         this.notifications = notifications;
         this.now = now;
-        this.complaints = complaints;
+        this.refusalLog = refusalLog;
     }
 
-    /** Forwards updates from now on, where another node leads. */
-    void forwardUpdatesBy(UpdateForwarder updateRelay) {
-        relay = updateRelay;
+    /** Sets the forwarder for updates that arrive while another node is the leader. */
+    void setUpdateForwarder(UpdateForwarder updateForwarder) {
+        forwarder = updateForwarder;
     }
 
     /** Handles a message from this address; the response, if any, goes to the reply channel. */
     void handle(byte[] bytes, InetSocketAddress from, boolean tcp, ReplyChannel reply) {
         if (bytes.length < Message.HEADER || (bytes[2] & 0x80) != 0) {
-            return; // no header to answer, or an answer itself: to answer that could go round
+            // No complete header to reply to, or a response. A reply to a response could start an
+            // endless exchange.
+            return;
         }
         Message message;
         try {
@@ -78,11 +84,14 @@
             return;
         }
         Responder responder =
-                new Responder(message, tcp ? TCP_BYTES : UDP_BYTES, now.getAsLong() / 1_000);
+                new Responder(
+                        message,
+                        tcp ? MAX_TCP_RESPONSE_BYTES : MAX_UDP_RESPONSE_BYTES,
+                        now.getAsLong() / 1_000);
         if (Tsig.isSigned(message)) {
             byte[] refusal = responder.check(config.keys());
             if (refusal != null) {
-                complaints.log(
+                refusalLog.log(
                         "dns: " + from.getAddress().getHostAddress() + ": " + responder.why());
                 reply.send(refusal);
                 return;
@@ -132,12 +141,15 @@
                     responder.answer(
                             question,
                             name -> {
-                                HostedZone z = zones.closest(name);
-                                return z == null
-                                                || !z.serves()
-                                                || !z.entry.query().allows(from, responder.signer())
+                                HostedZone targetZone = zones.closest(name);
+                                return targetZone == null
+                                                || !targetZone.serves()
+                                                || !targetZone
+                                                        .entry
+                                                        .query()
+                                                        .allows(from, responder.signer())
                                         ? null
-                                        : z.zone();
+                                        : targetZone.zone();
                             }));
         }
     }
@@ -153,18 +165,18 @@
         if (zone == null) {
             reply.send(responder.code(Rcode.NOTAUTH)); // RFC 5936, section 2.2.1
         } else if (!zone.entry.transfer().allows(from, responder.signer())) {
-            complaints.log(
+            refusalLog.log(
                     "dns: "
                             + zone.entry.origin()
                             + ": transfer to "
                             + from.getHostAddress()
-                            + " refused");
+                            + " refused: neither its address nor its key is in allow_transfer");
             reply.send(responder.code(Rcode.REFUSED));
         } else if (!zone.serves()) {
             reply.send(responder.code(Rcode.SERVFAIL));
         } else if (!tcp) {
-            // RFC 1995, section 2: one SOA says "ask over TCP"; RFC 5936, section 4.2: no AXFR over
-            // UDP.
+            // RFC 1995, section 2: a single SOA record tells the client to retry over TCP. RFC
+            // 5936, section 4.2: AXFR over UDP is not defined.
             reply.send(
                     question.type() == Rr.AXFR
                             ? responder.code(Rcode.FORMERR)
@@ -207,20 +219,23 @@
         }
         String refusal =
                 zone.entry.secondary()
-                        ? "it is a secondary zone"
+                        ? "the zone is a secondary copy"
                         : refusalReason(zone, message, responder.signer(), from);
         if (refusal == null && !store.acceptsWrites()) {
-            if (relay.pass(
+            if (forwarder.forward(
                     bytes,
                     sender,
-                    answer ->
-                            reply.send(answer != null ? answer : responder.code(Rcode.SERVFAIL)))) {
+                    response ->
+                            reply.send(
+                                    response != null
+                                            ? response
+                                            : responder.code(Rcode.SERVFAIL)))) {
                 return;
             }
-            refusal = "another node writes, and is not in reach";
+            refusal = "this node is not the leader and could not forward it to the leader";
         }
         if (refusal != null) {
-            complaints.log(
+            refusalLog.log(
                     "dns: "
                             + zone.entry.origin()
                             + ": update from "
@@ -234,17 +249,20 @@
         zone.update(message, rcode -> reply.send(responder.code(rcode)));
     }
 
-    /** Why the sender may not make this update, or null. */
+    /** Returns why the sender may not make this update, or null if it may. */
     private static String refusalReason(
             HostedZone zone, Message message, String signer, InetAddress from) {
         if (!zone.entry.update().allows(from, signer)) {
-            return "neither address nor key may update";
+            return "neither its address nor its key is in allow_update";
         }
         if (signer != null && !zone.entry.grants().isEmpty()) {
             for (Rr change : message.sections.get(1)) {
                 if (zone.entry.grants().stream()
-                        .noneMatch(g -> g.allows(signer, change, zone.entry.origin()))) {
-                    return "no grant for " + change.name() + " " + Types.name(change.type());
+                        .noneMatch(grant -> grant.allows(signer, change, zone.entry.origin()))) {
+                    return "no grant of the key covers "
+                            + change.name()
+                            + " "
+                            + Types.name(change.type());
                 }
             }
         }
@@ -260,27 +278,28 @@
                     responder.code(message.questions.size() != 1 ? Rcode.FORMERR : Rcode.NOTAUTH));
             return;
         }
-        // RFC 1996, section 3.10: only a primary is listened to; one with a key must have signed.
-        boolean known =
+        // RFC 1996, section 3.10: only notifications from a primary are accepted. A primary with a
+        // key is recognized by its signature, any other by its address.
+        boolean fromPrimary =
                 zone.entry.primaries().stream()
                         .anyMatch(
-                                p ->
-                                        p.key() != null
-                                                ? p.key().equals(responder.signer())
-                                                : p.address().getAddress().equals(from));
-        if (!known) {
-            complaints.log(
+                                primary ->
+                                        primary.key() != null
+                                                ? primary.key().equals(responder.signer())
+                                                : primary.address().getAddress().equals(from));
+        if (!fromPrimary) {
+            refusalLog.log(
                     "dns: "
                             + zone.entry.origin()
                             + ": notification from "
                             + from.getHostAddress()
-                            + " refused");
+                            + " refused: the sender is not a primary of the zone");
             reply.send(responder.code(Rcode.REFUSED));
             return;
         }
         long serial =
                 message.answers().stream()
-                        .filter(r -> r.type() == Rr.SOA && r.data().length > 20)
+                        .filter(record -> record.type() == Rr.SOA && record.data().length > 20)
                         .mapToLong(r -> Zone.soaNumber(r.data(), 0))
                         .findFirst()
                         .orElse(-1);
--- a/src/main/java/reeldeal/zones/Notifier.java
+++ b/src/main/java/reeldeal/zones/Notifier.java
@@ -22,21 +22,29 @@
 import reeldeal.dns.Tsig;
 import reeldeal.dns.Zone;
 
-/** Tells secondaries that a zone has changed (RFC 1996): at once, then again until they answer. */
+/**
+ * Notifies secondaries of zone changes (RFC 1996): at once, then repeatedly with exponential
+ * backoff until they answer or the attempts are used up.
+ */
 public final class Notifier {
-    private static final int TRIES = 5;
-    private static final long FIRST_RETRY_MS = 1_000;
-    private static final int AA = 0x0400;
+    private static final int MAX_ATTEMPTS = 5;
+    private static final long INITIAL_BACKOFF_MS = 1_000;
+    private static final int AUTHORITATIVE_FLAG = 0x0400;
 
     private final EventLoopGroup group;
     private final ScheduledExecutorService loop;
     private final Map<String, Tsig.Key> keys;
     private final LongSupplier now;
     private final Consumer<String> log;
-    private final Map<String, Round> rounds = new HashMap<>();
-    private final Map<String, Long> told = new HashMap<>();
+    private final Map<String, Notification> openNotifications = new HashMap<>();
+    private final Map<String, Long> notifiedSerials = new HashMap<>();
 
-    /** A notifier that signs by these keys; {@code now} is Unix time in ms. */
+    /**
+     * Creates a notifier.
+     *
+     * @param keys the keys by name, which sign notifications to secondaries that have a key
+     * @param now Unix time in ms
+     */
     public Notifier(
             EventLoopGroup group,
             ScheduledExecutorService loop,
@@ -51,44 +59,44 @@
     }
 
     /**
-     * The zone has changed; those who have not answered about an earlier version are told of this
-     * one instead.
+     * Notifies the secondaries of a zone's new serial. An open notification of an earlier serial is
+     * replaced; nothing is sent if the serial is the same as at the last call.
      */
-    void changed(Zone zone, List<ZonesConfig.Peer> peers) {
-        Long before = told.put(zone.origin, zone.serial());
-        if (peers.isEmpty() || (before != null && before == zone.serial())) {
+    void onZoneChanged(Zone zone, List<ZonesConfig.Peer> peers) {
+        Long lastSerial = notifiedSerials.put(zone.origin, zone.serial());
+        if (peers.isEmpty() || (lastSerial != null && lastSerial == zone.serial())) {
             return;
         }
         for (ZonesConfig.Peer peer : peers) {
-            String name = zone.origin + " " + peer.address();
-            Round round = rounds.get(name);
-            if (round != null) {
-                round.end();
+            String notificationId = zone.origin + " " + peer.address();
+            Notification previous = openNotifications.get(notificationId);
+            if (previous != null) {
+                previous.end();
             }
-            Round fresh = new Round(name, zone, peer);
-            rounds.put(name, fresh);
-            fresh.begin();
+            Notification notification = new Notification(notificationId, zone, peer);
+            openNotifications.put(notificationId, notification);
+            notification.start();
         }
     }
 
-    /** The tries to tell one secondary of one version, from a port of its own. */
-    private final class Round extends SimpleChannelInboundHandler<DatagramPacket> {
-        private final String name;
+    /** Notifies one secondary of one serial, with retries, from its own port. */
+    private final class Notification extends SimpleChannelInboundHandler<DatagramPacket> {
+        private final String notificationId;
         private final Zone zone;
         private final ZonesConfig.Peer peer;
-        private final int id = new SecureRandom().nextInt(65_536);
+        private final int messageId = new SecureRandom().nextInt(65_536);
         private Channel channel;
-        private int tries;
-        private boolean over;
+        private int attempts;
+        private boolean ended;
 
-        Round(String name, Zone zone, ZonesConfig.Peer peer) {
-            this.name = name;
+        Notification(String notificationId, Zone zone, ZonesConfig.Peer peer) {
+            this.notificationId = notificationId;
             this.zone = zone;
             this.peer = peer;
         }
 
-        void begin() {
-            // Connected, so that only the secondary's own answers come.
+        void start() {
+            // A connected socket receives datagrams from the secondary only.
             var connecting =
                     new Bootstrap()
                             .group(group)
@@ -96,28 +104,28 @@
                             .handler(this)
                             .connect(peer.address());
             channel = connecting.channel();
-            connecting.addListener(f -> loop.execute(this::tell));
+            connecting.addListener(f -> loop.execute(this::sendAttempt));
         }
 
-        private void tell() {
-            if (over) {
+        private void sendAttempt() {
+            if (ended) {
                 return;
             }
-            if (tries == TRIES) {
+            if (attempts == MAX_ATTEMPTS) {
                 log.accept(
                         "dns: "
                                 + zone.origin
                                 + ": "
                                 + peer.address()
                                 + " did not answer "
-                                + TRIES
+                                + MAX_ATTEMPTS
                                 + " notifications of serial "
                                 + zone.serial());
                 end();
                 return;
             }
             MessageWriter writer =
-                    new MessageWriter(id, Message.NOTIFY << 11 | AA, 512)
+                    new MessageWriter(messageId, Message.NOTIFY << 11 | AUTHORITATIVE_FLAG, 512)
                             .question(zone.origin, Rr.SOA, Rr.IN);
             writer.add(1, zone.soa());
             byte[] bytes = writer.toBytes();
@@ -126,52 +134,51 @@
                 bytes = Tsig.sign(bytes, key, now.getAsLong() / 1_000, null, false).bytes();
             }
             channel.writeAndFlush(Unpooled.wrappedBuffer(bytes));
-            loop.schedule(this::tell, FIRST_RETRY_MS << tries, TimeUnit.MILLISECONDS);
-            tries++;
+            loop.schedule(this::sendAttempt, INITIAL_BACKOFF_MS << attempts, TimeUnit.MILLISECONDS);
+            attempts++;
         }
 
         void end() {
-            over = true;
-            rounds.remove(name, this);
+            ended = true;
+            openNotifications.remove(notificationId, this);
             channel.close();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            byte[] answer = new byte[packet.content().readableBytes()];
-            packet.content().readBytes(answer);
+            byte[] bytes = new byte[packet.content().readableBytes()];
+            packet.content().readBytes(bytes);
             try {
-                Message message = Message.parse(answer);
+                Message message = Message.parse(bytes);
                 if (message.response
-                        && message.id == id
+                        && message.id == messageId
                         && message.opcode == Message.NOTIFY
-                        && !over) {
+                        && !ended) {
                     if (message.rcode() != 0) {
                         log.accept(
                                 "dns: "
                                         + zone.origin
                                         + ": "
                                         + peer.address()
-                                        + " refuses notifications: "
+                                        + " refused the notification: "
                                         + reeldeal.dns.Rcode.name(message.rcode()));
                     }
                     end();
                 }
             } catch (Message.Malformed e) {
                 log.accept(
-                        "dns: "
-                                + peer.address()
-                                + " answers a notification with bytes that are no message");
+                        "dns: " + peer.address() + " sent a malformed response to a notification");
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // Nobody listens there, for now: the next try tells.
+            // Usually the secondary is not listening at the moment (port unreachable). The retries
+            // go on.
             log.accept(
                     "dns: "
                             + zone.origin
-                            + ": notification of "
+                            + ": failed to notify "
                             + peer.address()
                             + ": "
                             + cause.getMessage());
--- a/src/main/java/reeldeal/zones/PeerLink.java
+++ b/src/main/java/reeldeal/zones/PeerLink.java
@@ -14,39 +14,43 @@
 import reeldeal.frames.FrameBuffer;
 
 /**
- * A TCP connection to another name server: messages out, messages in, and one word when it is over.
+ * Exchanges DNS messages with another name server over a TCP connection, and reports its end to a
+ * listener.
  */
 public final class PeerLink extends ChannelInboundHandlerAdapter {
-    private static final int CONNECT_MS = 2_000;
+    private static final int CONNECT_TIMEOUT_MS = 2_000;
 
-    /** What the connection brings. */
+    /** Receives the events of a connection, on its event loop. */
     public interface Listener {
-        /** It stands. */
+        /** Called once the connection is established. */
         void connected(PeerLink link);
 
-        /** A message came. */
+        /** Called for each received message. */
         void message(PeerLink link, byte[] message);
 
-        /** It is over; comes once, and not after {@link PeerLink#close}. */
-        void ended(String why);
+        /**
+         * Called once if the connection cannot be established or ends, but not after {@link
+         * PeerLink#close}.
+         */
+        void ended(String reason);
     }
 
     /** Opens connections. */
     public interface Connector {
-        /** Opens one; the listener hears what comes of it. */
+        /** Starts to open a connection; the listener is called with the result. */
         PeerLink connect(InetSocketAddress address, Listener listener);
     }
 
     private final Listener listener;
     private final FrameBuffer frames = new FrameBuffer(2, 65_535);
     private Channel channel;
-    private boolean over;
+    private boolean closed;
 
     private PeerLink(Listener listener) {
         this.listener = listener;
     }
 
-    /** Connects over these loops. */
+    /** Returns a connector whose connections run on this event loop group. */
     public static Connector over(EventLoopGroup group) {
         return (address, listener) -> {
             PeerLink link = new PeerLink(listener);
@@ -54,22 +58,27 @@
                     new Bootstrap()
                             .group(group)
                             .channel(NioSocketChannel.class)
-                            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                             .option(ChannelOption.TCP_NODELAY, true)
                             .handler(link)
                             .connect(address);
             link.channel = connecting.channel();
             connecting.addListener(
-                    f -> {
-                        if (!f.isSuccess()) {
-                            link.end(
-                                    "cannot connect to " + address + ": " + f.cause().getMessage());
+                    result -> {
+                        if (!result.isSuccess()) {
+                            link.fail(
+                                    "cannot connect to "
+                                            + address
+                                            + ": "
+                                            + result.cause().getMessage());
                         } else if (link.channel
                                 .localAddress()
                                 .equals(link.channel.remoteAddress())) {
-                            // On loopback a connect to a port nobody listens on can meet itself.
-                            link.end("nobody listens at " + address);
-                        } else if (!link.over) {
+                            // On loopback a connection to a port without a listener can use the
+                            // same
+                            // port as its source and so connect to itself.
+                            link.fail("nobody listens at " + address);
+                        } else if (!link.closed) {
                             listener.connected(link);
                         }
                     });
@@ -77,44 +86,44 @@
         };
     }
 
-    /** Sends a message. */
+    /** Sends a message, preceded by its length. */
     public void send(byte[] message) {
         channel.writeAndFlush(
                 Unpooled.buffer(2 + message.length).writeShort(message.length).writeBytes(message));
     }
 
-    /** Ends the connection; the listener hears no more. */
+    /** Closes the connection; the listener is not called any more. */
     public void close() {
-        over = true;
+        closed = true;
         channel.close();
     }
 
-    private void end(String why) {
-        if (!over) {
-            over = true;
+    private void fail(String reason) {
+        if (!closed) {
+            closed = true;
             channel.close();
-            listener.ended(why);
+            listener.ended(reason);
         }
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         frames.feed((ByteBuf) message);
-        for (byte[] f = frames.next(); f != null && !over; f = frames.next()) {
-            listener.message(this, f);
+        for (byte[] frame = frames.next(); frame != null && !closed; frame = frames.next()) {
+            listener.message(this, frame);
         }
         if (frames.malformed()) {
-            end("bytes that are no message");
+            fail("bytes that are no message");
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        end("the connection was closed");
+        fail("the connection was closed");
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        end(String.valueOf(cause.getMessage()));
+        fail(String.valueOf(cause.getMessage()));
     }
 }
--- a/src/main/java/reeldeal/zones/ReplyChannel.java
+++ b/src/main/java/reeldeal/zones/ReplyChannel.java
@@ -2,14 +2,14 @@
 
 import reeldeal.dns.TransferOut;
 
-/** Where responses to one DNS message go. Called on the state loop. */
+/** Sends the responses to one DNS message. Called on the state loop. */
 public interface ReplyChannel {
     /** Sends one message. */
     void send(byte[] message);
 
     /**
-     * Sends the messages of a transfer as fast as they are read; {@code ended} runs when it is
-     * over, whole or not.
+     * Sends the messages of a transfer as fast as the client reads them; {@code onEnd} runs when
+     * the transfer is complete or has been interrupted.
      */
-    void stream(TransferOut transfer, Runnable ended);
+    void stream(TransferOut transfer, Runnable onEnd);
 }
--- a/src/main/java/reeldeal/zones/SecondaryZoneClient.java
+++ b/src/main/java/reeldeal/zones/SecondaryZoneClient.java
@@ -18,14 +18,16 @@
 import reeldeal.dns.Zone;
 
 /**
- * Follows a zone's primaries: carries out what {@link Secondary} says, over one TCP connection a
- * step.
+ * Keeps a secondary zone up to date from its primaries: carries out the steps that {@link
+ * Secondary} schedules, each over a TCP connection of its own.
  */
 final class SecondaryZoneClient implements PeerLink.Listener {
-    /** How long a primary may say nothing in the middle of a step. */
-    private static final long SILENCE_MS = 5_000;
+    /** How long a step waits for the next message from the primary. */
+    private static final long RESPONSE_TIMEOUT_MS = 5_000;
+
+    /** The shortest time between two writes of the zone's state. */
+    private static final long STATE_INTERVAL_MS = 60_000;
 
-    private static final long STATE_MS = 60_000;
     private static final SecureRandom RANDOM = new SecureRandom();
 
     private final HostedZone zone;
@@ -33,18 +35,18 @@
     private final ScheduledExecutorService loop;
     private final LongSupplier now;
     private final Map<String, Tsig.Key> keys;
-    private final BooleanSupplier writes;
+    private final BooleanSupplier acceptsWrites;
     private final Consumer<String> log;
     private final Secondary secondary;
     private Secondary.Step step = Secondary.Step.NOTHING;
     private PeerLink link;
     private TransferIn transfer;
-    private int id;
-    private byte[] mac;
-    private long heardAt;
-    private long stateAt;
-    private ScheduledFuture<?> planned;
-    private String complaint = "";
+    private int requestId;
+    private byte[] requestMac;
+    private long lastMessageAt;
+    private long stateStoredAt;
+    private ScheduledFuture<?> nextTick;
+    private String lastLoggedProblem = "";
     private boolean stopped;
 
     SecondaryZoneClient(
@@ -53,14 +55,14 @@
             ScheduledExecutorService loop,
             LongSupplier now,
             Map<String, Tsig.Key> keys,
-            BooleanSupplier writes,
+            BooleanSupplier acceptsWrites,
             Consumer<String> log) {
         this.zone = zone;
         this.connector = connector;
         this.loop = loop;
         this.now = now;
         this.keys = keys;
-        this.writes = writes;
+        this.acceptsWrites = acceptsWrites;
         this.log = log;
         this.secondary = new Secondary(zone.entry.primaries().size(), now.getAsLong());
     }
@@ -69,26 +71,26 @@
         return zone;
     }
 
-    void begin() {
+    void start() {
         if (zone.zone().soa() != null) {
             secondary.restored(zone.zone(), zone.confirmedAt());
         }
         tick();
     }
 
-    /** Follows no more. */
+    /** Closes the connection and cancels the next step. */
     void stop() {
         stopped = true;
         if (link != null) {
             link.close();
             link = null;
         }
-        if (planned != null) {
-            planned.cancel(false);
+        if (nextTick != null) {
+            nextTick.cancel(false);
         }
     }
 
-    void notified(long serial) {
+    void onNotify(long serial) {
         if (secondary.notified(now.getAsLong(), serial)) {
             tick();
         }
@@ -98,71 +100,71 @@
         return zone.entry.primaries().get(secondary.primary());
     }
 
-    /** The key for the present primary, or null. */
+    /** Returns the key of the current primary, or null if it has none. */
     private Tsig.Key key() {
         return primary().key() == null ? null : keys.get(primary().key());
     }
 
     private void tick() {
-        if (stopped || !writes.getAsBoolean()) {
-            return; // another node writes now, and follows
+        if (stopped || !acceptsWrites.getAsBoolean()) {
+            return; // the node that accepts writes follows the primaries
         }
         Secondary.Step due = secondary.tick(now.getAsLong());
         if (due == Secondary.Step.EXPIRE) {
             log.accept(
                     "dns: "
                             + zone.entry.origin()
-                            + ": expired: no primary was heard since "
+                            + ": expired: not confirmed by a primary since "
                             + java.time.Instant.ofEpochMilli(secondary.confirmedAt()));
-            zone.keepState(secondary.confirmedAt(), true);
+            zone.storeState(secondary.confirmedAt(), true);
             due = secondary.tick(now.getAsLong());
         }
         if (due != Secondary.Step.NOTHING) {
             step = due;
-            heardAt = now.getAsLong();
+            lastMessageAt = now.getAsLong();
             link = connector.connect(primary().address(), this);
-            loop.schedule(this::watch, SILENCE_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::checkResponseTimeout, RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
-        plan();
+        scheduleTick();
     }
 
-    private void plan() {
+    private void scheduleTick() {
         if (stopped) {
             return;
         }
-        if (planned != null) {
-            planned.cancel(false);
+        if (nextTick != null) {
+            nextTick.cancel(false);
         }
-        long wait = Math.max(1, Math.min(3_600_000, secondary.nextAt() - now.getAsLong()));
-        planned = loop.schedule(this::tick, wait, TimeUnit.MILLISECONDS);
+        long delayMs = Math.max(1, Math.min(3_600_000, secondary.nextAt() - now.getAsLong()));
+        nextTick = loop.schedule(this::tick, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void watch() {
+    private void checkResponseTimeout() {
         if (link == null) {
             return;
         }
-        long left = heardAt + SILENCE_MS - now.getAsLong();
-        if (left > 0) {
-            loop.schedule(this::watch, left, TimeUnit.MILLISECONDS);
+        long remainingMs = lastMessageAt + RESPONSE_TIMEOUT_MS - now.getAsLong();
+        if (remainingMs > 0) {
+            loop.schedule(this::checkResponseTimeout, remainingMs, TimeUnit.MILLISECONDS);
         } else {
             link.close();
-            ended("silent for " + SILENCE_MS + " ms");
+            ended("no response for " + RESPONSE_TIMEOUT_MS + " ms");
         }
     }
 
     @Override
     public void connected(PeerLink opened) {
-        ask();
+        sendRequest();
     }
 
-    private void ask() {
-        id = RANDOM.nextInt(65_536);
+    private void sendRequest() {
+        requestId = RANDOM.nextInt(65_536);
         int type =
                 step == Secondary.Step.ASK_SOA
                         ? Rr.SOA
                         : step == Secondary.Step.ASK_CHANGES ? Rr.IXFR : Rr.AXFR;
         MessageWriter writer =
-                new MessageWriter(id, 0, 512).question(zone.entry.origin(), type, Rr.IN);
+                new MessageWriter(requestId, 0, 512).question(zone.entry.origin(), type, Rr.IN);
         if (type == Rr.IXFR) {
             writer.add(2, zone.zone().soa());
         }
@@ -171,15 +173,15 @@
         if (key != null) {
             Tsig.Signed signed = Tsig.sign(bytes, key, now.getAsLong() / 1_000, null, false);
             bytes = signed.bytes();
-            mac = signed.mac();
+            requestMac = signed.mac();
         }
         transfer =
                 new TransferIn(
-                        id,
+                        requestId,
                         zone.zone().isEmpty() ? Zone.empty(zone.entry.origin()) : zone.zone(),
                         type == Rr.IXFR,
                         key,
-                        mac,
+                        requestMac,
                         now.getAsLong() / 1_000,
                         zone.entry.maxRecords());
         link.send(bytes);
@@ -187,29 +189,30 @@
 
     @Override
     public void message(PeerLink from, byte[] message) {
-        heardAt = now.getAsLong();
+        lastMessageAt = now.getAsLong();
         if (step == Secondary.Step.ASK_SOA) {
-            soa(message);
+            handleSoaResponse(message);
             return;
         }
         switch (transfer.take(message)) {
             case MORE -> {}
             case UP_TO_DATE -> {
-                over();
+                closeLink();
                 secondary.confirmed(now.getAsLong());
-                confirmed();
+                onConfirmed();
             }
             case WHOLE -> {
-                over();
-                // The connection is over, but the step is not: it ends once the zone is kept.
-                zone.replace(transfer.zone(), done -> kept(done, "whole"));
+                closeLink();
+                // The connection is closed, but the step ends only once the zone is committed.
+                zone.replace(transfer.zone(), committed -> onTransferStored(committed, "whole"));
             }
             case CHANGES -> {
-                over();
-                zone.follow(
+                closeLink();
+                zone.applyTransferredChanges(
                         transfer.zone(),
                         transfer.diffs(),
-                        done -> kept(done, transfer.diffs().size() + " changes"));
+                        committed ->
+                                onTransferStored(committed, transfer.diffs().size() + " changes"));
             }
             case FAILED -> {
                 from.close();
@@ -219,71 +222,71 @@
         }
     }
 
-    private void soa(byte[] bytes) {
+    private void handleSoaResponse(byte[] bytes) {
         try {
             Message message = Message.parse(bytes);
             Tsig.Key key = key();
-            Tsig.Checked checked =
+            Tsig.Checked signature =
                     key == null || !Tsig.isSigned(message)
                             ? null
                             : Tsig.check(
                                     message,
                                     Map.of(key.name(), key),
                                     now.getAsLong() / 1_000,
-                                    mac,
+                                    requestMac,
                                     new byte[0],
                                     false);
             Rr soa =
                     message.answers().stream()
                             .filter(
-                                    r ->
-                                            r.type() == Rr.SOA
-                                                    && r.name().equals(zone.entry.origin())
-                                                    && r.data().length > 20)
+                                    record ->
+                                            record.type() == Rr.SOA
+                                                    && record.name().equals(zone.entry.origin())
+                                                    && record.data().length > 20)
                             .findFirst()
                             .orElse(null);
-            boolean forged = key != null && (checked == null || !checked.good());
-            if (message.id != id
+            boolean badSignature = key != null && (signature == null || !signature.good());
+            if (message.id != requestId
                     || !message.response
-                    || forged
+                    || badSignature
                     || message.rcode() != Rcode.NOERROR
                     || soa == null) {
                 link.close();
                 ended(
-                        forged
-                                ? "a bad signature"
+                        badSignature
+                                ? "the response has no valid signature"
                                 : message.rcode() != 0
                                         ? Rcode.name(message.rcode())
-                                        : "no SOA record in the answer");
+                                        : "the response does not match the request or has no SOA record");
                 return;
             }
-            long theirs = Zone.soaNumber(soa.data(), 0);
-            Secondary.Step next = secondary.soa(now.getAsLong(), theirs);
+            long serial = Zone.soaNumber(soa.data(), 0);
+            Secondary.Step next = secondary.soa(now.getAsLong(), serial);
             if (next == Secondary.Step.NOTHING) {
-                over();
-                if (theirs != zone.zone().serial()) {
-                    complain("serial " + theirs + " is not later than " + zone.zone().serial());
+                closeLink();
+                if (serial != zone.zone().serial()) {
+                    logIfNew("serial " + serial + " is not later than " + zone.zone().serial());
                 } else {
-                    confirmed();
+                    onConfirmed();
                 }
-                plan();
+                scheduleTick();
                 return;
             }
             step = next;
-            ask();
+            sendRequest();
         } catch (Message.Malformed e) {
             link.close();
-            ended("not a message: " + e.getMessage());
+            ended("malformed response: " + e.getMessage());
         }
     }
 
-    private void over() {
+    private void closeLink() {
         link.close();
         link = null;
     }
 
-    private void kept(boolean done, String how) {
-        if (done && secondary.transferred(now.getAsLong(), zone.zone())) {
+    private void onTransferStored(boolean committed, String extent) {
+        if (committed && secondary.transferred(now.getAsLong(), zone.zone())) {
             log.accept(
                     "dns: "
                             + zone.entry.origin()
@@ -292,46 +295,50 @@
                             + " from "
                             + primary().address()
                             + ", "
-                            + how
+                            + extent
                             + ", "
                             + zone.zone().size()
                             + " records");
-            complaint = "";
-            zone.keepState(now.getAsLong(), false);
-            stateAt = now.getAsLong();
-        } else if (!done) {
+            lastLoggedProblem = "";
+            zone.storeState(now.getAsLong(), false);
+            stateStoredAt = now.getAsLong();
+        } else if (!committed) {
             secondary.failed(now.getAsLong());
         }
-        plan();
+        scheduleTick();
     }
 
-    /** A primary confirmed the copy: that is kept, but not at every refresh. */
-    private void confirmed() {
-        complaint = "";
-        if (zone.expired() || now.getAsLong() - stateAt >= STATE_MS) {
-            stateAt = now.getAsLong();
-            zone.keepState(now.getAsLong(), false);
+    /**
+     * Records that a primary confirmed the zone's serial. The time is stored if the zone had
+     * expired, otherwise at most once per {@link #STATE_INTERVAL_MS} and not at every refresh.
+     */
+    private void onConfirmed() {
+        lastLoggedProblem = "";
+        if (zone.expired() || now.getAsLong() - stateStoredAt >= STATE_INTERVAL_MS) {
+            stateStoredAt = now.getAsLong();
+            zone.storeState(now.getAsLong(), false);
         }
-        plan();
+        scheduleTick();
     }
 
     @Override
-    public void ended(String why) {
+    public void ended(String reason) {
         link = null;
-        complain(why);
+        logIfNew(reason);
         if (step == Secondary.Step.ASK_CHANGES) {
             secondary.changesFailed(now.getAsLong());
         } else {
             secondary.failed(now.getAsLong());
         }
-        plan();
+        scheduleTick();
     }
 
-    /** Says what is wrong once: while a primary is down each try would say it again. */
-    private void complain(String why) {
-        String line = "dns: " + zone.entry.origin() + ": from " + primary().address() + ": " + why;
-        if (!line.equals(complaint)) {
-            complaint = line;
+    /** Logs a problem unless it is the same as the last one: each retry would repeat it. */
+    private void logIfNew(String problem) {
+        String line =
+                "dns: " + zone.entry.origin() + ": primary " + primary().address() + ": " + problem;
+        if (!line.equals(lastLoggedProblem)) {
+            lastLoggedProblem = line;
             log.accept(line);
         }
     }
--- a/src/main/java/reeldeal/zones/UpdateForwarder.java
+++ b/src/main/java/reeldeal/zones/UpdateForwarder.java
@@ -18,59 +18,65 @@
 import reeldeal.store.StoreNode;
 
 /**
- * Passes updates that come to a node which does not write on to the one that does, as they came,
- * once each; the answer goes back as it is, signature included. An update of which nothing is heard
- * in time may have happened: its client is told SERVFAIL, and nothing is sent again.
+ * Forwards updates from a node that does not accept writes to the leader. Each update is sent once
+ * and unchanged, and the response is returned unchanged, including its signature. If no response
+ * arrives in time, the update may or may not have been applied: the client receives SERVFAIL, and
+ * the update is not sent again.
  */
 final class UpdateForwarder {
-    private static final char ASK = 'U';
-    private static final char ANSWER = 'u';
+    private static final char REQUEST = 'U';
+    private static final char RESPONSE = 'u';
     private static final int TIMEOUT_MS = 3_000;
-    private static final int MOST = 1_000;
+    private static final int MAX_REQUEST_IDS = 1_000;
 
-    /** Takes a message as from its client; what comes of it goes to the last. */
+    /** Handles a forwarded message as if its client had sent it to this node. */
     interface UpdateHandler {
-        void take(byte[] message, InetSocketAddress from, Consumer<byte[]> answer);
+        void handle(byte[] message, InetSocketAddress from, Consumer<byte[]> onResponse);
     }
 
     private final StoreNode store;
     private final ScheduledExecutorService loop;
-    private final Map<Long, Consumer<byte[]>> open = new HashMap<>();
-    private final Map<String, Set<Long>> taken = new HashMap<>();
-    private long next =
-            System.currentTimeMillis() << 16; // no earlier life of this node has used it
+    private final Map<Long, Consumer<byte[]>> openRequests = new HashMap<>();
+    private final Map<String, Set<Long>> receivedIds = new HashMap<>();
+    private long nextId =
+            System.currentTimeMillis() << 16; // above all ids that this node used before a restart
 
-    UpdateForwarder(StoreNode store, ScheduledExecutorService loop, UpdateHandler taker) {
+    UpdateForwarder(StoreNode store, ScheduledExecutorService loop, UpdateHandler handler) {
         this.store = store;
         this.loop = loop;
-        store.onPeerMessage(ASK, (node, bytes) -> asked(node, bytes, taker));
+        store.onPeerMessage(REQUEST, (node, bytes) -> onRequest(node, bytes, handler));
         store.onPeerMessage(
-                ANSWER,
+                RESPONSE,
                 (node, bytes) -> {
                     try (DataInputStream in =
                             new DataInputStream(new ByteArrayInputStream(bytes))) {
-                        end(in.readLong(), in.readAllBytes());
+                        complete(in.readLong(), in.readAllBytes());
                     } catch (IOException e) {
-                        return; // no answer of ours
+                        return; // not a response in this format
                     }
                 });
     }
 
     /**
-     * Passes a message on; false where the writer is not in reach. The answer is null where none
-     * came in time.
+     * Forwards a message to the leader.
+     *
+     * @param onResponse receives the response, or null if none arrived in time
+     * @return false if nothing was sent: no other node is known as the leader, it cannot be
+     *     reached, or too many requests are open
      */
-    boolean pass(byte[] message, InetSocketAddress from, Consumer<byte[]> answer) {
-        String writer = store.leader();
-        if (writer == null || writer.equals(store.node()) || open.size() >= MOST) {
+    boolean forward(byte[] message, InetSocketAddress from, Consumer<byte[]> onResponse) {
+        String leader = store.leader();
+        if (leader == null
+                || leader.equals(store.node())
+                || openRequests.size() >= MAX_REQUEST_IDS) {
             return false;
         }
-        long id = next++;
+        long id = nextId++;
         byte[] address = from.getAddress().getAddress();
         if (!store.sendToPeer(
-                writer,
-                ASK,
-                bytes(
+                leader,
+                REQUEST,
+                encode(
                         out -> {
                             out.writeLong(id);
                             out.writeByte(address.length);
@@ -80,64 +86,66 @@
                         }))) {
             return false;
         }
-        open.put(id, answer);
-        loop.schedule(() -> end(id, null), TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        openRequests.put(id, onResponse);
+        loop.schedule(() -> complete(id, null), TIMEOUT_MS, TimeUnit.MILLISECONDS);
         return true;
     }
 
-    private void end(long id, byte[] answer) {
-        Consumer<byte[]> to = open.remove(id);
-        if (to != null) {
-            to.accept(answer);
+    private void complete(long id, byte[] response) {
+        Consumer<byte[]> onResponse = openRequests.remove(id);
+        if (onResponse != null) {
+            onResponse.accept(response);
         }
     }
 
-    private void asked(String node, byte[] bytes, UpdateHandler taker) {
+    private void onRequest(String node, byte[] bytes, UpdateHandler handler) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             long id = in.readLong();
             InetAddress address = InetAddress.getByAddress(in.readNBytes(in.readUnsignedByte()));
             InetSocketAddress from = new InetSocketAddress(address, in.readUnsignedShort());
             byte[] message = in.readAllBytes();
-            if (!store.acceptsWrites() || !first(node, id)) {
-                return; // a copy that came twice, or one for the leader of before: the sender's
-                // time runs out
+            if (!store.acceptsWrites() || !markReceived(node, id)) {
+                // A duplicate, or this node is no longer the leader: no response is sent, and the
+                // request times out at the sender.
+                return;
             }
-            taker.take(
+            handler.handle(
                     message,
                     from,
-                    answer ->
+                    response ->
                             store.sendToPeer(
                                     node,
-                                    ANSWER,
-                                    bytes(
+                                    RESPONSE,
+                                    encode(
                                             out -> {
                                                 out.writeLong(id);
-                                                out.write(answer);
+                                                out.write(response);
                                             })));
         } catch (IOException e) {
-            return; // not of this form
+            return; // not a request in this format
         }
     }
 
-    private boolean first(String node, long id) {
-        Set<Long> of = taken.computeIfAbsent(node, n -> new LinkedHashSet<>());
-        boolean fresh = of.add(id);
-        if (of.size() > MOST) {
-            of.remove(of.iterator().next());
+    /** Records a request id; returns false if the same node has sent it before. */
+    private boolean markReceived(String node, long id) {
+        Set<Long> ids = receivedIds.computeIfAbsent(node, n -> new LinkedHashSet<>());
+        boolean isNew = ids.add(id);
+        if (ids.size() > MAX_REQUEST_IDS) {
+            ids.remove(ids.iterator().next());
         }
-        return fresh;
+        return isNew;
     }
 
-    private interface Writing {
-        void to(DataOutputStream out) throws IOException;
+    private interface PayloadWriter {
+        void writeTo(DataOutputStream out) throws IOException;
     }
 
-    private static byte[] bytes(Writing writing) {
+    private static byte[] encode(PayloadWriter payload) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try {
-            writing.to(new DataOutputStream(bytes));
+            payload.writeTo(new DataOutputStream(bytes));
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory does not fail
+            throw new UncheckedIOException(e); // not reached: writes to memory do not fail
         }
         return bytes.toByteArray();
     }
--- a/src/main/java/reeldeal/zones/UpdateGrant.java
+++ b/src/main/java/reeldeal/zones/UpdateGrant.java
@@ -6,30 +6,40 @@
 import reeldeal.dns.Rr;
 
 /**
- * What the holder of a key may change: names and types. A name covers itself; with {@code *.}
- * before it, all that lies below it. No types stand for all but SOA and NS of the zone itself.
+ * Permits the holder of a key to change records by name and type.
+ *
+ * @param key the name of the key
+ * @param names the names covered; with the prefix {@code *.}, all names below the name but not the
+ *     name itself
+ * @param types the record types covered; if empty, all types, except that SOA, NS and ANY at the
+ *     zone's apex are not covered
  */
 public record UpdateGrant(String key, List<String> names, Set<Integer> types) {
 
     private boolean covers(String name) {
         return names.stream()
                 .anyMatch(
-                        n ->
-                                n.startsWith("*.")
-                                        ? Names.within(name, n.substring(2))
-                                                && !name.equals(n.substring(2))
-                                        : n.equals(name));
+                        pattern ->
+                                pattern.startsWith("*.")
+                                        ? Names.within(name, pattern.substring(2))
+                                                && !name.equals(pattern.substring(2))
+                                        : pattern.equals(name));
     }
 
-    /** Whether this grant lets its key's holder make this change in a zone. */
+    /**
+     * Returns whether this grant permits a change.
+     *
+     * @param signer the key that signed the update
+     * @param origin the origin of the zone
+     */
     boolean allows(String signer, Rr change, String origin) {
-        boolean apexOnly =
+        boolean needsExplicitType =
                 change.name().equals(origin)
                         && (change.type() == Rr.SOA
                                 || change.type() == Rr.NS
                                 || change.type() == Rr.ANY);
         return key.equals(signer)
                 && covers(change.name())
-                && (types.isEmpty() ? !apexOnly : types.contains(change.type()));
+                && (types.isEmpty() ? !needsExplicitType : types.contains(change.type()));
     }
 }
--- a/src/main/java/reeldeal/zones/ZoneFileReader.java
+++ b/src/main/java/reeldeal/zones/ZoneFileReader.java
@@ -6,13 +6,15 @@
 import reeldeal.dns.Zone;
 import reeldeal.dns.ZoneFile;
 
-/** Reads zone files from disk. What a file includes must lie in its folder, links resolved. */
+/** Reads zone files from disk. Included files must be in the zone file's folder, after links. */
 public final class ZoneFileReader {
     private ZoneFileReader() {}
 
     /**
-     * Reads a zone file; throws Malformed with the line at fault, IOException where a file cannot
-     * be read.
+     * Reads a zone file.
+     *
+     * @throws ZoneFile.Malformed if the content is invalid, with the line
+     * @throws IOException if the zone file cannot be read
      */
     public static Zone read(Path file, String origin) throws ZoneFile.Malformed, IOException {
         Path folder = file.toAbsolutePath().normalize().getParent();
@@ -25,13 +27,13 @@
     }
 
     private static String include(Path folder, Path realFolder, String name) throws IOException {
-        Path wanted = folder.resolve(name).normalize();
-        // A link may lead out of the folder as well as "..".
-        if (!wanted.startsWith(folder)
-                || !Files.exists(wanted)
-                || !wanted.toRealPath().startsWith(realFolder)) {
+        Path included = folder.resolve(name).normalize();
+        // A symbolic link can point outside the folder, as ".." can.
+        if (!included.startsWith(folder)
+                || !Files.exists(included)
+                || !included.toRealPath().startsWith(realFolder)) {
             throw new IOException(name + " is not in the zone file's folder");
         }
-        return Files.readString(wanted);
+        return Files.readString(included);
     }
 }
--- a/src/main/java/reeldeal/zones/ZoneKeys.java
+++ b/src/main/java/reeldeal/zones/ZoneKeys.java
@@ -9,45 +9,48 @@
 import reeldeal.store.KeyValueState;
 
 /**
- * How zones lie in the store: {@code zone/ORIGIN/head} names the generation that counts, {@code
- * zone/ORIGIN/GENERATION/NAME/TYPE} holds a record set, {@code zone/ORIGIN/state} what a secondary
- * knows of its copy. A zone that is replaced whole is written as a new generation and counts once
- * the head names it, so that it is replaced at one moment however many writes it takes.
+ * Maps zones to keys and values of the store: {@code zone/ORIGIN/head} holds the active generation,
+ * {@code zone/ORIGIN/GENERATION/NAME/TYPE} a record set, and {@code zone/ORIGIN/state} when a
+ * secondary zone was last confirmed and whether it has expired. A whole zone is replaced by writing
+ * a new generation and then the head, so that the replacement is atomic however many writes it
+ * takes.
  */
 final class ZoneKeys {
     static final String PREFIX = "zone/";
 
-    /** Where earlier versions of the program kept their one zone, without generations. */
+    /** Prefix of the single zone of earlier versions of the program, without generations. */
     static final String LEGACY = "dns/";
 
     static final String HEAD = "head";
     static final String STATE = "state";
 
     /**
-     * A key's parts; {@code generation} is below 0 for the head and the state, {@code name} then
-     * tells which.
+     * The parts of a key.
+     *
+     * @param generation the generation of a record set; below 0 for the head and state keys
+     * @param name the owner name of a record set; {@link #HEAD} or {@link #STATE} for those keys
      */
     record Parsed(String origin, long generation, String name, int type) {}
 
     private ZoneKeys() {}
 
-    static String head(String origin) {
+    static String headKey(String origin) {
         return PREFIX + origin + "/" + HEAD;
     }
 
-    static String state(String origin) {
+    static String stateKey(String origin) {
         return PREFIX + origin + "/" + STATE;
     }
 
-    static String set(String origin, long generation, String name, int type) {
+    static String recordSetKey(String origin, long generation, String name, int type) {
         return PREFIX + origin + "/" + generation + "/" + name + "/" + type;
     }
 
-    static String generation(String origin, long generation) {
+    static String generationPrefix(String origin, long generation) {
         return PREFIX + origin + "/" + generation + "/";
     }
 
-    /** What a key stands for, or null where it is no zone's. */
+    /** Parses a key; returns null if it is not a key of a zone. */
     static Parsed parse(String key) {
         boolean legacy = key.startsWith(LEGACY);
         if (!legacy && !key.startsWith(PREFIX)) {
@@ -65,36 +68,37 @@
                 : null;
     }
 
-    static String value(RrSet set) {
+    /** Encodes a record set as its TTL and the data of each record in hexadecimal. */
+    static String encode(RrSet set) {
         StringBuilder value = new StringBuilder().append(set.ttl());
         set.data().forEach(d -> value.append(' ').append(HexFormat.of().formatHex(d)));
         return value.toString();
     }
 
-    static RrSet set(String value) {
-        String[] words = value.split(" ");
-        List<byte[]> data = new ArrayList<>(words.length - 1);
-        for (int i = 1; i < words.length; i++) {
-            data.add(HexFormat.of().parseHex(words[i]));
+    static RrSet decode(String value) {
+        String[] fields = value.split(" ");
+        List<byte[]> data = new ArrayList<>(fields.length - 1);
+        for (int i = 1; i < fields.length; i++) {
+            data.add(HexFormat.of().parseHex(fields[i]));
         }
-        return new RrSet(Long.parseLong(words[0]), List.copyOf(data));
+        return new RrSet(Long.parseLong(fields[0]), List.copyOf(data));
     }
 
-    /** A zone as a state has it; empty where it has none. */
-    static Zone zone(String origin, KeyValueState state) {
-        KeyValueState.Value head = state.get(head(origin));
+    /** Reads a zone from the store's state; the zone is empty if the state has none. */
+    static Zone readZone(String origin, KeyValueState state) {
+        KeyValueState.Value head = state.get(headKey(origin));
         String prefix =
                 head == null
                         ? LEGACY + origin + "/"
-                        : generation(origin, Long.parseLong(head.text()));
+                        : generationPrefix(origin, Long.parseLong(head.text()));
         Zone zone = Zone.empty(origin);
-        for (Map.Entry<String, KeyValueState.Value> e : state.valuesUnder(prefix).entrySet()) {
-            zone = apply(zone, parse(e.getKey()), e.getValue().text());
+        for (Map.Entry<String, KeyValueState.Value> entry : state.valuesUnder(prefix).entrySet()) {
+            zone = apply(zone, parse(entry.getKey()), entry.getValue().text());
         }
         return zone;
     }
 
-    static Zone apply(Zone zone, Parsed at, String value) {
-        return zone.with(at.name(), at.type(), value == null ? null : set(value));
+    static Zone apply(Zone zone, Parsed key, String value) {
+        return zone.with(key.name(), key.type(), value == null ? null : decode(value));
     }
 }
--- a/src/main/java/reeldeal/zones/ZoneService.java
+++ b/src/main/java/reeldeal/zones/ZoneService.java
@@ -18,12 +18,13 @@
 import reeldeal.store.StoreNode;
 
 /**
- * Answers messages from the zones that the store keeps, and keeps them up to date. Runs on the
- * state loop.
+ * Answers DNS messages from the zones in the store, applies committed changes to them, and passes
+ * the changes to the endpoint feed and to secondaries. Runs on the state loop.
  */
 public final class ZoneService {
     /**
-     * Below this name, in class CH, TXT records tell the view of the searchers with its reasons.
+     * The name below which TXT records of class CH give the endpoint view of the searchers, with
+     * the reason for each state.
      */
     public static final String MEMBERS = "members.reeldeal.";
 
@@ -36,16 +37,18 @@
     private final Consumer<String> log;
     private final EndpointFeed feed;
     private final HostedZones zones = new HostedZones();
-    private final List<SecondaryZoneClient> followers = new ArrayList<>();
+    private final List<SecondaryZoneClient> secondaryClients = new ArrayList<>();
     private final Notifier notifier;
     private final PeerLink.Connector connector;
-    private final MessageHandler messages;
-    private boolean publishing;
-    private boolean restored;
+    private final MessageHandler messageHandler;
+    private boolean publishScheduled;
+    private boolean feedRestored;
 
     /**
-     * The zones of a configuration, kept in a store that has not begun yet; {@code now} is Unix
-     * time in ms.
+     * Creates the service for the configured zones.
+     *
+     * @param store holds the zones; must not be started yet
+     * @param now Unix time in ms
      */
     public ZoneService(
             ZonesConfig config,
@@ -67,7 +70,7 @@
         for (ZonesConfig.Entry entry : config.zones()) {
             zones.add(new HostedZone(entry, store, loop, log));
         }
-        messages =
+        messageHandler =
                 new MessageHandler(
                         config,
                         zones,
@@ -76,113 +79,123 @@
                         this::onNotify,
                         now,
                         new RateLimitedLog(now, log));
-        UpdateForwarder relay =
+        UpdateForwarder forwarder =
                 new UpdateForwarder(
                         store,
                         loop,
-                        (message, from, answer) ->
-                                messages.handle(message, from, true, responseOnly(answer)));
-        messages.forwardUpdatesBy(relay);
-        store.onChange(this::committed);
+                        (message, from, onResponse) ->
+                                messageHandler.handle(
+                                        message, from, true, responseOnly(onResponse)));
+        messageHandler.setUpdateForwarder(forwarder);
+        store.onChange(this::applyCommitted);
         store.whenLeading(this::becomeLeader);
         store.whenCurrent(this::publish);
         store.whenServingStale(this::serveStale);
     }
 
-    /** A forwarded message is an update, which is answered by one message. */
-    private static ReplyChannel responseOnly(Consumer<byte[]> response) {
+    /**
+     * Returns a reply channel for a forwarded message. Only updates are forwarded, and they are
+     * answered with a single message, never with a transfer.
+     */
+    private static ReplyChannel responseOnly(Consumer<byte[]> onResponse) {
         return new ReplyChannel() {
             @Override
             public void send(byte[] message) {
-                response.accept(message);
+                onResponse.accept(message);
             }
 
             @Override
-            public void stream(TransferOut transfer, Runnable ended) {
-                ended.run();
+            public void stream(TransferOut transfer, Runnable onEnd) {
+                onEnd.run();
             }
         };
     }
 
-    // ---- the store ----
+    // ---- changes from the store ----
 
-    private void committed(List<Change> changes) {
+    private void applyCommitted(List<Change> changes) {
         Map<HostedZone, Map<Change, ZoneKeys.Parsed>> byZone = new LinkedHashMap<>();
         for (Change change : changes) {
-            ZoneKeys.Parsed at = ZoneKeys.parse(change.key());
-            HostedZone zone = at == null ? null : zones.get(at.origin());
+            ZoneKeys.Parsed key = ZoneKeys.parse(change.key());
+            HostedZone zone = key == null ? null : zones.get(key.origin());
             if (zone != null) {
-                byZone.computeIfAbsent(zone, z -> new LinkedHashMap<>()).put(change, at);
+                byZone.computeIfAbsent(zone, z -> new LinkedHashMap<>()).put(change, key);
             }
         }
-        byZone.forEach((zone, mine) -> zone.committed(changes, mine));
+        byZone.forEach((zone, zoneChanges) -> zone.applyCommitted(changes, zoneChanges));
         if (!byZone.isEmpty()) {
             if (store.isCurrent()) {
                 publish();
-            } else if (!publishing) {
-                // While the log is being caught up, what it told long ago must not go for the
-                // present.
-                publishing = true;
+            } else if (!publishScheduled) {
+                // While the node catches up with the log, the zones have an outdated state that
+                // must
+                // not be published as the current one.
+                publishScheduled = true;
                 loop.execute(
                         () -> {
-                            publishing = false;
+                            publishScheduled = false;
                             publish();
                         });
             }
         }
-        // An update is answered after the broker has been told: who hears the answer may count on
-        // it.
-        byZone.keySet().forEach(zone -> zone.told(changes));
+        // Updates are answered after the broker has received the change, so that a client can rely
+        // on it once it has the response.
+        byZone.keySet().forEach(zone -> zone.answerCommittedUpdates(changes));
     }
 
-    /** Tells of the zones as they stand, once nothing that is committed is missing. */
+    /**
+     * Passes the changed zones to the endpoint feed, and to the secondaries if this node accepts
+     * writes. Does nothing until all committed writes have been applied.
+     */
     private void publish() {
         if (!store.isCurrent()) {
             return;
         }
-        if (!restored) {
-            restored = true;
+        if (!feedRestored) {
+            feedRestored = true;
             feed.restore(store.get(LEFT_KEY) == null ? "" : store.get(LEFT_KEY));
         }
         for (HostedZone zone : zones.all()) {
-            var touched = zone.takeTouched();
-            if (zone.zone().soa() == null || (touched != null && touched.isEmpty())) {
+            var changedNames = zone.takeChangedNames();
+            if (zone.zone().soa() == null || (changedNames != null && changedNames.isEmpty())) {
                 continue;
             }
             if (zone.entry.searchers() && zone.expired()) {
                 feed.expired(zone.entry.origin());
             } else if (zone.entry.searchers()) {
-                feed.zone(zone.zone(), touched);
+                feed.zone(zone.zone(), changedNames);
             }
             if (store.acceptsWrites()) {
-                notifier.changed(zone.zone(), zone.entry.secondaries());
+                notifier.onZoneChanged(zone.zone(), zone.entry.secondaries());
             }
         }
     }
 
-    /** The store was not reached: the searchers are those of the zones that lie here. */
+    /**
+     * Uses the searchers of this node's own copy of the zones, as the store's group is unreachable.
+     */
     private void serveStale(KeyValueState copy) {
         KeyValueState.Value left = copy.get(LEFT_KEY);
         feed.restore(left == null ? "" : left.text());
         for (HostedZone zone : zones.all()) {
-            Zone lay = ZoneKeys.zone(zone.entry.origin(), copy);
-            if (zone.entry.searchers() && lay.soa() != null) {
-                feed.useStaleZone(lay);
+            Zone staleZone = ZoneKeys.readZone(zone.entry.origin(), copy);
+            if (zone.entry.searchers() && staleZone.soa() != null) {
+                feed.useStaleZone(staleZone);
             }
         }
     }
 
     /**
-     * This node writes: it makes zones that there are none of, and follows the primaries of the
-     * others.
+     * Called when this node begins to accept writes: loads primary zones that the store does not
+     * have yet from their files, and starts to follow the primaries of secondary zones.
      */
     private void becomeLeader() {
-        followers.forEach(SecondaryZoneClient::stop);
-        followers.clear();
+        secondaryClients.forEach(SecondaryZoneClient::stop);
+        secondaryClients.clear();
         for (HostedZone zone : zones.all()) {
-            zone.reset();
+            zone.resetWriteState();
             if (zone.entry.secondary()) {
-                SecondaryZoneClient follower =
+                SecondaryZoneClient client =
                         new SecondaryZoneClient(
                                 zone,
                                 connector,
@@ -191,55 +204,55 @@
                                 config.keys(),
                                 store::acceptsWrites,
                                 log);
-                followers.add(follower);
-                follower.begin();
+                secondaryClients.add(client);
+                client.start();
             } else if (zone.zone().isEmpty()) {
-                seed(zone);
+                loadZoneFile(zone);
             }
         }
         publish();
     }
 
-    /** Reads the zone's file on a thread of its own, since that grows with the zone. */
-    private void seed(HostedZone zone) {
+    /** Reads the zone's file on a separate thread, since the time grows with the zone's size. */
+    private void loadZoneFile(HostedZone zone) {
         CompletableFuture.supplyAsync(
                         () -> {
                             try {
                                 return ZoneFileReader.read(zone.entry.file(), zone.entry.origin());
                             } catch (ZoneFile.Malformed | java.io.IOException e) {
-                                log.accept("dns: " + e.getMessage());
+                                log.accept("dns: zone file not loaded: " + e.getMessage());
                                 return null;
                             }
                         },
-                        run -> {
-                            Thread reader = new Thread(run, "zone-file");
-                            reader.setDaemon(true);
-                            reader.start();
+                        task -> {
+                            Thread thread = new Thread(task, "zone-file");
+                            thread.setDaemon(true);
+                            thread.start();
                         })
                 .thenAcceptAsync(
-                        read -> {
-                            if (read != null) {
+                        loaded -> {
+                            if (loaded != null) {
                                 zone.replace(
-                                        read,
-                                        done ->
+                                        loaded,
+                                        committed ->
                                                 log.accept(
                                                         "dns: "
                                                                 + zone.entry.origin()
                                                                 + ": zone file "
                                                                 + zone.entry.file()
-                                                                + (done
-                                                                        ? " taken, serial "
-                                                                                + read.serial()
+                                                                + (committed
+                                                                        ? " loaded, serial "
+                                                                                + loaded.serial()
                                                                                 + ", "
-                                                                                + read.size()
+                                                                                + loaded.size()
                                                                                 + " records"
-                                                                        : " not kept")));
+                                                                        : " was not committed to the store")));
                             }
                         },
                         loop);
     }
 
-    /** Keeps who has left, where this node writes. */
+    /** Stores the departed endpoints if this node accepts writes. */
     public static void keepLeft(StoreNode store, String left) {
         if (store.acceptsWrites()) {
             store.write(List.of(new Change(LEFT_KEY, left)), result -> {});
@@ -250,10 +263,10 @@
 
     /** Handles a DNS message from this address; the response, if any, goes to the reply channel. */
     public void handle(byte[] bytes, InetSocketAddress from, boolean tcp, ReplyChannel reply) {
-        messages.handle(bytes, from, tcp, reply);
+        messageHandler.handle(bytes, from, tcp, reply);
     }
 
     private void onNotify(HostedZone zone, long serial) {
-        followers.stream().filter(f -> f.zone() == zone).forEach(f -> f.notified(serial));
+        secondaryClients.stream().filter(f -> f.zone() == zone).forEach(f -> f.onNotify(serial));
     }
 }
--- a/src/main/java/reeldeal/zones/ZonesConfig.java
+++ b/src/main/java/reeldeal/zones/ZonesConfig.java
@@ -8,13 +8,15 @@
 import reeldeal.endpoints.EndpointView;
 
 /**
- * What the zone service is told.
+ * The configuration of the zone service.
  *
- * @param listen where it listens, over UDP and TCP
- * @param keys by name
- * @param maxConnections open TCP connections, 1 to 10,000
- * @param idleMs how long a TCP connection may ask nothing, in ms
- * @param words the file with the operator's words on searchers, or null
+ * @param listen the address on which it listens, over UDP and TCP
+ * @param zones the zones that it serves
+ * @param keys the TSIG keys by name
+ * @param maxConnections the limit of open TCP connections, 1 to 10,000
+ * @param idleMs how long an idle TCP connection stays open, in ms
+ * @param rules the rules by which the endpoint view lists searchers
+ * @param words the file with the administrative overrides for searchers, or null
  */
 public record ZonesConfig(
         InetSocketAddress listen,
@@ -25,20 +27,27 @@
         EndpointView.Rules rules,
         Path words) {
 
-    /** A server at the other end, and the name of the key for it, or null. */
+    /** A primary or secondary server, and the name of the key for messages with it, or null. */
     public record Peer(InetSocketAddress address, String key) {}
 
     /**
-     * One zone.
+     * The configuration of one zone.
      *
-     * @param file the zone file from which the zone is made where the store has none; null for a
-     *     secondary
-     * @param primaries whom a secondary follows; empty for a primary zone
-     * @param secondaries whom to tell of changes
-     * @param grants what keys may change; without any, whoever may update may change all
+     * @param origin the zone's name
+     * @param file the zone file that is loaded if the store does not have the zone; null for a
+     *     secondary zone
+     * @param primaries the servers from which a secondary zone is transferred; empty for a primary
+     *     zone
+     * @param secondaries the servers to notify of changes
+     * @param query who may query the zone
+     * @param transfer who may transfer the zone
+     * @param update who may update the zone
+     * @param grants restrict what signed updates may change; if empty, a permitted update may
+     *     change any record
      * @param searchers whether the zone lists searchers
-     * @param journal records of changes kept for incremental transfers, 0 to 10 million
-     * @param maxRecords records that the zone may hold
+     * @param journal how many records of changes are kept for incremental transfers, 0 to 10
+     *     million
+     * @param maxRecords the limit of records in the zone
      */
     public record Entry(
             String origin,
@@ -52,6 +61,7 @@
             boolean searchers,
             int journal,
             int maxRecords) {
+        /** Returns whether the zone is a copy that is transferred from primaries. */
         boolean secondary() {
             return !primaries.isEmpty();
         }
--- a/src/main/java/reeldeal/zones/package-info.java
+++ b/src/main/java/reeldeal/zones/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The zones that a daemon serves: sockets, the store in which zones are kept, updates in batches,
- * transfers out and in, notifications.
+ * Serves DNS zones from the replicated store: sockets, batched updates, outgoing and incoming zone
+ * transfers, and notifications of secondaries.
  *
- * <p>Owns the order in which zones change: a zone changes only as the store tells a committed
- * write. What an answer, an update, a transfer or a signature comes to is decided in {@code dns},
- * who the searchers are in {@code membership}. All of it runs on the state loop, never on the loop
- * that serves queries for searchers.
+ * <p>This package determines the order in which zones change: a zone changes only when the store
+ * delivers a committed write. The content of answers, updates, transfers and signatures is computed
+ * in {@code dns}, and the list of searchers in {@code endpoints}. All code here runs on the state
+ * loop, never on the loop that serves queries for searchers.
  */
 package reeldeal.zones;
--- a/src/test/java/reeldeal/zones/AccessListTest.java
+++ b/src/test/java/reeldeal/zones/AccessListTest.java
@@ -10,14 +10,14 @@
 import org.junit.Test;
 import reeldeal.dns.Rr;
 
-/** Who may. */
+/** Tests which senders access lists and update grants permit. */
 public class AccessListTest {
-    private static boolean may(AccessList acl, String address, String key) throws Exception {
+    private static boolean allows(AccessList acl, String address, String key) throws Exception {
         return acl.allows(InetAddress.getByName(address), key);
     }
 
     @Test
-    public void theNarrowestNetworkCounts() throws Exception {
+    public void theNarrowestMatchingNetworkDecides() throws Exception {
         AccessList acl =
                 AccessList.parse(
                         List.of(
@@ -27,25 +27,25 @@
                                 "2001:db8::/32",
                                 "key:k.test"));
         assertTrue(
-                may(acl, "10.9.9.9", null)
-                        && may(acl, "10.1.2.3", null)
-                        && may(acl, "2001:db8::5", null));
+                allows(acl, "10.9.9.9", null)
+                        && allows(acl, "10.1.2.3", null)
+                        && allows(acl, "2001:db8::5", null));
         assertTrue(
-                !may(acl, "10.1.2.4", null)
-                        && !may(acl, "11.0.0.1", null)
-                        && !may(acl, "::1", null));
-        assertTrue(may(acl, "11.0.0.1", "k.test.") && !may(acl, "11.0.0.1", "other."));
+                !allows(acl, "10.1.2.4", null)
+                        && !allows(acl, "11.0.0.1", null)
+                        && !allows(acl, "::1", null));
+        assertTrue(allows(acl, "11.0.0.1", "k.test.") && !allows(acl, "11.0.0.1", "other."));
         assertTrue(
-                may(AccessList.parse(List.of("loopback")), "127.9.9.9", null)
-                        && may(AccessList.parse(List.of("loopback")), "::1", null));
-        assertTrue(may(AccessList.parse(List.of("any", "!192.0.2.0/24")), "8.8.8.8", null));
-        assertTrue(!may(AccessList.parse(List.of("any", "!192.0.2.0/24")), "192.0.2.7", null));
-        assertTrue(!may(AccessList.NOBODY, "127.0.0.1", null));
+                allows(AccessList.parse(List.of("loopback")), "127.9.9.9", null)
+                        && allows(AccessList.parse(List.of("loopback")), "::1", null));
+        assertTrue(allows(AccessList.parse(List.of("any", "!192.0.2.0/24")), "8.8.8.8", null));
+        assertTrue(!allows(AccessList.parse(List.of("any", "!192.0.2.0/24")), "192.0.2.7", null));
+        assertTrue(!allows(AccessList.NOBODY, "127.0.0.1", null));
     }
 
     @Test
-    public void whatIsNoEntryIsNamed() {
-        for (String bad :
+    public void invalidEntriesAreNamedInTheError() {
+        for (String invalid :
                 List.of(
                         "10.0.0.1/8",
                         "10.0.0.0/33",
@@ -55,13 +55,15 @@
                         "",
                         "key:a..b",
                         "10.*")) {
-            String said =
+            String message =
                     assertThrows(
-                                    bad,
+                                    invalid,
                                     IllegalArgumentException.class,
-                                    () -> AccessList.parse(List.of(bad)))
+                                    () -> AccessList.parse(List.of(invalid)))
                             .getMessage();
-            assertTrue(said, said.startsWith("expected ") && said.endsWith("found " + bad));
+            assertTrue(
+                    message,
+                    message.startsWith("expected ") && message.endsWith("found " + invalid));
         }
     }
 
@@ -80,7 +82,7 @@
         assertEquals(
                 List.of(true, false, false, false),
                 List.of(Rr.MX, Rr.SOA, Rr.NS, Rr.ANY).stream()
-                        .map(t -> apex.allows("k.", rr("z.test.", t), "z.test."))
+                        .map(type -> apex.allows("k.", rr("z.test.", type), "z.test."))
                         .toList());
     }
 
--- a/src/test/java/reeldeal/zones/InteropTest.java
+++ b/src/test/java/reeldeal/zones/InteropTest.java
@@ -35,13 +35,13 @@
 import reeldeal.dns.Rr;
 import reeldeal.dns.Tsig;
 
-/** An independent library's clients against the zone service. */
+/** Tests the zone service with the clients of an independent DNS library (dnsjava). */
 public class InteropTest {
     private static final String ORIGIN = "example.test.";
     private static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes(UTF_8);
-    private static final String OLD = "old.keys.test.";
-    private static final String NEW = "new.keys.test.";
-    private static final String ZONE =
+    private static final String OLD_KEY = "old.keys.test.";
+    private static final String NEW_KEY = "new.keys.test.";
+    private static final String ZONE_FILE =
             """
             $TTL 300
             @ SOA ns ops 100 3600 600 86400 30
@@ -66,23 +66,24 @@
             $GENERATE 1-60 big TXT "record number $ of a set that fits no datagram"
             """;
 
-    private ZoneFixture bed;
+    private ZoneFixture fixture;
 
     @Before
     public void start() throws Exception {
         Path folder = Files.createTempDirectory("zones");
         Map<String, Tsig.Key> keys =
                 Map.of(
-                        OLD,
-                        new Tsig.Key(OLD, "hmac-sha256.", SECRET),
-                        NEW,
-                        new Tsig.Key(NEW, "hmac-sha512.", SECRET));
-        AccessList signed = AccessList.parse(List.of("key:" + OLD, "key:" + NEW));
+                        OLD_KEY,
+                        new Tsig.Key(OLD_KEY, "hmac-sha256.", SECRET),
+                        NEW_KEY,
+                        new Tsig.Key(NEW_KEY, "hmac-sha512.", SECRET));
+        AccessList signed = AccessList.parse(List.of("key:" + OLD_KEY, "key:" + NEW_KEY));
         List<UpdateGrant> grants =
                 List.of(
-                        new UpdateGrant(OLD, List.of("*." + ORIGIN), java.util.Set.of()),
-                        new UpdateGrant(NEW, List.of("s1." + ORIGIN), java.util.Set.of(Rr.TXT)));
-        ZonesConfig.Entry locked =
+                        new UpdateGrant(OLD_KEY, List.of("*." + ORIGIN), java.util.Set.of()),
+                        new UpdateGrant(
+                                NEW_KEY, List.of("s1." + ORIGIN), java.util.Set.of(Rr.TXT)));
+        ZonesConfig.Entry lockedZone =
                 ZoneFixture.primary(
                         folder,
                         "locked.test.",
@@ -90,20 +91,20 @@
                         List.of(),
                         signed,
                         grants);
-        bed =
+        fixture =
                 new ZoneFixture(
                         folder,
                         List.of(
                                 ZoneFixture.primary(
                                         folder,
                                         ORIGIN,
-                                        ZONE,
+                                        ZONE_FILE,
                                         List.of(),
                                         ZoneFixture.ANY,
                                         List.of()),
                                 new ZonesConfig.Entry(
-                                        locked.origin(),
-                                        locked.file(),
+                                        lockedZone.origin(),
+                                        lockedZone.file(),
                                         List.of(),
                                         List.of(),
                                         ZoneFixture.ANY,
@@ -111,11 +112,11 @@
                                         signed,
                                         List.of(
                                                 new UpdateGrant(
-                                                        OLD,
+                                                        OLD_KEY,
                                                         List.of("*.locked.test."),
                                                         java.util.Set.of()),
                                                 new UpdateGrant(
-                                                        NEW,
+                                                        NEW_KEY,
                                                         List.of("s1.locked.test."),
                                                         java.util.Set.of(Rr.TXT))),
                                         false,
@@ -124,96 +125,99 @@
                         keys,
                         8,
                         600);
-        bed.await(ORIGIN);
-        bed.await("locked.test.");
+        fixture.await(ORIGIN);
+        fixture.await("locked.test.");
     }
 
     @After
     public void stop() throws Exception {
-        bed.close();
+        fixture.close();
     }
 
     private static TSIG key(String name) throws Exception {
         return new TSIG(
-                name.equals(OLD) ? TSIG.HMAC_SHA256 : TSIG.HMAC_SHA512,
+                name.equals(OLD_KEY) ? TSIG.HMAC_SHA256 : TSIG.HMAC_SHA512,
                 Name.fromString(name),
                 SECRET);
     }
 
-    private void answered(String name, int type, int rcode, boolean aa, int answers, int authority)
+    private void assertAnswer(
+            String name, int type, int rcode, boolean authoritative, int answers, int authority)
             throws Exception {
-        Message m = bed.ask(name, type);
-        String what = name + " " + Type.string(type) + ": " + m;
-        assertEquals(what, rcode, m.getRcode());
-        assertEquals(what, aa, m.getHeader().getFlag(Flags.AA));
-        assertEquals(what, answers, m.getSection(Section.ANSWER).size());
-        assertEquals(what, authority, m.getSection(Section.AUTHORITY).size());
-        assertEquals(what, name, m.getQuestion().getName().toString());
+        Message response = fixture.ask(name, type);
+        String description = name + " " + Type.string(type) + ": " + response;
+        assertEquals(description, rcode, response.getRcode());
+        assertEquals(description, authoritative, response.getHeader().getFlag(Flags.AA));
+        assertEquals(description, answers, response.getSection(Section.ANSWER).size());
+        assertEquals(description, authority, response.getSection(Section.AUTHORITY).size());
+        assertEquals(description, name, response.getQuestion().getName().toString());
     }
 
     @Test
-    public void questionsAreAnsweredAsTheRfcsSay() throws Exception {
-        answered("www.example.test.", Type.A, Rcode.NOERROR, true, 2, 0);
-        answered("WWW.exAmple.test.", Type.AAAA, Rcode.NOERROR, true, 1, 0);
-        answered("alias.example.test.", Type.A, Rcode.NOERROR, true, 4, 0);
-        answered("alias.example.test.", Type.CNAME, Rcode.NOERROR, true, 1, 0);
-        answered("out.example.test.", Type.A, Rcode.NOERROR, true, 1, 0);
-        answered("loop1.example.test.", Type.A, Rcode.NOERROR, true, 2, 0);
-        answered("x.y.wild.example.test.", Type.TXT, Rcode.NOERROR, true, 1, 0);
-        answered("x.wild.example.test.", Type.A, Rcode.NOERROR, true, 0, 1);
-        answered("host.wild.example.test.", Type.TXT, Rcode.NOERROR, true, 0, 1);
-        answered("deep.ent.example.test.", Type.A, Rcode.NOERROR, true, 0, 1);
-        answered("none.example.test.", Type.A, Rcode.NXDOMAIN, true, 0, 1);
-        answered("a.b.sub.example.test.", Type.A, Rcode.NOERROR, false, 0, 1);
-        answered("sub.example.test.", Type.NS, Rcode.NOERROR, false, 0, 1);
-        answered("elsewhere.test.", Type.A, Rcode.REFUSED, false, 0, 0);
+    public void queriesAreAnsweredAsTheRfcsRequire() throws Exception {
+        assertAnswer("www.example.test.", Type.A, Rcode.NOERROR, true, 2, 0);
+        assertAnswer("WWW.exAmple.test.", Type.AAAA, Rcode.NOERROR, true, 1, 0);
+        assertAnswer("alias.example.test.", Type.A, Rcode.NOERROR, true, 4, 0);
+        assertAnswer("alias.example.test.", Type.CNAME, Rcode.NOERROR, true, 1, 0);
+        assertAnswer("out.example.test.", Type.A, Rcode.NOERROR, true, 1, 0);
+        assertAnswer("loop1.example.test.", Type.A, Rcode.NOERROR, true, 2, 0);
+        assertAnswer("x.y.wild.example.test.", Type.TXT, Rcode.NOERROR, true, 1, 0);
+        assertAnswer("x.wild.example.test.", Type.A, Rcode.NOERROR, true, 0, 1);
+        assertAnswer("host.wild.example.test.", Type.TXT, Rcode.NOERROR, true, 0, 1);
+        assertAnswer("deep.ent.example.test.", Type.A, Rcode.NOERROR, true, 0, 1);
+        assertAnswer("none.example.test.", Type.A, Rcode.NXDOMAIN, true, 0, 1);
+        assertAnswer("a.b.sub.example.test.", Type.A, Rcode.NOERROR, false, 0, 1);
+        assertAnswer("sub.example.test.", Type.NS, Rcode.NOERROR, false, 0, 1);
+        assertAnswer("elsewhere.test.", Type.A, Rcode.REFUSED, false, 0, 0);
         SOARecord soa =
                 (SOARecord)
-                        bed.ask("none.example.test.", Type.A).getSection(Section.AUTHORITY).get(0);
+                        fixture.ask("none.example.test.", Type.A)
+                                .getSection(Section.AUTHORITY)
+                                .get(0);
         assertEquals("RFC 2308: the lesser of TTL and minimum", 30, soa.getTTL());
-        Message srv = bed.ask("_searcher._tcp.example.test.", Type.SRV);
+        Message srv = fixture.ask("_searcher._tcp.example.test.", Type.SRV);
         assertEquals(
                 "s1.example.test.", srv.getSection(Section.ADDITIONAL).get(0).getName().toString());
-        Message referral = bed.ask("a.sub.example.test.", Type.A);
+        Message referral = fixture.ask("a.sub.example.test.", Type.A);
         assertEquals(
                 "ns.sub.example.test.",
                 referral.getSection(Section.ADDITIONAL).get(0).getName().toString());
     }
 
     @Test
-    public void answersKeepToTheAskersSize() throws Exception {
+    public void responsesFitTheSizeThatTheClientAccepts() throws Exception {
         Message plain =
                 Message.newQuery(
                         Record.newRecord(Name.fromString("big." + ORIGIN), Type.TXT, DClass.IN));
-        SimpleResolver udp = bed.resolver(false);
+        SimpleResolver udp = fixture.resolver(false);
         udp.setIgnoreTruncation(true);
-        Message cut = udp.send(plain);
-        assertTrue(cut.getHeader().getFlag(Flags.TC));
-        assertNull(cut.getOPT());
-        assertTrue(cut.numBytes() <= 512);
-        Message whole = bed.resolver(false).send(plain);
+        Message truncated = udp.send(plain);
+        assertTrue(truncated.getHeader().getFlag(Flags.TC));
+        assertNull(truncated.getOPT());
+        assertTrue(truncated.numBytes() <= 512);
+        Message whole = fixture.resolver(false).send(plain);
         assertEquals("fell back to TCP", 60, whole.getSection(Section.ANSWER).size());
-        SimpleResolver withEdns = bed.resolver(false);
+        SimpleResolver withEdns = fixture.resolver(false);
         withEdns.setEDNS(0, 4_096, 0, List.of());
-        Message edns =
+        Message ednsResponse =
                 withEdns.send(
                         Message.newQuery(
                                 Record.newRecord(
                                         Name.fromString("www." + ORIGIN), Type.A, DClass.IN)));
-        assertNotNull(edns.getOPT());
-        Message later =
+        assertNotNull(ednsResponse.getOPT());
+        Message unknownEdnsVersion =
                 Message.newQuery(
                         Record.newRecord(Name.fromString("www." + ORIGIN), Type.A, DClass.IN));
-        later.addRecord(new org.xbill.DNS.OPTRecord(4_096, 0, 1), Section.ADDITIONAL);
-        assertEquals(Rcode.BADVERS, bed.resolver(false).send(later).getRcode());
-        Message odd =
+        unknownEdnsVersion.addRecord(new org.xbill.DNS.OPTRecord(4_096, 0, 1), Section.ADDITIONAL);
+        assertEquals(Rcode.BADVERS, fixture.resolver(false).send(unknownEdnsVersion).getRcode());
+        Message statusRequest =
                 Message.newQuery(Record.newRecord(Name.fromString(ORIGIN), Type.SOA, DClass.IN));
-        odd.getHeader().setOpcode(Opcode.STATUS);
-        assertEquals(Rcode.NOTIMP, bed.resolver(true).send(odd).getRcode());
+        statusRequest.getHeader().setOpcode(Opcode.STATUS);
+        assertEquals(Rcode.NOTIMP, fixture.resolver(true).send(statusRequest).getRcode());
     }
 
     private int update(Update update) throws Exception {
-        return bed.resolver(true).send(update).getRcode();
+        return fixture.resolver(true).send(update).getRcode();
     }
 
     private static Update update() throws Exception {
@@ -225,35 +229,40 @@
     }
 
     @Test
-    public void updatesAreJudgedAloneAndWhole() throws Exception {
-        Update add = update();
-        add.absent(name("fresh"));
-        add.add(name("fresh"), Type.A, 60, "10.1.1.1");
-        assertEquals(Rcode.NOERROR, update(add));
-        assertEquals(101, bed.serial(ORIGIN));
-        assertEquals(Rcode.YXDOMAIN, update(add));
-        Update mixed = update();
-        mixed.present(name("www"), Type.A, "10.0.0.1");
-        mixed.add(name("never"), Type.A, 60, "10.1.1.2");
-        assertEquals("the set has two", Rcode.NXRRSET, update(mixed));
-        assertEquals(Rcode.NXDOMAIN, bed.ask("never." + ORIGIN, Type.A).getRcode());
-        Update exact = update();
-        exact.present(name("www"), Type.A, "10.0.0.1");
-        exact.present(name("www"), Type.A, "10.0.0.2");
-        exact.delete(name("www"), Type.A, "10.0.0.1");
-        exact.add(name("alias"), Type.A, 60, "10.1.1.3");
-        assertEquals(Rcode.NOERROR, update(exact));
+    public void updatesCheckPrerequisitesAndAreAppliedWholeOrNotAtAll() throws Exception {
+        Update addition = update();
+        addition.absent(name("fresh"));
+        addition.add(name("fresh"), Type.A, 60, "10.1.1.1");
+        assertEquals(Rcode.NOERROR, update(addition));
+        assertEquals(101, fixture.serial(ORIGIN));
+        assertEquals(Rcode.YXDOMAIN, update(addition));
+        Update incompletePrerequisite = update();
+        incompletePrerequisite.present(name("www"), Type.A, "10.0.0.1");
+        incompletePrerequisite.add(name("never"), Type.A, 60, "10.1.1.2");
         assertEquals(
-                "nothing stands beside a CNAME",
+                "the prerequisite lists one record of a set of two",
+                Rcode.NXRRSET,
+                update(incompletePrerequisite));
+        assertEquals(Rcode.NXDOMAIN, fixture.ask("never." + ORIGIN, Type.A).getRcode());
+        Update completePrerequisite = update();
+        completePrerequisite.present(name("www"), Type.A, "10.0.0.1");
+        completePrerequisite.present(name("www"), Type.A, "10.0.0.2");
+        completePrerequisite.delete(name("www"), Type.A, "10.0.0.1");
+        completePrerequisite.add(name("alias"), Type.A, 60, "10.1.1.3");
+        assertEquals(Rcode.NOERROR, update(completePrerequisite));
+        assertEquals(
+                "an A record is not added beside a CNAME",
                 2,
-                bed.ask("alias." + ORIGIN, Type.AAAA).getSection(Section.ANSWER).stream()
+                fixture.ask("alias." + ORIGIN, Type.AAAA).getSection(Section.ANSWER).stream()
                         .filter(r -> r.getType() == Type.CNAME)
                         .count());
         Update apex = update();
         apex.delete(Name.fromString(ORIGIN));
         assertEquals(Rcode.NOERROR, update(apex));
         assertEquals(
-                "SOA and NS stay", 1, bed.ask(ORIGIN, Type.NS).getSection(Section.ANSWER).size());
+                "deleting the apex keeps SOA and NS records",
+                1,
+                fixture.ask(ORIGIN, Type.NS).getSection(Section.ANSWER).size());
         Update outside = update();
         outside.add(Name.fromString("x.other."), Type.A, 60, "10.1.1.4");
         assertEquals(Rcode.NOTZONE, update(outside));
@@ -261,44 +270,51 @@
     }
 
     @Test
-    public void signaturesAreCheckedAndGrantsKept() throws Exception {
-        Update u = new Update(Name.fromString("locked.test."));
-        u.add(Name.fromString("s1.locked.test."), Type.TXT, 60, "x");
-        assertEquals("unsigned", Rcode.REFUSED, update(u));
-        SimpleResolver old = bed.resolver(true);
-        old.setTSIGKey(key(OLD));
-        Message good = old.send(u);
-        assertEquals(Rcode.NOERROR, good.getRcode());
-        assertTrue("the answer's signature is good", good.isVerified());
-        SimpleResolver fresh = bed.resolver(false);
-        fresh.setTSIGKey(key(NEW));
+    public void signaturesAndGrantsAreEnforced() throws Exception {
+        Update update = new Update(Name.fromString("locked.test."));
+        update.add(Name.fromString("s1.locked.test."), Type.TXT, 60, "x");
+        assertEquals("unsigned update", Rcode.REFUSED, update(update));
+        SimpleResolver oldKeyResolver = fixture.resolver(true);
+        oldKeyResolver.setTSIGKey(key(OLD_KEY));
+        Message signedResponse = oldKeyResolver.send(update);
+        assertEquals(Rcode.NOERROR, signedResponse.getRcode());
+        assertTrue("the response has a valid signature", signedResponse.isVerified());
+        SimpleResolver newKeyResolver = fixture.resolver(false);
+        newKeyResolver.setTSIGKey(key(NEW_KEY));
         Update allowed = new Update(Name.fromString("locked.test."));
         allowed.add(Name.fromString("s1.locked.test."), Type.TXT, 60, "y");
-        assertEquals("both keys live", Rcode.NOERROR, fresh.send(allowed).getRcode());
-        Update other = new Update(Name.fromString("locked.test."));
-        other.add(Name.fromString("s1.locked.test."), Type.A, 60, "10.0.0.1");
-        assertEquals("not that type", Rcode.REFUSED, fresh.send(other).getRcode());
-        SimpleResolver wrong = bed.resolver(true);
-        wrong.setTSIGKey(
+        assertEquals(
+                "the new key is accepted beside the old one",
+                Rcode.NOERROR,
+                newKeyResolver.send(allowed).getRcode());
+        Update otherType = new Update(Name.fromString("locked.test."));
+        otherType.add(Name.fromString("s1.locked.test."), Type.A, 60, "10.0.0.1");
+        assertEquals(
+                "the grant does not cover type A",
+                Rcode.REFUSED,
+                newKeyResolver.send(otherType).getRcode());
+        SimpleResolver wrongKeyResolver = fixture.resolver(true);
+        wrongKeyResolver.setTSIGKey(
                 new TSIG(
                         TSIG.HMAC_SHA256,
-                        Name.fromString(OLD),
+                        Name.fromString(OLD_KEY),
                         Base64.getDecoder().decode("AAAABBBBCCCCDDDD")));
-        assertEquals(Rcode.NOTAUTH, wrong.send(u).getRcode());
-        wrong.setTSIGKey(new TSIG(TSIG.HMAC_SHA256, Name.fromString("no.such.key."), SECRET));
-        assertEquals(Rcode.NOTAUTH, wrong.send(u).getRcode());
+        assertEquals(Rcode.NOTAUTH, wrongKeyResolver.send(update).getRcode());
+        wrongKeyResolver.setTSIGKey(
+                new TSIG(TSIG.HMAC_SHA256, Name.fromString("no.such.key."), SECRET));
+        assertEquals(Rcode.NOTAUTH, wrongKeyResolver.send(update).getRcode());
         Message skewed =
                 Message.newQuery(
                         Record.newRecord(Name.fromString("locked.test."), Type.SOA, DClass.IN));
-        TSIG late =
+        TSIG lateSignature =
                 new TSIG(
                         TSIG.HMAC_SHA256,
-                        Name.fromString(OLD),
+                        Name.fromString(OLD_KEY),
                         new javax.crypto.spec.SecretKeySpec(SECRET, "HmacSHA256"),
                         java.time.Clock.offset(
                                 java.time.Clock.systemUTC(), java.time.Duration.ofHours(-2)));
-        late.apply(skewed, null);
-        Message refused = bed.resolver(true).send(skewed);
+        lateSignature.apply(skewed, null);
+        Message refused = fixture.resolver(true).send(skewed);
         assertEquals(Rcode.NOTAUTH, refused.getRcode());
         assertEquals(Rcode.BADTIME, refused.getTSIG().getError());
     }
@@ -309,100 +325,106 @@
     }
 
     @Test
-    public void zonesAreTransferredWholeAndByChanges() throws Exception {
+    public void zonesAreTransferredWholeAndIncrementally() throws Exception {
         Name origin = Name.fromString(ORIGIN);
-        List<?> whole = transfer(ZoneTransferIn.newAXFR(origin, bed.address, null));
-        assertEquals("records and the SOA again", 80, whole.size());
+        List<?> whole = transfer(ZoneTransferIn.newAXFR(origin, fixture.address, null));
+        assertEquals("all records, and the SOA record a second time", 80, whole.size());
         for (int i = 0; i < 3; i++) {
-            Update u = update();
-            u.add(name("n" + i), Type.A, 60, "10.2.0." + i);
-            u.delete(name("n" + (i - 1)));
-            assertEquals(Rcode.NOERROR, update(u));
+            Update update = update();
+            update.add(name("n" + i), Type.A, 60, "10.2.0." + i);
+            update.delete(name("n" + (i - 1)));
+            assertEquals(Rcode.NOERROR, update(update));
         }
-        List<?> changes = transfer(ZoneTransferIn.newIXFR(origin, 101, false, bed.address, null));
+        List<?> changes =
+                transfer(ZoneTransferIn.newIXFR(origin, 101, false, fixture.address, null));
         assertEquals(2, changes.size());
         ZoneTransferIn.Delta last = (ZoneTransferIn.Delta) changes.get(1);
         assertEquals(103, last.end);
-        assertEquals("SOA and one record each way", 2, last.adds.size());
+        assertEquals("the SOA record and one other record, deleted and added", 2, last.adds.size());
         assertEquals(2, last.deletes.size());
         assertEquals(
                 "up to date",
                 List.of(),
-                transfer(ZoneTransferIn.newIXFR(origin, 103, false, bed.address, null)));
+                transfer(ZoneTransferIn.newIXFR(origin, 103, false, fixture.address, null)));
         assertTrue(
-                "too old: whole",
-                transfer(ZoneTransferIn.newIXFR(origin, 7, false, bed.address, null)).get(0)
+                "serial older than the journal: the whole zone is sent",
+                transfer(ZoneTransferIn.newIXFR(origin, 7, false, fixture.address, null)).get(0)
                         instanceof SOARecord);
         assertThrows(
                 ZoneTransferException.class,
                 () ->
                         transfer(
                                 ZoneTransferIn.newAXFR(
-                                        Name.fromString("locked.test."), bed.address, null)));
+                                        Name.fromString("locked.test."), fixture.address, null)));
         assertEquals(
                 4,
                 transfer(
                                 ZoneTransferIn.newAXFR(
-                                        Name.fromString("locked.test."), bed.address, key(OLD)))
+                                        Name.fromString("locked.test."),
+                                        fixture.address,
+                                        key(OLD_KEY)))
                         .size());
     }
 
     @Test
-    public void connectionsThatAskNothingGiveWay() throws Exception {
-        List<Socket> silent = new ArrayList<>();
+    public void idleConnectionsAreClosedToAdmitNewOnes() throws Exception {
+        List<Socket> idleSockets = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            silent.add(new Socket(bed.address.getAddress(), bed.address.getPort()));
+            idleSockets.add(new Socket(fixture.address.getAddress(), fixture.address.getPort()));
         }
         Message query =
                 Message.newQuery(
                         Record.newRecord(Name.fromString("www." + ORIGIN), Type.A, DClass.IN));
-        assertEquals(2, bed.resolver(true).send(query).getSection(Section.ANSWER).size());
-        for (Socket s : silent) {
-            s.setSoTimeout(20_000);
-            assertEquals("closed", -1, s.getInputStream().read());
-            s.close();
+        assertEquals(2, fixture.resolver(true).send(query).getSection(Section.ANSWER).size());
+        for (Socket socket : idleSockets) {
+            socket.setSoTimeout(20_000);
+            assertEquals("closed", -1, socket.getInputStream().read());
+            socket.close();
         }
     }
 
     @Test
-    public void noiseIsAnsweredOrDroppedAndNothingStops() throws Exception {
+    public void malformedMessagesDoNotStopTheServer() throws Exception {
         java.util.Random random = new java.util.Random(7);
-        byte[] asked =
+        byte[] validQuery =
                 Message.newQuery(
                                 Record.newRecord(
                                         Name.fromString("www." + ORIGIN), Type.A, DClass.IN))
                         .toWire();
         try (java.net.DatagramSocket socket = new java.net.DatagramSocket()) {
             for (int i = 0; i < 2_000; i++) {
-                byte[] noise = i % 2 == 0 ? asked.clone() : new byte[random.nextInt(1_000)];
+                byte[] noise = i % 2 == 0 ? validQuery.clone() : new byte[random.nextInt(1_000)];
                 for (int j = 0; j < (i % 2 == 0 ? 3 : noise.length); j++) {
                     noise[random.nextInt(noise.length)] = (byte) random.nextInt();
                 }
-                socket.send(new java.net.DatagramPacket(noise, noise.length, bed.address));
+                socket.send(new java.net.DatagramPacket(noise, noise.length, fixture.address));
             }
         }
-        try (Socket s = new Socket(bed.address.getAddress(), bed.address.getPort())) {
+        try (Socket socket = new Socket(fixture.address.getAddress(), fixture.address.getPort())) {
             byte[] noise = new byte[65_537];
             random.nextBytes(noise);
             noise[0] = (byte) 0xff;
             noise[1] = (byte) 0xff;
             noise[4] = 0;
-            s.getOutputStream().write(noise);
-            s.setSoTimeout(20_000);
-            byte[] answer = s.getInputStream().readNBytes(14);
+            socket.getOutputStream().write(noise);
+            socket.setSoTimeout(20_000);
+            byte[] answer = socket.getInputStream().readNBytes(14);
             assertTrue(
-                    "a code, or the end",
+                    "an error code, or the connection was closed",
                     answer.length == 0
                             || (answer[5] & 0xf) == Rcode.FORMERR
                             || (answer[5] & 0xf) == Rcode.NOTIMP);
         }
-        // What was thrown at the socket may still lie in its buffer: over TCP the answer comes
-        // whatever is there.
+        // The malformed datagrams may still fill the UDP socket's receive buffer. A query over TCP
+        // is
+        // answered regardless of them.
         Message query =
                 Message.newQuery(
                         Record.newRecord(Name.fromString("www." + ORIGIN), Type.A, DClass.IN));
-        assertEquals(2, bed.resolver(true).send(query).getSection(Section.ANSWER).size());
-        assertTrue(bed.log.toString(), bed.log.stream().noneMatch(l -> l.contains("Exception")));
-        answered("www.example.test.", Type.A, Rcode.NOERROR, true, 2, 0);
+        assertEquals(2, fixture.resolver(true).send(query).getSection(Section.ANSWER).size());
+        assertTrue(
+                fixture.log.toString(),
+                fixture.log.stream().noneMatch(l -> l.contains("Exception")));
+        assertAnswer("www.example.test.", Type.A, Rcode.NOERROR, true, 2, 0);
     }
 }
--- a/src/test/java/reeldeal/zones/SecondaryTest.java
+++ b/src/test/java/reeldeal/zones/SecondaryTest.java
@@ -30,29 +30,32 @@
 import reeldeal.dns.Rr;
 import reeldeal.dns.Tsig;
 
-/** A daemon that follows primaries: one of the program's own, and scripted ones that misbehave. */
+/**
+ * Tests a secondary zone that follows primaries: the program's own zone service, and scripted
+ * servers that misbehave.
+ */
 public class SecondaryTest {
     private static final String ORIGIN = "fleet.test.";
     private static final Tsig.Key KEY = new Tsig.Key("xfer.", "hmac-sha256.", new byte[32]);
 
-    private static String zone(int serial, int expire, String rest) {
+    private static String zone(int serial, int expire, String furtherRecords) {
         return "$TTL 60\n@ SOA ns ops "
                 + serial
                 + " 3600 1 "
                 + expire
                 + " 30\n@ NS ns\n_searcher._tcp SRV 0 0 8001 s1\n"
                 + "_searcher._tcp SRV 0 0 8002 s2\ns1 A 127.0.0.1\ns1 TXT cell=0\ns2 A 127.0.0.1\ns2 TXT cell=1\n"
-                + rest;
+                + furtherRecords;
     }
 
     /**
-     * A primary that does as its script says: {@code play} is handed each question, a connection
-     * after the other.
+     * A primary that serves one connection after the other and passes each query to {@link
+     * #respond}, which a test implements.
      */
-    private abstract static class BadPrimary implements AutoCloseable {
+    private abstract static class ScriptedPrimary implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 20, InetAddress.getLoopbackAddress());
 
-        BadPrimary() throws IOException {
+        ScriptedPrimary() throws IOException {
             Thread thread =
                     new Thread(
                             () -> {
@@ -67,40 +70,40 @@
                                                         new DataOutputStream(
                                                                 socket.getOutputStream())) {
                                             while (true) {
-                                                byte[] asked =
+                                                byte[] query =
                                                         in.readNBytes(in.readUnsignedShort());
-                                                play(new Message(asked), out);
+                                                respond(new Message(query), out);
                                             }
                                         } catch (IOException e) {
-                                            // its end, or the script's
+                                            // closed by the client, or by the script
                                         }
                                     }
                                 } catch (IOException e) {
-                                    return; // closed
+                                    return; // the server was closed
                                 }
                             });
             thread.setDaemon(true);
             thread.start();
         }
 
-        abstract void play(Message asked, DataOutputStream out) throws IOException;
+        abstract void respond(Message query, DataOutputStream out) throws IOException;
 
-        static void answer(Message asked, DataOutputStream out, String... records)
+        static void answer(Message query, DataOutputStream out, String... records)
                 throws IOException {
-            Message answer = new Message(asked.getHeader().getID());
+            Message answer = new Message(query.getHeader().getID());
             answer.getHeader().setFlag(Flags.QR);
             answer.getHeader().setFlag(Flags.AA);
-            answer.addRecord(asked.getQuestion(), Section.QUESTION);
+            answer.addRecord(query.getQuestion(), Section.QUESTION);
             Name origin = Name.fromString(ORIGIN);
-            for (String r : records) {
-                String[] words = r.split(" ", 3);
+            for (String record : records) {
+                String[] fields = record.split(" ", 3);
                 answer.addRecord(
                         Record.fromString(
-                                Name.fromString(words[0], origin),
-                                Type.value(words[1]),
+                                Name.fromString(fields[0], origin),
+                                Type.value(fields[1]),
                                 DClass.IN,
                                 60,
-                                words[2],
+                                fields[2],
                                 origin),
                         Section.ANSWER);
             }
@@ -133,22 +136,22 @@
                 10_000);
     }
 
-    private static void update(ZoneFixture bed, Update update) throws Exception {
-        assertEquals(Rcode.NOERROR, bed.resolver(true).send(update).getRcode());
+    private static void update(ZoneFixture fixture, Update update) throws Exception {
+        assertEquals(Rcode.NOERROR, fixture.resolver(true).send(update).getRcode());
     }
 
     @Test
-    public void aSecondaryFollowsByNotificationAndChanges() throws Exception {
-        // The secondary must be there first, so that the primary knows whom to notify; it asks
-        // again until both are.
+    public void aSecondaryFollowsByNotifyAndIncrementalTransfers() throws Exception {
+        // The secondary is started first, since the primary's configuration needs its address. It
+        // retries until the primary is there as well.
         int port;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
+        try (ServerSocket portFinder = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = portFinder.getLocalPort();
         }
         Map<String, Tsig.Key> keys = Map.of(KEY.name(), KEY);
         Path folder = Files.createTempDirectory("zones");
         AccessList signed = AccessList.parse(List.of("key:" + KEY.name()));
-        ZonesConfig.Entry plain =
+        ZonesConfig.Entry template =
                 ZoneFixture.primary(
                         folder,
                         ORIGIN,
@@ -156,18 +159,18 @@
                         List.of(),
                         ZoneFixture.ANY,
                         List.of());
-        try (ZoneFixture second =
+        try (ZoneFixture secondary =
                 secondaryOf(
                         keys,
                         new ZonesConfig.Peer(
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                                 KEY.name()))) {
-            ZonesConfig.Entry first =
+            ZonesConfig.Entry primaryEntry =
                     new ZonesConfig.Entry(
                             ORIGIN,
-                            plain.file(),
+                            template.file(),
                             List.of(),
-                            List.of(new ZonesConfig.Peer(second.address, KEY.name())),
+                            List.of(new ZonesConfig.Peer(secondary.address, KEY.name())),
                             ZoneFixture.ANY,
                             signed,
                             ZoneFixture.ANY,
@@ -176,75 +179,79 @@
                             1_000,
                             1_000);
             try (ZoneFixture primary =
-                    new ZoneFixture(folder, List.of(first), keys, 64, 10_000, port)) {
-                second.awaitSerial(ORIGIN, 0x7ffffffe);
-                assertEquals(2, second.told.get(0).entries().size());
+                    new ZoneFixture(folder, List.of(primaryEntry), keys, 64, 10_000, port)) {
+                secondary.awaitSerial(ORIGIN, 0x7ffffffe);
+                assertEquals(2, secondary.endpointEvents.get(0).entries().size());
                 for (int i = 1; i <= 3; i++) {
-                    Update u = new Update(Name.fromString(ORIGIN));
-                    u.delete(Name.fromString("s1." + ORIGIN), Type.TXT);
-                    u.add(
+                    Update update = new Update(Name.fromString(ORIGIN));
+                    update.delete(Name.fromString("s1." + ORIGIN), Type.TXT);
+                    update.add(
                             Name.fromString("s1." + ORIGIN),
                             Type.TXT,
                             60,
                             "\"cell=0\" \"status=" + (i % 2 == 1 ? "draining" : "ready") + "\"");
-                    update(primary, u);
-                    second.awaitSerial(ORIGIN, 0x7ffffffeL + i);
+                    update(primary, update);
+                    secondary.awaitSerial(ORIGIN, 0x7ffffffeL + i);
                 }
-                second.awaitLog("1 changes");
-                List<Searcher> last = second.told.get(second.told.size() - 1).entries();
+                secondary.awaitLog("1 changes");
+                List<Searcher> last =
+                        secondary.endpointEvents.get(secondary.endpointEvents.size() - 1).entries();
                 assertEquals(EndpointState.DRAINING, last.get(0).state());
                 assertEquals(
-                        "a secondary takes no updates",
+                        "a secondary zone refuses updates",
                         Rcode.REFUSED,
-                        second.resolver(true).send(new Update(Name.fromString(ORIGIN))).getRcode());
+                        secondary
+                                .resolver(true)
+                                .send(new Update(Name.fromString(ORIGIN)))
+                                .getRcode());
                 assertTrue(
-                        "no retry was needed",
+                        "the secondary answered the notifications",
                         primary.log.stream().noneMatch(l -> l.contains("did not answer")));
             }
         }
     }
 
     @Test
-    public void aPrimaryThatDiesInATransferChangesNothingAndTheNextIsAsked() throws Exception {
-        try (BadPrimary dying =
-                        new BadPrimary() {
+    public void anInterruptedTransferIsDiscardedAndTheNextPrimaryIsAsked() throws Exception {
+        try (ScriptedPrimary disconnecting =
+                        new ScriptedPrimary() {
                             @Override
-                            void play(Message asked, DataOutputStream out) throws IOException {
+                            void respond(Message query, DataOutputStream out) throws IOException {
                                 answer(
-                                        asked,
+                                        query,
                                         out,
                                         soa(500),
                                         "_searcher._tcp SRV 0 0 9000 evil",
                                         "evil A 127.0.0.1");
-                                throw new IOException("dies");
+                                throw new IOException("connection dropped by the script");
                             }
                         };
                 ZoneFixture primary = ZoneFixture.of(ORIGIN, zone(7, 86_400, ""));
-                ZoneFixture second =
+                ZoneFixture secondary =
                         secondaryOf(
                                 Map.of(),
-                                dying.peer(),
+                                disconnecting.peer(),
                                 new ZonesConfig.Peer(primary.address, null))) {
-            second.awaitSerial(ORIGIN, 7);
-            second.awaitLog("the connection was closed");
-            assertEquals(Rcode.NXDOMAIN, second.ask("evil." + ORIGIN, Type.A).getRcode());
-            assertFalse(second.told.isEmpty());
+            secondary.awaitSerial(ORIGIN, 7);
+            secondary.awaitLog("the connection was closed");
+            assertEquals(Rcode.NXDOMAIN, secondary.ask("evil." + ORIGIN, Type.A).getRcode());
+            assertFalse(secondary.endpointEvents.isEmpty());
         }
     }
 
     @Test
-    public void aWrongChainOfSerialsLeadsToAWholeTransferAndASerialThatGoesBackIsRefused()
+    public void aBrokenSerialChainLeadsToAWholeTransferAndAnOlderSerialIsRefused()
             throws Exception {
         int[] serial = {5};
-        try (BadPrimary wrong =
-                        new BadPrimary() {
+        try (ScriptedPrimary inconsistent =
+                        new ScriptedPrimary() {
                             @Override
-                            void play(Message asked, DataOutputStream out) throws IOException {
-                                switch (asked.getQuestion().getType()) {
-                                    case Type.SOA -> answer(asked, out, soa(serial[0]));
+                            void respond(Message query, DataOutputStream out) throws IOException {
+                                switch (query.getQuestion().getType()) {
+                                    case Type.SOA -> answer(query, out, soa(serial[0]));
                                     case Type.IXFR ->
                                             answer(
-                                                    asked,
+                                                    query,
                                                     out,
                                                     soa(serial[0]),
                                                     soa(4),
@@ -254,7 +261,7 @@
                                                     soa(serial[0]));
                                     default ->
                                             answer(
-                                                    asked,
+                                                    query,
                                                     out,
                                                     soa(serial[0]),
                                                     ORIGIN + " NS ns",
@@ -263,21 +270,22 @@
                                 }
                             }
                         };
-                ZoneFixture second = secondaryOf(Map.of(), wrong.peer())) {
-            second.awaitSerial(ORIGIN, 5);
+                ZoneFixture secondary = secondaryOf(Map.of(), inconsistent.peer())) {
+            secondary.awaitSerial(ORIGIN, 5);
             serial[0] = 6;
-            notify(second, 6);
-            second.awaitSerial(ORIGIN, 6);
-            second.awaitLog("a change from serial 4 where 5 was reached");
-            assertEquals(1, second.ask("t6." + ORIGIN, Type.A).getSection(Section.ANSWER).size());
+            notify(secondary, 6);
+            secondary.awaitSerial(ORIGIN, 6);
+            secondary.awaitLog("a change from serial 4 where 5 was reached");
+            assertEquals(
+                    1, secondary.ask("t6." + ORIGIN, Type.A).getSection(Section.ANSWER).size());
             serial[0] = 3;
-            notify(second, 9);
-            second.awaitLog("serial 3 is not later than 6");
-            assertEquals(6, second.serial(ORIGIN));
+            notify(secondary, 9);
+            secondary.awaitLog("serial 3 is not later than 6");
+            assertEquals(6, secondary.serial(ORIGIN));
         }
     }
 
-    private static void notify(ZoneFixture bed, long serial) throws Exception {
+    private static void notify(ZoneFixture fixture, long serial) throws Exception {
         Message notify =
                 Message.newQuery(Record.newRecord(Name.fromString(ORIGIN), Type.SOA, DClass.IN));
         notify.getHeader().setOpcode(org.xbill.DNS.Opcode.NOTIFY);
@@ -290,16 +298,16 @@
                         "ns. ops. " + serial + " 3600 1 86400 30",
                         Name.root),
                 Section.ANSWER);
-        assertEquals(Rcode.NOERROR, bed.resolver(false).send(notify).getRcode());
+        assertEquals(Rcode.NOERROR, fixture.resolver(false).send(notify).getRcode());
     }
 
     @Test
-    public void aPrimaryThatStallsIsGivenUpAndAnExpiredZoneIsNobodysList() throws Exception {
+    public void aStalledPrimaryTimesOutAndAnExpiredZoneListsNoSearchers() throws Exception {
         boolean[] stalls = {false};
-        try (BadPrimary stalling =
-                        new BadPrimary() {
+        try (ScriptedPrimary stalling =
+                        new ScriptedPrimary() {
                             @Override
-                            void play(Message asked, DataOutputStream out) throws IOException {
+                            void respond(Message query, DataOutputStream out) throws IOException {
                                 if (stalls[0]) {
                                     try {
                                         Thread.sleep(
@@ -309,7 +317,7 @@
                                     }
                                 }
                                 answer(
-                                        asked,
+                                        query,
                                         out,
                                         ORIGIN + " SOA ns ops 5 1 1 3 30",
                                         ORIGIN + " NS ns",
@@ -320,46 +328,49 @@
                                 stalls[0] = true;
                             }
                         };
-                ZoneFixture second = secondaryOf(Map.of(), stalling.peer())) {
-            second.awaitSerial(ORIGIN, 5);
-            second.awaitLog("expired: no primary was heard since");
-            second.awaitLog("silent for 5000 ms");
-            second.awaitLog("expired; what only it lists leaves");
-            assertEquals(Rcode.SERVFAIL, second.ask(ORIGIN, Type.SOA).getRcode());
-            List<Searcher> last = second.told.get(second.told.size() - 1).entries();
+                ZoneFixture secondary = secondaryOf(Map.of(), stalling.peer())) {
+            secondary.awaitSerial(ORIGIN, 5);
+            secondary.awaitLog("expired: not confirmed by a primary since");
+            secondary.awaitLog("no response for 5000 ms");
+            secondary.awaitLog("expired; what only it lists leaves");
+            assertEquals(Rcode.SERVFAIL, secondary.ask(ORIGIN, Type.SOA).getRcode());
+            List<Searcher> last =
+                    secondary.endpointEvents.get(secondary.endpointEvents.size() - 1).entries();
             assertEquals(EndpointState.DRAINING, last.get(0).state());
         }
     }
 
     @Test
-    public void aZoneOutlivesARestartAndAnEarlierProgramsFolderIsReadOn() throws Exception {
+    public void aZoneSurvivesARestartAndKeysOfVersion03AreParsed() throws Exception {
         Path folder = Files.createTempDirectory("zones");
         ZonesConfig.Entry entry =
                 ZoneFixture.primary(
                         folder, ORIGIN, zone(7, 86_400, ""), List.of(), ZoneFixture.ANY, List.of());
-        ZoneFixture bed = new ZoneFixture(folder, List.of(entry), Map.of(), 64, 10_000);
-        bed.await(ORIGIN);
-        Update u = new Update(Name.fromString(ORIGIN));
-        u.add(Name.fromString("kept." + ORIGIN), Type.A, 60, "10.0.0.1");
-        update(bed, u);
-        bed.group
+        ZoneFixture fixture = new ZoneFixture(folder, List.of(entry), Map.of(), 64, 10_000);
+        fixture.await(ORIGIN);
+        Update update = new Update(Name.fromString(ORIGIN));
+        update.add(Name.fromString("kept." + ORIGIN), Type.A, 60, "10.0.0.1");
+        update(fixture, update);
+        fixture.group
                 .next()
                 .submit(
                         () -> {
-                            bed.store.close();
+                            fixture.store.close();
                             return null;
                         })
                 .sync();
-        try (ZoneFixture again = new ZoneFixture(folder, List.of(entry), Map.of(), 64, 10_000)) {
-            again.awaitSerial(ORIGIN, 8);
-            assertEquals(1, again.ask("kept." + ORIGIN, Type.A).getSection(Section.ANSWER).size());
-            List<?> changes = again.ixfr(7);
-            assertEquals("the journal is made anew from the log", 1, changes.size());
-            // What version 0.3 kept: one key for each set, without generations.
+        try (ZoneFixture restarted =
+                new ZoneFixture(folder, List.of(entry), Map.of(), 64, 10_000)) {
+            restarted.awaitSerial(ORIGIN, 8);
+            assertEquals(
+                    1, restarted.ask("kept." + ORIGIN, Type.A).getSection(Section.ANSWER).size());
+            List<?> changes = restarted.ixfr(7);
+            assertEquals("the journal is rebuilt from the store's log", 1, changes.size());
+            // A key as version 0.3 stored it: one per record set, without generations.
             assertEquals(
                     new ZoneKeys.Parsed("old.test.", 0, "s0.old.test.", Rr.A),
                     ZoneKeys.parse("dns/old.test./s0.old.test./1"));
         }
-        bed.group.shutdownGracefully(0, 100, java.util.concurrent.TimeUnit.MILLISECONDS);
+        fixture.group.shutdownGracefully(0, 100, java.util.concurrent.TimeUnit.MILLISECONDS);
     }
 }
--- a/src/test/java/reeldeal/zones/UpdateForwarderTest.java
+++ b/src/test/java/reeldeal/zones/UpdateForwarderTest.java
@@ -25,25 +25,26 @@
 import reeldeal.store.StoreNode;
 
 /**
- * An update at a node that does not write reaches the one that does, once, and its answer comes
- * back.
+ * Tests that an update received by a node that does not accept writes reaches the leader once, and
+ * that its response is returned.
  */
 public class UpdateForwarderTest {
     @Rule public TemporaryFolder folder = new TemporaryFolder();
 
     @Test
-    public void anUpdateIsPassedOnOnceAndWithoutAWriterNotAtAll() throws Exception {
+    public void anUpdateIsForwardedOnceAndNeverByTheLeader() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         EventLoop loop = group.next();
         Map<String, InetSocketAddress> nodes = new HashMap<>();
         for (String node : List.of("a", "b")) {
-            try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                nodes.put(node, (InetSocketAddress) free.getLocalSocketAddress());
+            try (ServerSocket portFinder =
+                    new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+                nodes.put(node, (InetSocketAddress) portFinder.getLocalSocketAddress());
             }
         }
-        List<String> taken = new CopyOnWriteArrayList<>();
+        List<String> received = new CopyOnWriteArrayList<>();
         Map<String, StoreNode> stores = new HashMap<>();
-        Map<String, UpdateForwarder> relays = new HashMap<>();
+        Map<String, UpdateForwarder> forwarders = new HashMap<>();
         for (String node : nodes.keySet()) {
             StoreNode store =
                     new StoreNode(
@@ -59,13 +60,13 @@
                                     1),
                             l -> {});
             stores.put(node, store);
-            relays.put(
+            forwarders.put(
                     node,
                     new UpdateForwarder(
                             store,
                             loop,
                             (message, from, answer) -> {
-                                taken.add(
+                                received.add(
                                         node
                                                 + " "
                                                 + new String(message, UTF_8)
@@ -82,38 +83,49 @@
             await(loop, () -> stores.get("a").acceptsWrites() && stores.get("b").isCurrent());
             InetSocketAddress client = new InetSocketAddress(InetAddress.getLoopbackAddress(), 7);
             CompletableFuture<byte[]> answer = new CompletableFuture<>();
-            await(loop, () -> relays.get("b").pass("x".getBytes(UTF_8), client, answer::complete));
+            await(
+                    loop,
+                    () ->
+                            forwarders
+                                    .get("b")
+                                    .forward("x".getBytes(UTF_8), client, answer::complete));
             assertEquals("done x", new String(answer.get(10, TimeUnit.SECONDS), UTF_8));
-            assertEquals(List.of("a x 7"), taken);
-            // The same frame again, as a network may bring it.
+            assertEquals(List.of("a x 7"), received);
+            // The same request twice, as a network may deliver it.
             byte[] frame = {0, 0, 0, 0, 0, 0, 0, 9, 4, 127, 0, 0, 1, 0, 7, 'y'};
-            on(
+            callOn(
                     loop,
                     () -> {
-                        boolean first = stores.get("b").sendToPeer("a", 'U', frame);
-                        boolean again = stores.get("b").sendToPeer("a", 'U', frame);
-                        return first && again;
+                        boolean firstSent = stores.get("b").sendToPeer("a", 'U', frame);
+                        boolean secondSent = stores.get("b").sendToPeer("a", 'U', frame);
+                        return firstSent && secondSent;
                     });
-            await(loop, () -> taken.size() > 1);
-            CompletableFuture<byte[]> silent = new CompletableFuture<>();
+            await(loop, () -> received.size() > 1);
+            CompletableFuture<byte[]> unanswered = new CompletableFuture<>();
             assertTrue(
-                    on(
+                    callOn(
                             loop,
                             () ->
-                                    relays.get("b")
-                                            .pass(
+                                    forwarders
+                                            .get("b")
+                                            .forward(
                                                     "silent".getBytes(UTF_8),
                                                     client,
-                                                    silent::complete)));
-            assertNull("nothing came in time", silent.get(10, TimeUnit.SECONDS));
-            assertEquals(List.of("a x 7", "a y 7", "a silent 7"), taken);
+                                                    unanswered::complete)));
+            assertNull("no response arrived in time", unanswered.get(10, TimeUnit.SECONDS));
+            assertEquals(List.of("a x 7", "a y 7", "a silent 7"), received);
             assertEquals(
-                    "the writer passes nothing on",
+                    "the leader forwards nothing",
                     false,
-                    on(loop, () -> relays.get("a").pass("z".getBytes(UTF_8), client, a -> {})));
+                    callOn(
+                            loop,
+                            () ->
+                                    forwarders
+                                            .get("a")
+                                            .forward("z".getBytes(UTF_8), client, a -> {})));
         } finally {
             for (StoreNode s : stores.values()) {
-                on(
+                callOn(
                         loop,
                         () -> {
                             s.close();
@@ -124,14 +136,14 @@
         }
     }
 
-    private static boolean on(EventLoop loop, Callable<Boolean> work) throws Exception {
+    private static boolean callOn(EventLoop loop, Callable<Boolean> work) throws Exception {
         return loop.submit(work).get(10, TimeUnit.SECONDS);
     }
 
-    private static void await(EventLoop loop, Callable<Boolean> holds) throws Exception {
-        long until = System.nanoTime() + 20_000_000_000L;
-        while (!on(loop, holds)) {
-            assertTrue("waited in vain", System.nanoTime() < until);
+    private static void await(EventLoop loop, Callable<Boolean> condition) throws Exception {
+        long deadlineNs = System.nanoTime() + 20_000_000_000L;
+        while (!callOn(loop, condition)) {
+            assertTrue("the condition was not met within 20 s", System.nanoTime() < deadlineNs);
             Thread.sleep(10);
         }
     }
