--- a/src/test/java/reeldeal/zones/ZoneFixture.java
+++ b/src/test/java/reeldeal/zones/ZoneFixture.java
@@ -25,19 +25,21 @@
 import reeldeal.store.StoreConfig;
 import reeldeal.store.StoreNode;
 
-/** A zone service on loopback, in this process, with a store of one node. */
+/** Runs a zone service on loopback in this process, with a store of one node. */
 public final class ZoneFixture implements AutoCloseable {
     static final AccessList ANY = AccessList.parse(List.of("any"));
 
     public final EventLoopGroup group = new NioEventLoopGroup(1);
     public final List<String> log = new CopyOnWriteArrayList<>();
-    public final List<Event.EndpointsChanged> told = new CopyOnWriteArrayList<>();
+    public final List<Event.EndpointsChanged> endpointEvents = new CopyOnWriteArrayList<>();
     public final Path folder;
     public final StoreNode store;
     public final InetSocketAddress address;
     public final EndpointFeed feed;
 
-    /** A bed of these zones; files of zones may be given as text by {@link #primary}. */
+    /**
+     * Starts a service of these zones; {@link #primary} creates a zone with a file of a given text.
+     */
     ZoneFixture(
             Path folder,
             List<ZonesConfig.Entry> zones,
@@ -93,7 +95,7 @@
                         new EndpointView(EndpointView.Rules.DEFAULT, sources),
                         new LinkedHashSet<>(sources),
                         System::currentTimeMillis,
-                        told::add,
+                        endpointEvents::add,
                         log::add,
                         left -> ZoneService.keepLeft(store, left));
         Notifier notifier =
@@ -114,25 +116,27 @@
                         .start(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
-    /** A bed of one zone that this text gives; whoever is on loopback may do all. */
+    /**
+     * Starts a service of one primary zone with this text, which permits every operation to all.
+     */
     public static ZoneFixture of(String origin, String text) throws Exception {
         Path folder = Files.createTempDirectory("zones");
-        ZoneFixture bed =
+        ZoneFixture fixture =
                 new ZoneFixture(
                         folder,
                         List.of(primary(folder, origin, text, List.of(), ANY, List.of())),
                         Map.of(),
                         64,
                         10_000);
-        bed.await(origin);
-        return bed;
+        fixture.await(origin);
+        return fixture;
     }
 
-    /** As {@link #of}, with a secondary that is told of changes. */
+    /** Starts a service as {@link #of} does, with a secondary that is notified of changes. */
     public static ZoneFixture notifying(String origin, String text, InetSocketAddress secondary)
             throws Exception {
         Path folder = Files.createTempDirectory("zones");
-        ZoneFixture bed =
+        ZoneFixture fixture =
                 new ZoneFixture(
                         folder,
                         List.of(
@@ -146,8 +150,8 @@
                         Map.of(),
                         64,
                         10_000);
-        bed.await(origin);
-        return bed;
+        fixture.await(origin);
+        return fixture;
     }
 
     static ZonesConfig.Entry primary(
@@ -201,14 +205,14 @@
                 .send(Message.newQuery(Record.newRecord(Name.fromString(name), type, 1)));
     }
 
-    /** The serial that the bed answers with, or -1. */
+    /** Returns the serial that the service answers with, or -1 if it has no SOA record. */
     long serial(String origin) throws Exception {
         Message answer = ask(origin, Type.SOA);
         List<Record> records = answer.getSection(1);
         return records.isEmpty() ? -1 : ((org.xbill.DNS.SOARecord) records.get(0)).getSerial();
     }
 
-    /** The changes since a serial, as an independent client reads them. */
+    /** Returns the changes since a serial, as an independent client receives them by IXFR. */
     List<?> ixfr(long serial) throws Exception {
         org.xbill.DNS.ZoneTransferIn in =
                 org.xbill.DNS.ZoneTransferIn.newIXFR(
@@ -217,27 +221,33 @@
         return in.getIXFR();
     }
 
-    /** Waits until the zone answers. */
+    /** Waits until queries for the zone are answered. */
     void await(String origin) throws Exception {
         awaitSerial(origin, 0);
     }
 
-    void awaitSerial(String origin, long least) throws Exception {
-        long until = System.nanoTime() + 20_000_000_000L;
-        while (serial(origin) < least) {
-            if (System.nanoTime() > until) {
+    void awaitSerial(String origin, long minSerial) throws Exception {
+        long deadlineNs = System.nanoTime() + 20_000_000_000L;
+        while (serial(origin) < minSerial) {
+            if (System.nanoTime() > deadlineNs) {
                 throw new AssertionError(
-                        origin + " has serial " + serial(origin) + ", not " + least + ": " + log);
+                        origin
+                                + " has serial "
+                                + serial(origin)
+                                + ", not "
+                                + minSerial
+                                + ": "
+                                + log);
             }
             Thread.sleep(10);
         }
     }
 
-    void awaitLog(String words) throws Exception {
-        long until = System.nanoTime() + 20_000_000_000L;
-        while (log.stream().noneMatch(l -> l.contains(words))) {
-            if (System.nanoTime() > until) {
-                throw new AssertionError("not logged: " + words + ": " + log);
+    void awaitLog(String text) throws Exception {
+        long deadlineNs = System.nanoTime() + 20_000_000_000L;
+        while (log.stream().noneMatch(l -> l.contains(text))) {
+            if (System.nanoTime() > deadlineNs) {
+                throw new AssertionError("not logged: " + text + ": " + log);
             }
             Thread.sleep(10);
         }
@@ -254,8 +264,8 @@
                 .sync();
         group.shutdownGracefully(0, 1_000, java.util.concurrent.TimeUnit.MILLISECONDS).sync();
         try (Stream<Path> files = Files.walk(folder)) {
-            for (Path f : files.sorted(Comparator.reverseOrder()).toList()) {
-                Files.delete(f);
+            for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+                Files.delete(file);
             }
         }
     }
