--- a/src/main/java/reeldeal/zones/AccessList.java
+++ b/src/main/java/reeldeal/zones/AccessList.java
@@ -85,8 +85,8 @@
         if (anySender || (key != null && keys.contains(key))) {
             return true;
         }
-        AssociativeTrieNode<? extends IPAddress, Boolean> narrowest =
+        AssociativeTrieNode<? extends IPAddress, Boolean> longestMatch =
                 networks.longestPrefixMatchNode(ADDRESSES.from(sender));
-        return narrowest != null && narrowest.getValue();
+        return longestMatch != null && longestMatch.getValue();
     }
 }
--- a/src/main/java/reeldeal/zones/DnsServer.java
+++ b/src/main/java/reeldeal/zones/DnsServer.java
@@ -187,9 +187,8 @@
             openConnections.add(this);
             idleConnections.add(this);
             if (openConnections.size() > maxConnections) {
-                // Closes the connection that has been idle for longest; if all others are busy,
-                // that
-                // is the new one.
+                // Closes the connection that has been idle for longest, which is the new one if
+                // all others are busy.
                 TcpConnection longestIdle = idleConnections.iterator().next();
                 longestIdle.unregister();
                 longestIdle.ctx.close();
@@ -197,9 +196,9 @@
         }
 
         /**
-         * Removes this connection from the server's lists and ends its transfers. When the server
-         * closes a connection, it calls this first, so that its place is free at once and not only
-         * once the channel has closed.
+         * Removes this connection from the server's lists and ends its transfers. Also called
+         * before a connection is closed to make room for another one, so that its place is free at
+         * once and not only when the channel has closed.
          */
         private void unregister() {
             openConnections.remove(this);
--- a/src/main/java/reeldeal/zones/HostedZone.java
+++ b/src/main/java/reeldeal/zones/HostedZone.java
@@ -73,7 +73,7 @@
         this.store = store;
         this.loop = loop;
         this.log = log;
-        this.journal = new Journal(entry.journal());
+        this.journal = new Journal(entry.maxJournalRecords());
         this.zone = Zone.empty(entry.origin());
     }
 
@@ -489,7 +489,7 @@
                         log.accept(
                                 "dns: "
                                         + entry.origin()
-                                        + ": state of the secondary zone was not confirmed as committed: "
+                                        + ": secondary state was not confirmed as committed: "
                                         + result);
                     }
                 });
--- a/src/main/java/reeldeal/zones/MessageHandler.java
+++ b/src/main/java/reeldeal/zones/MessageHandler.java
@@ -40,7 +40,7 @@
     private final LongSupplier now;
     private final RateLimitedLog refusalLog;
     private UpdateForwarder forwarder;
-    private int transfers;
+    private int openTransfers;
 
     /**
      * Creates a handler, which cannot forward updates until {@link #setUpdateForwarder} is called.
@@ -132,7 +132,7 @@
         } else if (zone == null
                 || (question.recordClass() != Rr.IN && question.recordClass() != Rr.ANY)) {
             reply.send(responder.code(Rcode.REFUSED));
-        } else if (!zone.entry.query().allows(from, responder.signer())) {
+        } else if (!zone.entry.queryAccess().allows(from, responder.signer())) {
             reply.send(responder.code(Rcode.REFUSED));
         } else if (!zone.serves()) {
             reply.send(responder.code(Rcode.SERVFAIL));
@@ -146,7 +146,7 @@
                                                 || !targetZone.serves()
                                                 || !targetZone
                                                         .entry
-                                                        .query()
+                                                        .queryAccess()
                                                         .allows(from, responder.signer())
                                         ? null
                                         : targetZone.zone();
@@ -164,7 +164,7 @@
         HostedZone zone = zones.get(question.name());
         if (zone == null) {
             reply.send(responder.code(Rcode.NOTAUTH)); // RFC 5936, section 2.2.1
-        } else if (!zone.entry.transfer().allows(from, responder.signer())) {
+        } else if (!zone.entry.transferAccess().allows(from, responder.signer())) {
             refusalLog.log(
                     "dns: "
                             + zone.entry.origin()
@@ -183,10 +183,10 @@
                             : responder.answer(
                                     new Message.Question(question.name(), Rr.SOA, Rr.IN),
                                     name -> zone.zone()));
-        } else if (transfers >= MAX_TRANSFERS) {
+        } else if (openTransfers >= MAX_TRANSFERS) {
             reply.send(responder.code(Rcode.REFUSED));
         } else {
-            transfers++;
+            openTransfers++;
             reply.stream(
                     question.type() == Rr.AXFR
                             ? TransferOut.whole(
@@ -197,7 +197,7 @@
                                     zone.journal,
                                     responder.key(),
                                     responder.mac()),
-                    () -> transfers--);
+                    () -> openTransfers--);
         }
     }
 
@@ -252,7 +252,7 @@
     /** Returns why the sender may not make this update, or null if it may. */
     private static String refusalReason(
             HostedZone zone, Message message, String signer, InetAddress from) {
-        if (!zone.entry.update().allows(from, signer)) {
+        if (!zone.entry.updateAccess().allows(from, signer)) {
             return "neither its address nor its key is in allow_update";
         }
         if (signer != null && !zone.entry.grants().isEmpty()) {
--- a/src/main/java/reeldeal/zones/PeerLink.java
+++ b/src/main/java/reeldeal/zones/PeerLink.java
@@ -74,9 +74,8 @@
                         } else if (link.channel
                                 .localAddress()
                                 .equals(link.channel.remoteAddress())) {
-                            // On loopback a connection to a port without a listener can use the
-                            // same
-                            // port as its source and so connect to itself.
+                            // On loopback a connection to a port without a listener can use
+                            // the same port as its source and so connect to itself.
                             link.fail("nobody listens at " + address);
                         } else if (!link.closed) {
                             listener.connected(link);
--- a/src/main/java/reeldeal/zones/SecondaryZoneClient.java
+++ b/src/main/java/reeldeal/zones/SecondaryZoneClient.java
@@ -25,7 +25,7 @@
     /** How long a step waits for the next message from the primary. */
     private static final long RESPONSE_TIMEOUT_MS = 5_000;
 
-    /** The shortest time between two writes of the zone's state. */
+    /** The shortest interval at which confirmations of an unchanged zone are stored. */
     private static final long STATE_INTERVAL_MS = 60_000;
 
     private static final SecureRandom RANDOM = new SecureRandom();
@@ -257,7 +257,7 @@
                                 ? "the response has no valid signature"
                                 : message.rcode() != 0
                                         ? Rcode.name(message.rcode())
-                                        : "the response does not match the request or has no SOA record");
+                                        : "no matching response with an SOA record");
                 return;
             }
             long serial = Zone.soaNumber(soa.data(), 0);
--- a/src/main/java/reeldeal/zones/UpdateForwarder.java
+++ b/src/main/java/reeldeal/zones/UpdateForwarder.java
@@ -27,10 +27,17 @@
     private static final char REQUEST = 'U';
     private static final char RESPONSE = 'u';
     private static final int TIMEOUT_MS = 3_000;
-    private static final int MAX_REQUEST_IDS = 1_000;
 
-    /** Handles a forwarded message as if its client had sent it to this node. */
+    /** The limit of open requests, and of the request ids remembered for each sending node. */
+    private static final int MAX_REQUESTS = 1_000;
+
+    /** Handles forwarded updates. */
     interface UpdateHandler {
+        /**
+         * Handles a forwarded message as if its client had sent it to this node.
+         *
+         * @param onResponse receives the response
+         */
         void handle(byte[] message, InetSocketAddress from, Consumer<byte[]> onResponse);
     }
 
@@ -38,8 +45,8 @@
     private final ScheduledExecutorService loop;
     private final Map<Long, Consumer<byte[]>> openRequests = new HashMap<>();
     private final Map<String, Set<Long>> receivedIds = new HashMap<>();
-    private long nextId =
-            System.currentTimeMillis() << 16; // above all ids that this node used before a restart
+    // Starts above all ids that this node used before a restart.
+    private long nextId = System.currentTimeMillis() << 16;
 
     UpdateForwarder(StoreNode store, ScheduledExecutorService loop, UpdateHandler handler) {
         this.store = store;
@@ -66,9 +73,7 @@
      */
     boolean forward(byte[] message, InetSocketAddress from, Consumer<byte[]> onResponse) {
         String leader = store.leader();
-        if (leader == null
-                || leader.equals(store.node())
-                || openRequests.size() >= MAX_REQUEST_IDS) {
+        if (leader == null || leader.equals(store.node()) || openRequests.size() >= MAX_REQUESTS) {
             return false;
         }
         long id = nextId++;
@@ -130,7 +135,7 @@
     private boolean markReceived(String node, long id) {
         Set<Long> ids = receivedIds.computeIfAbsent(node, n -> new LinkedHashSet<>());
         boolean isNew = ids.add(id);
-        if (ids.size() > MAX_REQUEST_IDS) {
+        if (ids.size() > MAX_REQUESTS) {
             ids.remove(ids.iterator().next());
         }
         return isNew;
--- a/src/main/java/reeldeal/zones/ZoneService.java
+++ b/src/main/java/reeldeal/zones/ZoneService.java
@@ -28,7 +28,8 @@
      */
     public static final String MEMBERS = "members.reeldeal.";
 
-    private static final String LEFT_KEY = "members/left";
+    /** The key of the departed endpoints, in the form that {@link EndpointFeed#restore} takes. */
+    private static final String DEPARTED_KEY = "members/left";
 
     private final ZonesConfig config;
     private final StoreNode store;
@@ -127,9 +128,8 @@
             if (store.isCurrent()) {
                 publish();
             } else if (!publishScheduled) {
-                // While the node catches up with the log, the zones have an outdated state that
-                // must
-                // not be published as the current one.
+                // While the node catches up with the log, the zones have an outdated state. It
+                // must not be published as the current one.
                 publishScheduled = true;
                 loop.execute(
                         () -> {
@@ -153,7 +153,7 @@
         }
         if (!feedRestored) {
             feedRestored = true;
-            feed.restore(store.get(LEFT_KEY) == null ? "" : store.get(LEFT_KEY));
+            feed.restore(store.get(DEPARTED_KEY) == null ? "" : store.get(DEPARTED_KEY));
         }
         for (HostedZone zone : zones.all()) {
             var changedNames = zone.takeChangedNames();
@@ -175,8 +175,8 @@
      * Uses the searchers of this node's own copy of the zones, as the store's group is unreachable.
      */
     private void serveStale(KeyValueState copy) {
-        KeyValueState.Value left = copy.get(LEFT_KEY);
-        feed.restore(left == null ? "" : left.text());
+        KeyValueState.Value departed = copy.get(DEPARTED_KEY);
+        feed.restore(departed == null ? "" : departed.text());
         for (HostedZone zone : zones.all()) {
             Zone staleZone = ZoneKeys.readZone(zone.entry.origin(), copy);
             if (zone.entry.searchers() && staleZone.soa() != null) {
@@ -246,16 +246,16 @@
                                                                                 + ", "
                                                                                 + loaded.size()
                                                                                 + " records"
-                                                                        : " was not committed to the store")));
+                                                                        : " was not committed")));
                             }
                         },
                         loop);
     }
 
     /** Stores the departed endpoints if this node accepts writes. */
-    public static void keepLeft(StoreNode store, String left) {
+    public static void keepLeft(StoreNode store, String departed) {
         if (store.acceptsWrites()) {
-            store.write(List.of(new Change(LEFT_KEY, left)), result -> {});
+            store.write(List.of(new Change(DEPARTED_KEY, departed)), result -> {});
         }
     }
 
@@ -267,6 +267,8 @@
     }
 
     private void onNotify(HostedZone zone, long serial) {
-        secondaryClients.stream().filter(f -> f.zone() == zone).forEach(f -> f.onNotify(serial));
+        secondaryClients.stream()
+                .filter(client -> client.zone() == zone)
+                .forEach(client -> client.onNotify(serial));
     }
 }
--- a/src/main/java/reeldeal/zones/ZonesConfig.java
+++ b/src/main/java/reeldeal/zones/ZonesConfig.java
@@ -39,14 +39,14 @@
      * @param primaries the servers from which a secondary zone is transferred; empty for a primary
      *     zone
      * @param secondaries the servers to notify of changes
-     * @param query who may query the zone
-     * @param transfer who may transfer the zone
-     * @param update who may update the zone
+     * @param queryAccess who may query the zone
+     * @param transferAccess who may transfer the zone
+     * @param updateAccess who may update the zone
      * @param grants restrict what signed updates may change; if empty, a permitted update may
      *     change any record
      * @param searchers whether the zone lists searchers
-     * @param journal how many records of changes are kept for incremental transfers, 0 to 10
-     *     million
+     * @param maxJournalRecords how many records of changes are kept for incremental transfers, 0 to
+     *     10 million
      * @param maxRecords the limit of records in the zone
      */
     public record Entry(
@@ -54,12 +54,12 @@
             Path file,
             List<Peer> primaries,
             List<Peer> secondaries,
-            AccessList query,
-            AccessList transfer,
-            AccessList update,
+            AccessList queryAccess,
+            AccessList transferAccess,
+            AccessList updateAccess,
             List<UpdateGrant> grants,
             boolean searchers,
-            int journal,
+            int maxJournalRecords,
             int maxRecords) {
         /** Returns whether the zone is a copy that is transferred from primaries. */
         boolean secondary() {
--- a/src/test/java/reeldeal/zones/InteropTest.java
+++ b/src/test/java/reeldeal/zones/InteropTest.java
@@ -415,9 +415,8 @@
                             || (answer[5] & 0xf) == Rcode.FORMERR
                             || (answer[5] & 0xf) == Rcode.NOTIMP);
         }
-        // The malformed datagrams may still fill the UDP socket's receive buffer. A query over TCP
-        // is
-        // answered regardless of them.
+        // The malformed datagrams may still fill the UDP socket's receive buffer. A query over
+        // TCP is answered regardless of them.
         Message query =
                 Message.newQuery(
                         Record.newRecord(Name.fromString("www." + ORIGIN), Type.A, DClass.IN));
--- a/src/test/java/reeldeal/zones/SecondaryTest.java
+++ b/src/test/java/reeldeal/zones/SecondaryTest.java
@@ -310,8 +310,8 @@
                             void respond(Message query, DataOutputStream out) throws IOException {
                                 if (stalls[0]) {
                                     try {
-                                        Thread.sleep(
-                                                60_000); // says nothing, and keeps the connection
+                                        // Sends nothing and keeps the connection open.
+                                        Thread.sleep(60_000);
                                     } catch (InterruptedException e) {
                                         throw new IOException(e);
                                     }
