--- a/src/main/java/reeldeal/http/Exchange.java
+++ b/src/main/java/reeldeal/http/Exchange.java
@@ -2,18 +2,18 @@
 
 import java.util.Map;
 
-/** One request on a connection, waiting for its one response. Used on the server's event loop. */
+/** A request that waits for its response. Used only on the server's event loop. */
 public interface Exchange {
 
     /**
-     * Writes the response; a second one is ignored.
+     * Writes the response. Calls after the first are ignored.
      *
      * @param status the status code
-     * @param headers headers beside the content's length
-     * @param body the content
+     * @param headers the response headers without Content-Length, which is added
+     * @param body the response body
      */
     void respond(int status, Map<String, String> headers, byte[] body);
 
-    /** Sets what to run if the client disconnects before it has its response. */
+    /** Sets an action to run if the client disconnects before the response is written. */
     void onDisconnect(Runnable action);
 }
--- a/src/main/java/reeldeal/http/HttpClient.java
+++ b/src/main/java/reeldeal/http/HttpClient.java
@@ -17,27 +17,27 @@
 import java.util.function.Supplier;
 
 /**
- * A client of one server, with one call at a time on a connection that is kept open between calls.
- * Not thread-safe: all methods are called on the event loop of its group, as are the results'
- * consumers.
+ * An HTTP client for one server. It makes one call at a time, on a connection that it keeps open
+ * between calls. Not thread-safe: all methods are called on the event loop of the client's group,
+ * as are the consumers of the results.
  */
 public final class HttpClient {
 
-    /** How a call ended. */
+    /** The outcome of a call. */
     public sealed interface Result {}
 
-    /** The server responded. */
+    /** The server sent a complete response. */
     public record Responded(HttpMessage message) implements Result {}
 
     /**
-     * There was no response.
+     * The call ended without a complete response.
      *
      * @param written whether the complete request was written, so that the server may have read it
-     * @param why what went wrong, for the log
+     * @param why the reason, for the log
      */
     public record NoResponse(boolean written, String why) implements Result {}
 
-    /** The request of a call; a body of null means that there is nothing to write any more. */
+    /** The request of a call. A null body means that the request is no longer wanted. */
     private record Call(
             String method, String target, Map<String, String> headers, Supplier<byte[]> body) {}
 
@@ -55,7 +55,7 @@
      *
      * @param group a group of one event loop, which runs the client
      * @param address the server's address
-     * @param connectTimeoutMs time to establish a connection, in milliseconds
+     * @param connectTimeoutMs the time limit for connecting, in milliseconds
      */
     public HttpClient(EventLoopGroup group, InetSocketAddress address, int connectTimeoutMs) {
         this.group = group;
@@ -68,21 +68,21 @@
         return resultConsumer == null;
     }
 
-    /** Whether the request of the call in flight was written completely. */
+    /** Whether the complete request of the call in flight was written. */
     public boolean isWritten() {
         return written;
     }
 
     /**
-     * Begins a call, which ends in exactly one result. There must be no other call in flight.
+     * Begins a call, which ends with exactly one result. No other call may be in flight.
      *
      * @param method the request's method
      * @param target the request's target
-     * @param headers headers beside the host and the content's length
-     * @param body called right before the request is written; where it returns null, nothing is
-     *     written
-     * @param timeoutMs time to connect, write and wait, in milliseconds
-     * @param then receives the result
+     * @param headers the request headers without Host and Content-Length, which are added
+     * @param body supplies the body right before the request is written; if it returns null,
+     *     nothing is written and the call fails
+     * @param timeoutMs the time limit for the whole call, from connecting to the response
+     * @param onResult receives the result
      */
     public void call(
             String method,
@@ -90,13 +90,15 @@
             Map<String, String> headers,
             Supplier<byte[]> body,
             long timeoutMs,
-            Consumer<Result> then) {
-        resultConsumer = then;
+            Consumer<Result> onResult) {
+        resultConsumer = onResult;
         written = false;
         timeout =
                 group.next()
                         .schedule(
-                                () -> fail("no answer in time"), timeoutMs, TimeUnit.MILLISECONDS);
+                                () -> fail("timed out before a complete response"),
+                                timeoutMs,
+                                TimeUnit.MILLISECONDS);
         Call call = new Call(method, target, headers, body);
         if (channel != null && channel.isActive()) {
             write(call, channel);
@@ -123,22 +125,23 @@
                     } else if (future.isSuccess()) {
                         write(call, connecting.channel());
                     } else {
-                        fail("could not connect");
+                        fail("connection failed or timed out");
                     }
                 });
     }
 
-    private void write(Call call, Channel to) {
+    private void write(Call call, Channel destination) {
         byte[] body = call.body().get();
         if (body == null) {
-            fail("nothing left to ask");
+            fail("request withdrawn before it was written");
             return;
         }
         String host = address.getHostString() + ":" + address.getPort();
-        to.writeAndFlush(
+        destination
+                .writeAndFlush(
                         HttpWriter.request(
                                 call.method(), call.target(), host, call.headers(), body))
-                .addListener(future -> written |= to == channel && future.isSuccess());
+                .addListener(future -> written |= destination == channel && future.isSuccess());
     }
 
     /** Ends the call in flight without a response and closes the connection. */
@@ -148,18 +151,18 @@
     }
 
     private void closeChannel() {
-        Channel old = channel;
+        Channel previous = channel;
         channel = null;
-        if (old != null) {
-            old.close();
+        if (previous != null) {
+            previous.close();
         }
     }
 
-    private void fail(String why) {
+    private void fail(String reason) {
         if (!isFree()) {
-            // A response that comes late must not be taken for that of the next call.
+            // A late response must not be mistaken for the response to the next call.
             closeChannel();
-            finish(new NoResponse(written, why));
+            finish(new NoResponse(written, reason));
         }
     }
 
@@ -197,7 +200,7 @@
             if (result instanceof HttpParser.Complete complete && !isFree()) {
                 succeed(complete.message());
             } else if (!(result instanceof HttpParser.NeedMore)) {
-                fail("malformed response");
+                fail("received a malformed or unexpected response");
                 ctx.close();
             }
         }
@@ -210,7 +213,7 @@
             channel = null;
             HttpMessage response = reset ? null : parser.endOfInput();
             if (response == null) {
-                fail("connection ended");
+                fail("connection closed before a complete response");
             } else {
                 succeed(response);
             }
--- a/src/main/java/reeldeal/http/HttpMessage.java
+++ b/src/main/java/reeldeal/http/HttpMessage.java
@@ -4,28 +4,31 @@
 import java.util.Map;
 
 /**
- * A request or a response.
+ * A parsed HTTP request or response.
  *
- * @param first the start line's first word: a request's method, or a response's version
- * @param second the start line's second word: a request's target, or a response's status
- * @param third the rest of the start line: a request's version, or a response's reason
- * @param headers headers by their names in lower case
- * @param body the content, empty where there is none
+ * @param first the first field of the start line: the method of a request, the version of a
+ *     response
+ * @param second the second field of the start line: the target of a request, the status of a
+ *     response
+ * @param third the rest of the start line: the version of a request, the reason phrase of a
+ *     response
+ * @param headers header values by lower-case name
+ * @param body the body, empty if the message has none
  */
 public record HttpMessage(
         String first, String second, String third, Map<String, String> headers, byte[] body) {
 
-    /** A header's value, or null where it is not given. */
+    /** Returns the value of a header, or null if the message does not have it. */
     public String header(String lowerCaseName) {
         return headers.get(lowerCaseName);
     }
 
-    /** A response's status code. */
+    /** Returns the status code of a response. */
     public int status() {
         return Integer.parseInt(second);
     }
 
-    /** A request's path: its target without the query. */
+    /** Returns the path of a request: the target without the query string. */
     public String path() {
         int queryStart = second.indexOf('?');
         return queryStart < 0 ? second : second.substring(0, queryStart);
--- a/src/main/java/reeldeal/http/HttpParser.java
+++ b/src/main/java/reeldeal/http/HttpParser.java
@@ -9,10 +9,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Incremental parser of HTTP/1.1 messages, with bodies by length or in chunks and a bound on every
- * length. What it cannot parse is a value, never an exception, and ends the parsing of that
- * connection. Bytes are scanned once, however finely they are fragmented, so that the work for a
- * message is proportional to its size. Not thread-safe; owned by one connection.
+ * Incremental parser of HTTP/1.1 messages, with bodies of a given length or in chunks. Every length
+ * is bounded. Malformed input is reported as a result, never as an exception, and ends the parsing
+ * of that connection. Each byte is scanned only once, however small the fragments, so that the work
+ * for a message is proportional to its size. Not thread-safe; owned by one connection.
  */
 public final class HttpParser {
     private static final int MAX_BODY_BYTES = 64 * 1024;
@@ -20,7 +20,7 @@
     private static final int MAX_HEADERS = 100;
     private static final int MAX_CHUNK_LINE_BYTES = 256;
 
-    /** Most bytes of a message that chunks may take beside their content. */
+    /** The most bytes that the chunk-size lines of one message may take. */
     private static final int MAX_FRAMING_BYTES = 4 * MAX_BODY_BYTES;
 
     private static final int INITIAL_BUFFER_BYTES = 1024;
@@ -29,13 +29,14 @@
     private static final Pattern LINE_END = Pattern.compile("\r?\n");
     private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
 
-    /** The outcome of parsing what was fed so far. */
+    /** The outcome of parsing the bytes that were fed so far. */
     public sealed interface Result {}
 
     /**
-     * More bytes are needed.
+     * The message is not complete; more bytes are needed.
      *
-     * @param expectsContinue whether the client now waits for status 100 before it sends the body
+     * @param expectsContinue whether the client now waits for the response "100 Continue" before it
+     *     sends the body
      */
     public record NeedMore(boolean expectsContinue) implements Result {}
 
@@ -43,14 +44,14 @@
     public record Complete(HttpMessage message) implements Result {}
 
     /**
-     * The bytes are no acceptable message.
+     * The bytes are not a valid message or exceed a limit.
      *
      * @param status the status to respond with
-     * @param why what is wrong
+     * @param reason the fault, in the text that the client gets
      */
-    public record Malformed(int status, String why) implements Result {}
+    public record Malformed(int status, String reason) implements Result {}
 
-    private enum State {
+    private enum Stage {
         HEAD,
         FIXED_LENGTH_BODY,
         CHUNK_LINE,
@@ -60,40 +61,43 @@
         BODY_UNTIL_CLOSE
     }
 
-    private final boolean responses;
+    private final boolean parsesResponses;
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
-    private int start; // of what is not parsed yet
-    private int end;
-    private int scanned; // up to here there is no end of the present line or head
+    private int start; // index of the first byte that is not parsed yet
+    private int end; // index after the last byte that was fed
+    private int scanned; // bytes before this index hold no end of the current line or head
     private Malformed malformed;
-    private State state = State.HEAD;
+    private Stage stage = Stage.HEAD;
     private HttpMessage head;
     private ByteArrayOutputStream chunkedBody;
-    private long remaining; // bytes of the body, or of the present chunk
+    private long remaining; // bytes of the body, or of the current chunk, still to be read
     private int framingBytes;
     private boolean continueSignalled;
 
-    /** Creates a parser of responses (true) or of requests (false). */
-    public HttpParser(boolean responses) {
-        this.responses = responses;
+    /** Creates a parser of responses if {@code parsesResponses}, otherwise of requests. */
+    public HttpParser(boolean parsesResponses) {
+        this.parsesResponses = parsesResponses;
     }
 
-    /** Whether more may be fed before a message is taken; bounds the memory of a connection. */
+    /**
+     * Whether more bytes may be fed before the next message is taken. Bounds the memory that one
+     * connection can use.
+     */
     public boolean acceptsMore() {
         return end - start < MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES;
     }
 
-    /** The memory taken by buffers, in bytes. */
+    /** Returns the memory used by the buffers, in bytes. */
     public int bufferedBytes() {
         return buffer.length + (chunkedBody == null ? 0 : chunkedBody.size());
     }
 
     /** Whether bytes of an incomplete message are buffered. */
     public boolean inMessage() {
-        return end > start || state != State.HEAD;
+        return end > start || stage != Stage.HEAD;
     }
 
-    /** Appends {@code length} bytes from {@code offset} on. */
+    /** Appends {@code length} bytes, starting at {@code offset}, to the unparsed input. */
     public void feed(byte[] bytes, int offset, int length) {
         if (start > 0) {
             System.arraycopy(buffer, start, buffer, 0, end - start);
@@ -108,7 +112,7 @@
         end += length;
     }
 
-    /** Parses what was fed, up to the end of the next message. */
+    /** Parses the bytes fed so far, up to the end of the next message. */
     public Result next() {
         if (malformed != null) {
             return malformed;
@@ -116,7 +120,7 @@
         Result result = null;
         while (result == null) {
             result =
-                    switch (state) {
+                    switch (stage) {
                         case HEAD -> parseHead();
                         case FIXED_LENGTH_BODY -> parseFixedLengthBody();
                         case CHUNK_LINE -> parseChunkLine();
@@ -126,8 +130,8 @@
                         case BODY_UNTIL_CLOSE -> parseBodyUntilClose();
                     };
         }
-        if (result instanceof Malformed failure) {
-            malformed = failure;
+        if (result instanceof Malformed malformedMessage) {
+            malformed = malformedMessage;
             start = 0;
             end = 0;
             buffer = new byte[0];
@@ -136,7 +140,7 @@
         return result;
     }
 
-    // Each step below returns null to go on with the next state.
+    // Each of the following methods parses one stage; null means to continue with the next stage.
 
     private Result parseHead() {
         while (start < end && (buffer[start] == '\r' || buffer[start] == '\n')) {
@@ -154,17 +158,17 @@
                         new String(buffer, start, headEnd - start, StandardCharsets.ISO_8859_1));
         start = headEnd;
         String[] startLine = lines[0].split(" ", 3);
-        Malformed failure = checkStartLine(startLine);
-        if (failure != null) {
-            return failure;
+        Malformed malformedMessage = checkStartLine(startLine);
+        if (malformedMessage != null) {
+            return malformedMessage;
         }
         if (lines.length - 1 > MAX_HEADERS) {
             return new Malformed(431, "too many headers");
         }
         Map<String, String> headers = new HashMap<>();
-        failure = parseHeaders(lines, headers);
-        if (failure != null) {
-            return failure;
+        malformedMessage = parseHeaders(lines, headers);
+        if (malformedMessage != null) {
+            return malformedMessage;
         }
         head =
                 new HttpMessage(
@@ -174,26 +178,28 @@
                         headers,
                         new byte[0]);
         return beginBody(
-                responses ? startLine[0] : startLine[2],
+                parsesResponses ? startLine[0] : startLine[2],
                 headers.get("transfer-encoding"),
                 headers.get(CONTENT_LENGTH));
     }
 
-    private Malformed checkStartLine(String[] words) {
-        if (words.length < (responses ? 2 : 3) || words[0].isEmpty() || words[1].isEmpty()) {
+    private Malformed checkStartLine(String[] startLine) {
+        if (startLine.length < (parsesResponses ? 2 : 3)
+                || startLine[0].isEmpty()
+                || startLine[1].isEmpty()) {
             return new Malformed(400, "malformed start line");
         }
-        String version = responses ? words[0] : words[2];
+        String version = parsesResponses ? startLine[0] : startLine[2];
         if (!version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
             return new Malformed(version.startsWith("HTTP/") ? 505 : 400, "unsupported version");
         }
-        if (responses && !words[1].matches("[1-5][0-9][0-9]")) {
+        if (parsesResponses && !startLine[1].matches("[1-5][0-9][0-9]")) {
             return new Malformed(400, "malformed status");
         }
         return null;
     }
 
-    /** Parses the lines after the start line into headers by their names in lower case. */
+    /** Parses the lines after the start line into {@code headers}, with names in lower case. */
     private static Malformed parseHeaders(String[] lines, Map<String, String> headers) {
         for (int i = 1; i < lines.length; i++) {
             int colon = lines[i].indexOf(':');
@@ -207,22 +213,22 @@
             if (previous == null) {
                 headers.put(key, value);
             } else if (!key.equals(CONTENT_LENGTH)) {
-                // A field given twice is a list, so that one which may be given only once is seen
-                // to be malformed.
+                // A repeated field is joined to a list. A field that must not be repeated then has
+                // an invalid value and is rejected when it is used.
                 headers.put(key, previous + ", " + value);
             } else if (!previous.equals(value)) {
-                // Two lengths that differ let a message be read in two ways.
+                // With two different lengths, the end of the message would be ambiguous.
                 return new Malformed(400, "two lengths");
             }
         }
         return null;
     }
 
-    /** Chooses how the body is framed. */
+    /** Selects the framing of the body from the headers. */
     private Result beginBody(String version, String coding, String length) {
         if (coding != null) {
-            // With a length beside it, or a coding that is not supported here, others may see
-            // another end of the body.
+            // With both a length and a transfer coding, or with an unsupported coding, another
+            // server or proxy may place the end of the body elsewhere (request smuggling).
             if (length != null
                     || !coding.equalsIgnoreCase("chunked")
                     || version.equals("HTTP/1.0")) {
@@ -230,12 +236,12 @@
             }
             chunkedBody = new ByteArrayOutputStream();
             framingBytes = 0;
-            state = State.CHUNK_LINE;
+            stage = Stage.CHUNK_LINE;
             return null;
         }
         if (length == null) {
-            if (responses && !head.second().matches("1..|204|304")) {
-                state = State.BODY_UNTIL_CLOSE;
+            if (parsesResponses && !head.second().matches("1..|204|304")) {
+                stage = Stage.BODY_UNTIL_CLOSE;
                 return null;
             }
             return complete(new byte[0]);
@@ -247,7 +253,7 @@
         if (remaining > MAX_BODY_BYTES) {
             return new Malformed(413, "body too large");
         }
-        state = State.FIXED_LENGTH_BODY;
+        stage = Stage.FIXED_LENGTH_BODY;
         return null;
     }
 
@@ -260,17 +266,17 @@
         return complete(body);
     }
 
-    /** A response without a length ends with its connection: {@link #endOfInput}. */
+    /** Waits: a response without a length ends when its connection does ({@link #endOfInput}). */
     private Result parseBodyUntilClose() {
         return end - start > MAX_BODY_BYTES ? new Malformed(413, "body too large") : needMore();
     }
 
     /**
-     * The message that is complete because the peer has closed its connection in order, or null
-     * where none is. Not to be called after a reset.
+     * Returns the response that an orderly close by the peer completes, or null if there is none.
+     * Must not be called after a connection reset, which may have cut the body short.
      */
     public HttpMessage endOfInput() {
-        if (state != State.BODY_UNTIL_CLOSE || malformed != null || end - start > MAX_BODY_BYTES) {
+        if (stage != Stage.BODY_UNTIL_CLOSE || malformed != null || end - start > MAX_BODY_BYTES) {
             return null;
         }
         byte[] body = Arrays.copyOfRange(buffer, start, end);
@@ -302,7 +308,7 @@
         if (chunkedBody.size() + remaining > MAX_BODY_BYTES || framingBytes > MAX_FRAMING_BYTES) {
             return new Malformed(413, "body too large");
         }
-        state = remaining == 0 ? State.TRAILER : State.CHUNK;
+        stage = remaining == 0 ? Stage.TRAILER : Stage.CHUNK;
         framingBytes = remaining == 0 ? 0 : framingBytes;
         return null;
     }
@@ -315,7 +321,7 @@
         if (remaining > 0) {
             return needMore();
         }
-        state = State.CHUNK_END;
+        stage = Stage.CHUNK_END;
         return null;
     }
 
@@ -328,7 +334,7 @@
         }
         start += 2;
         scanned = start;
-        state = State.CHUNK_LINE;
+        stage = Stage.CHUNK_LINE;
         return null;
     }
 
@@ -347,7 +353,7 @@
         return last ? complete(chunkedBody.toByteArray()) : null;
     }
 
-    /** Signals once that the client waits for status 100. */
+    /** Returns the result for an incomplete body; asks only once to send "100 Continue". */
     private NeedMore needMore() {
         boolean expectsContinue =
                 !continueSignalled && "100-continue".equalsIgnoreCase(head.header("expect"));
@@ -358,7 +364,7 @@
     private Complete complete(byte[] body) {
         HttpMessage message =
                 new HttpMessage(head.first(), head.second(), head.third(), head.headers(), body);
-        state = State.HEAD;
+        stage = Stage.HEAD;
         head = null;
         chunkedBody = null;
         scanned = start;
@@ -386,7 +392,7 @@
                 return i + 3;
             }
         }
-        // The last two bytes may still turn out to begin the empty line.
+        // The last two bytes may be the beginning of the empty line that ends the head.
         scanned = Math.max(start, end - 2);
         return -1;
     }
--- a/src/main/java/reeldeal/http/HttpServer.java
+++ b/src/main/java/reeldeal/http/HttpServer.java
@@ -15,9 +15,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Accepts connections, and passes each request to a handler, one at a time on a connection. The
- * number of connections, the memory of what is being read and the time of everything a client does
- * are bounded.
+ * Accepts connections and passes each request to a handler, one request at a time per connection.
+ * The number of connections, the memory of partly read requests and the time that a client may take
+ * for each step are bounded.
  *
  * <p>Not thread-safe: after {@link #listen} all methods are called on the server's event loop, as
  * are the handler and the exchanges.
@@ -26,7 +26,7 @@
     private static final int BACKLOG = 512;
     private static final int SWEEP_INTERVAL_MS = 250;
 
-    /** At most this fraction of the connections (one in so many) may be idle. */
+    /** At most {@code maxConnections / IDLE_DIVISOR} connections may be idle. */
     private static final int IDLE_DIVISOR = 2;
 
     private final int maxConnections;
@@ -34,7 +34,7 @@
     private final RequestHandler handler;
     private final LongSupplier clock;
     private final Set<ServerConnection> connections = new LinkedHashSet<>();
-    private final ConnectionListener connectionListener = new ConnectionListener();
+    private final ConnectionTracker connectionTracker = new ConnectionTracker();
     private Channel listener;
     private boolean closing;
     private boolean keepIdle;
@@ -42,29 +42,33 @@
     /**
      * Creates a server.
      *
-     * @param maxConnections most open connections, to stay within the limit on descriptors; beyond
-     *     it an unused connection is closed, or else the new one
-     * @param maxUnreadBytes most memory for incomplete messages; beyond it a request is rejected
-     * @param handler answers the requests
+     * @param maxConnections the most open connections, to stay within the limit on file
+     *     descriptors; for a new connection beyond it an unused one is closed, or else the new one
+     * @param maxIncompleteBytes the most memory for partly read messages; a request that exceeds it
+     *     is rejected
+     * @param handler responds to the requests
      */
-    public HttpServer(int maxConnections, long maxUnreadBytes, RequestHandler handler) {
-        this(maxConnections, maxUnreadBytes, handler, () -> System.nanoTime() / 1_000_000);
+    public HttpServer(int maxConnections, long maxIncompleteBytes, RequestHandler handler) {
+        this(maxConnections, maxIncompleteBytes, handler, () -> System.nanoTime() / 1_000_000);
     }
 
     HttpServer(
-            int maxConnections, long maxUnreadBytes, RequestHandler handler, LongSupplier clock) {
+            int maxConnections,
+            long maxIncompleteBytes,
+            RequestHandler handler,
+            LongSupplier clock) {
         this.clock = clock;
         this.maxConnections = maxConnections;
-        this.memory = new MemoryBudget(maxUnreadBytes);
+        this.memory = new MemoryBudget(maxIncompleteBytes);
         this.handler = handler;
     }
 
     /**
-     * Begins to listen.
+     * Starts to listen.
      *
      * @param group a group of one event loop, which runs the server
      * @param address the only address to listen on
-     * @return completes when the address is bound, or fails
+     * @return a future that completes when the address is bound, or fails
      */
     public ChannelFuture listen(EventLoopGroup group, InetSocketAddress address) {
         ServerBootstrap bootstrap =
@@ -93,25 +97,28 @@
     }
 
     private ServerConnection newConnection() {
-        return new ServerConnection(memory, handler, clock, connectionListener);
+        return new ServerConnection(memory, handler, clock, connectionTracker);
     }
 
-    /** The address listened on. */
+    /** Returns the address that the server listens on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Closes no idle connection from now on: soon their clients will not get new ones. */
+    /**
+     * Stops closing idle connections. Called before the server stops listening, when a client whose
+     * connection was closed could not open a new one.
+     */
     public void keepIdle() {
         keepIdle = true;
     }
 
-    /** Stops accepting connections; the open ones are served on. */
+    /** Stops accepting connections; open connections are still served. */
     public void stopListening() {
         listener.close();
     }
 
-    /** Closes the connections without a request; from now on each response closes its own. */
+    /** Closes the connections without a request. Every later response closes its connection. */
     public void stopServing() {
         closing = true;
         for (ServerConnection connection : Set.copyOf(connections)) {
@@ -119,12 +126,12 @@
         }
     }
 
-    /** The number of open connections. */
+    /** Returns the number of open connections. */
     public int openConnections() {
         return connections.size();
     }
 
-    /** Ends what has exceeded its time: silent clients, incomplete requests, unread answers. */
+    /** Applies the timeouts of all connections: silence, incomplete requests, unread responses. */
     void sweep() {
         long now = clock.getAsLong();
         for (ServerConnection connection : Set.copyOf(connections)) {
@@ -132,35 +139,39 @@
         }
     }
 
-    /** Memory of the messages that are being read, in bytes. */
-    long heldBytes() {
+    /** Returns the memory used by partly read messages, in bytes. */
+    long usedMemoryBytes() {
         return memory.usedBytes();
     }
 
-    /** The number of connections with an incomplete request, or one that is being answered. */
-    int messagesBegun() {
-        int begun = 0;
+    /** Returns the number of connections with an incomplete request or one without a response. */
+    int connectionsWithRequest() {
+        int count = 0;
         for (ServerConnection connection : connections) {
-            begun += connection.hasRequestBegun() ? 1 : 0;
+            count += connection.hasRequestInProgress() ? 1 : 0;
         }
-        return begun;
+        return count;
     }
 
-    /** The number of connections that read no further request. */
-    int connectionsEnding() {
-        int ending = 0;
+    /** Returns the number of connections that will not read another request. */
+    int endingConnections() {
+        int count = 0;
         for (ServerConnection connection : connections) {
-            ending += connection.isEnding() ? 1 : 0;
+            count += connection.isEnding() ? 1 : 0;
         }
-        return ending;
+        return count;
     }
 
-    /** Closes the connection that is least likely to be used; false where none may be closed. */
-    private boolean closeLeastUsed() {
+    /**
+     * Closes the connection that is least likely to be used again.
+     *
+     * @return false if no connection may be closed
+     */
+    private boolean evictLeastUsed() {
         long now = clock.getAsLong();
         ServerConnection leastUsed = null;
         for (ServerConnection connection : connections) {
-            if (connection.mayGiveWay(now)
+            if (connection.isEvictable(now)
                     && (leastUsed == null || connection.isLessUsedThan(leastUsed))) {
                 leastUsed = connection;
             }
@@ -168,29 +179,31 @@
         if (leastUsed == null) {
             return false;
         }
-        // Its close is reported later: until then it would be chosen again for each new connection.
+        // The channel reports its close later. Until then this connection would be chosen again for
+        // every new one.
         remove(leastUsed);
         leastUsed.close();
         return true;
     }
 
     /**
-     * Closes the connection that has been idle for longest where too many are: clients open no
-     * further ones once they hold a share of the descriptors, however few of those they still use.
+     * Closes the connection that has been idle for longest if too many are idle. A client that
+     * holds its share of the file descriptors opens no further connections, even if it uses only a
+     * few of those that it holds.
      */
-    private void closeOldestIdle() {
-        ServerConnection oldest = null;
-        int idle = 0;
+    private void closeLongestIdle() {
+        ServerConnection longestIdle = null;
+        int idleCount = 0;
         for (ServerConnection connection : connections) {
             if (connection.isIdle()) {
-                idle++;
-                if (oldest == null || connection.isQuietForLongerThan(oldest)) {
-                    oldest = connection;
+                idleCount++;
+                if (longestIdle == null || connection.isInactiveLongerThan(longestIdle)) {
+                    longestIdle = connection;
                 }
             }
         }
-        if (!keepIdle && idle > Math.max(1, maxConnections / IDLE_DIVISOR)) {
-            oldest.endNow();
+        if (!keepIdle && idleCount > Math.max(1, maxConnections / IDLE_DIVISOR)) {
+            longestIdle.endGracefully();
         }
     }
 
@@ -200,11 +213,11 @@
         }
     }
 
-    /** Keeps the set of connections in step with their channels. */
-    private final class ConnectionListener implements ServerConnection.Listener {
+    /** Keeps the set of connections up to date with their channels. */
+    private final class ConnectionTracker implements ServerConnection.Listener {
         @Override
         public boolean admit(ServerConnection connection) {
-            if (connections.size() >= maxConnections && !closeLeastUsed()) {
+            if (connections.size() >= maxConnections && !evictLeastUsed()) {
                 return false;
             }
             connections.add(connection);
@@ -212,8 +225,8 @@
         }
 
         @Override
-        public void becameIdle() {
-            closeOldestIdle();
+        public void responseWritten() {
+            closeLongestIdle();
         }
 
         @Override
--- a/src/main/java/reeldeal/http/HttpWriter.java
+++ b/src/main/java/reeldeal/http/HttpWriter.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Encodes HTTP/1.1 messages with a body of known length. Stateless; any thread may call it. */
+/** Encodes HTTP/1.1 messages with a body of known length. Stateless and thread-safe. */
 public final class HttpWriter {
     private static final Map<Integer, String> REASONS =
             Map.ofEntries(
@@ -26,7 +26,7 @@
 
     private HttpWriter() {}
 
-    /** Encodes a response; {@code close} says that its connection ends after it. */
+    /** Encodes a response; {@code close} announces that the connection ends after it. */
     public static ByteBuf response(
             int status, Map<String, String> headers, byte[] body, boolean close) {
         StringBuilder head = new StringBuilder(128);
@@ -38,7 +38,7 @@
         return encode(head, headers, body, close);
     }
 
-    /** Encodes a request that keeps its connection open. */
+    /** Encodes a request that leaves its connection open. */
     public static ByteBuf request(
             String method, String target, String host, Map<String, String> headers, byte[] body) {
         StringBuilder head = new StringBuilder(128);
--- a/src/main/java/reeldeal/http/MemoryBudget.java
+++ b/src/main/java/reeldeal/http/MemoryBudget.java
@@ -1,8 +1,8 @@
 package reeldeal.http;
 
 /**
- * The memory taken by the messages that all connections of a server are reading. Owned by the
- * server and used on its event loop.
+ * Counts the memory used by the partly read messages of all connections of a server, against a
+ * limit. Owned by the server and used only on its event loop.
  */
 final class MemoryBudget {
     private final long maxBytes;
@@ -12,8 +12,8 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Adds to the used bytes, or subtracts where the change is negative. */
-    void change(long bytes) {
+    /** Adds to the used bytes, or subtracts from them if {@code bytes} is negative. */
+    void adjust(long bytes) {
         usedBytes += bytes;
     }
 
--- a/src/main/java/reeldeal/http/RequestHandler.java
+++ b/src/main/java/reeldeal/http/RequestHandler.java
@@ -1,8 +1,8 @@
 package reeldeal.http;
 
-/** Answers the requests of an {@link HttpServer}, on the server's event loop. */
+/** Responds to the requests of an {@link HttpServer}, on the server's event loop. */
 public interface RequestHandler {
 
-    /** Handles one request; responds now or later, without blocking. */
+    /** Handles one request. Must not block; it may respond now or later. */
     void handle(HttpMessage request, Exchange exchange);
 }
--- a/src/main/java/reeldeal/http/ServerConnection.java
+++ b/src/main/java/reeldeal/http/ServerConnection.java
@@ -12,35 +12,35 @@
 import java.util.function.LongSupplier;
 
 /**
- * One connection of an {@link HttpServer}: reads requests, has one at a time answered, and ends
- * when its time is over. All methods run on the server's event loop.
+ * One connection of an {@link HttpServer}: reads requests, passes them to the handler one at a
+ * time, and closes itself after a timeout. All methods run on the server's event loop.
  */
 final class ServerConnection extends ChannelInboundHandlerAdapter {
-    /** Time from connecting to the end of the first request. */
+    /** Time limit from connecting to the end of the first request. */
     private static final int FIRST_REQUEST_TIMEOUT_MS = 2_000;
 
-    /** Time from a later request's first byte to its last. */
+    /** Time limit from the first byte to the last byte of a later request. */
     private static final int REQUEST_TIMEOUT_MS = 2_000;
 
-    /** Time between requests. */
+    /** Time for which a connection may stay idle between requests. */
     private static final int IDLE_TIMEOUT_MS = 4_000;
 
-    /** Time for which a client may leave an answer unread. */
-    private static final int UNREAD_ANSWER_TIMEOUT_MS = 4_000;
+    /** Time for which a client may leave a response unread. */
+    private static final int UNREAD_RESPONSE_TIMEOUT_MS = 4_000;
 
-    /** Time for which a client may read the last answer, and close. */
+    /** Time that a client has to read the last response and close the connection. */
     private static final int LINGER_MS = 500;
 
-    /** A silent connection of this age gives way where there are too many. */
-    private static final int MIN_SILENT_MS = 250;
+    /** Age from which a connection without a request may be evicted for a new connection. */
+    private static final int MIN_EVICTION_AGE_MS = 250;
 
-    /** Most bytes that are read and discarded on a connection. */
+    /** The most bytes that are read and discarded on a connection before it is closed. */
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
-    /** By this each further bad request in a row is delayed longer. */
+    /** The delay after consecutive bad requests grows by this much with each of them. */
     private static final int BAD_REQUEST_DELAY_MS = 100;
 
-    private static final int MAX_BAD_REQUEST_DELAYS = 4;
+    private static final int MAX_BAD_REQUEST_DELAY_STEPS = 4;
 
     private static final Map<String, String> PLAIN_TEXT = Map.of("Content-Type", "text/plain");
     private static final byte[] CONTINUE = ascii("HTTP/1.1 100 Continue\r\n\r\n");
@@ -48,18 +48,18 @@
     private static final byte[] INTERNAL_ERROR = ascii("the broker failed on this request\n");
     private static final byte[] REQUEST_TIMEOUT = ascii("the request did not come whole in time\n");
 
-    /** What a connection needs to know from its server, and what it reports to it. */
+    /** The connection's interface to its server: events that it reports, and the server's state. */
     interface Listener {
-        /** Whether a connection may stay open; it is counted from now on where it may. */
+        /** Registers a connection if it may stay open; returns whether it may. */
         boolean admit(ServerConnection connection);
 
-        /** A response was written that leaves its connection open. */
-        void becameIdle();
+        /** Reports that a response was written which leaves its connection open. */
+        void responseWritten();
 
-        /** Whether each response closes its connection. */
+        /** Whether the server is closing, so that each response closes its connection. */
         boolean isServerClosing();
 
-        /** The connection's channel was closed. */
+        /** Reports that the connection's channel was closed. */
         void disconnected(ServerConnection connection);
     }
 
@@ -69,14 +69,14 @@
     private final Listener listener;
     private HttpParser parser = new HttpParser(false);
     private ChannelHandlerContext context;
-    private PendingExchange current;
+    private PendingExchange currentExchange;
     private boolean hadRequest;
-    private boolean ending; // no further request is read
-    private boolean delayed; // after bad requests
-    private long quietSince;
-    private long requestSince;
+    private boolean ending; // no further request will be read
+    private boolean delayedAfterBadRequests;
+    private long inactiveSince;
+    private long requestStartedAt;
     private int discardedBytes;
-    private int badRequestsInRow;
+    private int consecutiveBadRequests;
 
     ServerConnection(
             MemoryBudget memory, RequestHandler handler, LongSupplier clock, Listener listener) {
@@ -84,43 +84,49 @@
         this.handler = handler;
         this.clock = clock;
         this.listener = listener;
-        this.quietSince = clock.getAsLong();
+        this.inactiveSince = clock.getAsLong();
     }
 
     private static byte[] ascii(String text) {
         return text.getBytes(StandardCharsets.US_ASCII);
     }
 
-    // ---- what the server asks ----
+    // ---- called by the server ----
 
-    /** Whether it is open for a further request and has had one. */
+    /** Whether this connection has had a request and now waits for another. */
     boolean isIdle() {
-        return hadRequest && current == null && !ending && !delayed && !parser.inMessage();
+        return hadRequest
+                && currentExchange == null
+                && !ending
+                && !delayedAfterBadRequests
+                && !parser.inMessage();
     }
 
     boolean isEnding() {
         return ending;
     }
 
-    boolean hasRequestBegun() {
-        return current != null || parser.inMessage();
+    boolean hasRequestInProgress() {
+        return currentExchange != null || parser.inMessage();
     }
 
-    boolean isQuietForLongerThan(ServerConnection other) {
-        return quietSince < other.quietSince;
+    boolean isInactiveLongerThan(ServerConnection other) {
+        return inactiveSince < other.inactiveSince;
     }
 
-    /** Whether it may be closed for a new connection. */
-    boolean mayGiveWay(long now) {
-        return current == null && (ending || hadRequest || now - quietSince >= MIN_SILENT_MS);
+    /** Whether this connection may be closed to make room for a new one. */
+    boolean isEvictable(long now) {
+        return currentExchange == null
+                && (ending || hadRequest || now - inactiveSince >= MIN_EVICTION_AGE_MS);
     }
 
-    /** Whether less is lost with this connection than with another that may give way. */
+    /** Whether this connection is to be evicted rather than another evictable one. */
     boolean isLessUsedThan(ServerConnection other) {
-        return usage() < other.usage() || (usage() == other.usage() && isQuietForLongerThan(other));
+        return retentionRank() < other.retentionRank()
+                || (retentionRank() == other.retentionRank() && isInactiveLongerThan(other));
     }
 
-    private int usage() {
+    private int retentionRank() {
         if (ending) {
             return 0;
         }
@@ -128,56 +134,57 @@
     }
 
     void releaseMemory() {
-        memory.change(-parser.bufferedBytes());
+        memory.adjust(-parser.bufferedBytes());
     }
 
     void close() {
         context.close();
     }
 
-    /** Ends the connection where no request has begun on it. */
+    /** Ends the connection if no request has begun on it. */
     void endIfIdle() {
-        if (current == null && !ending && !parser.inMessage()) {
-            endNow();
+        if (currentExchange == null && !ending && !parser.inMessage()) {
+            endGracefully();
         }
     }
 
-    void endNow() {
+    void endGracefully() {
         endAfter(context.newSucceededFuture());
     }
 
-    /** Ends the connection, or its request, where the time for that is over. */
+    /** Ends the connection or rejects its incomplete request if the time limit has passed. */
     void checkTimeouts(long now, boolean keepIdle) {
-        if (current != null || delayed) {
+        if (currentExchange != null || delayedAfterBadRequests) {
             return;
         }
         boolean inMessage = parser.inMessage();
         if (ending || !context.channel().isWritable()) {
-            if (now - quietSince >= UNREAD_ANSWER_TIMEOUT_MS) {
+            if (now - inactiveSince >= UNREAD_RESPONSE_TIMEOUT_MS) {
                 context.close();
             }
         } else if (inMessage && now >= requestDeadline()) {
             reject(408, REQUEST_TIMEOUT);
         } else if (!inMessage
                 && !(hadRequest && keepIdle)
-                && now - quietSince >= (hadRequest ? IDLE_TIMEOUT_MS : FIRST_REQUEST_TIMEOUT_MS)) {
-            endNow();
+                && now - inactiveSince
+                        >= (hadRequest ? IDLE_TIMEOUT_MS : FIRST_REQUEST_TIMEOUT_MS)) {
+            endGracefully();
         }
     }
 
     private long requestDeadline() {
         return hadRequest
-                ? requestSince + REQUEST_TIMEOUT_MS
-                : quietSince + FIRST_REQUEST_TIMEOUT_MS;
+                ? requestStartedAt + REQUEST_TIMEOUT_MS
+                : inactiveSince + FIRST_REQUEST_TIMEOUT_MS;
     }
 
-    // ---- the channel's events ----
+    // ---- channel events ----
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         context = ctx;
         if (listener.admit(this)) {
-            memory.change(parser.bufferedBytes());
+            memory.adjust(parser.bufferedBytes());
         } else {
             ctx.close();
         }
@@ -195,14 +202,14 @@
         in.release();
         int bufferedBefore = parser.bufferedBytes();
         if (!parser.inMessage()) {
-            requestSince = clock.getAsLong();
+            requestStartedAt = clock.getAsLong();
         }
         parser.feed(bytes, 0, bytes.length);
-        memory.change(parser.bufferedBytes() - bufferedBefore);
+        memory.adjust(parser.bufferedBytes() - bufferedBefore);
         if (!memory.isExceeded() || parser.bufferedBytes() <= bufferedBefore) {
-            advance();
-        } else if (current == null) {
-            // Many slow or large messages must not take the memory that all others need.
+            processNextRequest();
+        } else if (currentExchange == null) {
+            // Many slow or large messages must not use up the memory that other requests need.
             reject(503, OVERLOADED);
         } else {
             discardPipelinedRequests();
@@ -210,8 +217,8 @@
     }
 
     /**
-     * Reads and discards what still comes, up to a limit on the work that it makes: closing over
-     * unread bytes resets the connection, and only who reads notices that a client disconnects.
+     * Reads and discards further input, up to a limit that bounds the work. Closing a connection
+     * with unread bytes would reset it, and a disconnect of the client is detected only by reading.
      */
     private void discard(ByteBuf in) {
         discardedBytes += in.readableBytes();
@@ -224,15 +231,15 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (ctx.channel().isWritable()) {
-            advance();
+            processNextRequest();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         listener.disconnected(this);
-        PendingExchange unanswered = current;
-        current = null;
+        PendingExchange unanswered = currentExchange;
+        currentExchange = null;
         if (unanswered != null) {
             unanswered.disconnected();
         }
@@ -240,35 +247,36 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // Exceptions stop at the connection: this one ends, no other notices.
+        // An exception ends only this connection; other connections are not affected.
         ctx.close();
     }
 
     // ---- requests ----
 
-    /** Begins the next request if none is being answered. */
-    private void advance() {
+    /** Parses and dispatches the next request unless one still waits for its response. */
+    private void processNextRequest() {
         if (ending) {
             return;
         }
-        if (current != null && !parser.acceptsMore()) {
+        if (currentExchange != null && !parser.acceptsMore()) {
             discardPipelinedRequests();
             return;
         }
         boolean writable = context.channel().isWritable();
-        if (current != null || delayed || !writable) {
-            // A client that reads no answers, or sends bad requests fast, is not read from.
-            setAutoRead(current != null || (parser.acceptsMore() && writable));
+        if (currentExchange != null || delayedAfterBadRequests || !writable) {
+            // Stops reading from a client that does not read its responses, or that sent several
+            // bad requests in a row.
+            setAutoRead(currentExchange != null || (parser.acceptsMore() && writable));
             return;
         }
         int bufferedBefore = parser.bufferedBytes();
         HttpParser.Result result = parser.next();
-        memory.change(parser.bufferedBytes() - bufferedBefore);
+        memory.adjust(parser.bufferedBytes() - bufferedBefore);
         if (result instanceof HttpParser.Complete complete) {
-            begin(complete.message());
+            dispatch(complete.message());
             setAutoRead(true);
         } else if (result instanceof HttpParser.Malformed malformed) {
-            byte[] reason = (malformed.why() + "\n").getBytes(StandardCharsets.UTF_8);
+            byte[] reason = (malformed.reason() + "\n").getBytes(StandardCharsets.UTF_8);
             reject(malformed.status(), reason);
         } else {
             setAutoRead(true);
@@ -282,83 +290,86 @@
         context.channel().config().setAutoRead(autoRead);
     }
 
-    private void begin(HttpMessage request) {
-        current = new PendingExchange(request.keepsAlive());
+    private void dispatch(HttpMessage request) {
+        currentExchange = new PendingExchange(request.keepsAlive());
         hadRequest = true;
         try {
-            handler.handle(request, current);
+            handler.handle(request, currentExchange);
         } catch (RuntimeException e) {
-            // Exceptions stop at the connection; its client still needs an answer.
-            answerFailure();
+            // An exception of the handler ends only this connection; the client still gets a
+            // response.
+            respondToHandlerFailure();
         }
     }
 
-    /** Answers in place of a handler that failed, and closes the connection. */
-    private void answerFailure() {
-        PendingExchange failed = current;
+    /** Responds in place of a handler that threw an exception, and ends the connection. */
+    private void respondToHandlerFailure() {
+        PendingExchange failed = currentExchange;
         reject(500, INTERNAL_ERROR);
         if (failed != null) {
             failed.disconnected();
         }
     }
 
-    /** Answers what is not passed to the handler, and reads no further request. */
+    /** Responds to input that is not passed to the handler, and ends the connection. */
     private void reject(int status, byte[] reason) {
-        current = new PendingExchange(false);
-        current.respond(status, PLAIN_TEXT, reason);
+        currentExchange = new PendingExchange(false);
+        currentExchange.respond(status, PLAIN_TEXT, reason);
     }
 
     /**
-     * Ends the connection after the request that is being answered. Far more was pipelined than any
-     * client needs: unread it would hide that the client disconnects, and buffered it would fill
-     * the memory.
+     * Discards pipelined requests, and ends the connection after the current request. Far more was
+     * pipelined than any client needs: left unread, it would hide a disconnect of the client, and
+     * buffered, it would fill the memory.
      */
     private void discardPipelinedRequests() {
         ending = true;
-        memory.change(-parser.bufferedBytes());
+        memory.adjust(-parser.bufferedBytes());
         parser = new HttpParser(false);
-        memory.change(parser.bufferedBytes());
+        memory.adjust(parser.bufferedBytes());
     }
 
-    /** A response was written that leaves the connection open. */
+    /** Continues after a response that leaves the connection open, delayed after bad requests. */
     private void afterResponse(int status) {
-        quietSince = clock.getAsLong();
-        requestSince = quietSince;
-        listener.becameIdle();
-        badRequestsInRow = isBadRequest(status) ? badRequestsInRow + 1 : 0;
-        if (badRequestsInRow <= 1) {
+        inactiveSince = clock.getAsLong();
+        requestStartedAt = inactiveSince;
+        listener.responseWritten();
+        consecutiveBadRequests = isBadRequest(status) ? consecutiveBadRequests + 1 : 0;
+        if (consecutiveBadRequests <= 1) {
             context.executor().execute(this::resume);
             return;
         }
-        // A client that repeats a bad request must not take the time of the others.
-        delayed = true;
-        int delays = Math.min(badRequestsInRow - 1, MAX_BAD_REQUEST_DELAYS);
+        // A client that repeats bad requests must not take processing time from other clients.
+        delayedAfterBadRequests = true;
+        int delaySteps = Math.min(consecutiveBadRequests - 1, MAX_BAD_REQUEST_DELAY_STEPS);
         context.executor()
                 .schedule(
-                        this::resume, (long) BAD_REQUEST_DELAY_MS * delays, TimeUnit.MILLISECONDS);
+                        this::resume,
+                        (long) BAD_REQUEST_DELAY_MS * delaySteps,
+                        TimeUnit.MILLISECONDS);
     }
 
-    /** Whether the client is to blame: not for a conflict, nor for being rejected under load. */
+    /** Whether the client caused the status: not so for a conflict (409) or load shedding (429). */
     private static boolean isBadRequest(int status) {
         return status >= 400 && status < 500 && status != 409 && status != 429;
     }
 
     private void resume() {
-        delayed = false;
+        delayedAfterBadRequests = false;
         if (context.channel().isActive()) {
-            advance();
+            processNextRequest();
         }
     }
 
     /**
-     * Ends the connection once this is written: first its output, then, when the client has closed
-     * as well or has had its time, all of it. Until then what comes is read and discarded: closed
-     * over unread bytes, a connection is reset, and the last answer is lost with it. A request that
-     * is discarded was never read; its client may send it elsewhere.
+     * Ends the connection after a write: first shuts down its output, then closes it when the
+     * client has closed its side or {@link #LINGER_MS} have passed. Until then input is read and
+     * discarded, because closing a connection with unread bytes resets it and loses the last
+     * response. A discarded request was never parsed, so that its client may send it elsewhere.
      */
     private void endAfter(ChannelFuture written) {
         ending = true;
-        quietSince = clock.getAsLong();
+        inactiveSince = clock.getAsLong();
         setAutoRead(true);
         written.addListener(
                 future -> {
@@ -368,7 +379,7 @@
                 });
     }
 
-    /** The request that is being answered. */
+    /** The request that waits for its response. */
     private final class PendingExchange implements Exchange {
         private final boolean keepAlive;
         private Runnable onDisconnect;
@@ -379,10 +390,10 @@
 
         @Override
         public void respond(int status, Map<String, String> headers, byte[] body) {
-            if (current != this) {
+            if (currentExchange != this) {
                 return;
             }
-            current = null;
+            currentExchange = null;
             boolean close = !keepAlive || listener.isServerClosing() || ending;
             ChannelFuture written =
                     context.writeAndFlush(HttpWriter.response(status, headers, body, close));
--- a/src/test/java/reeldeal/http/HttpParserTest.java
+++ b/src/test/java/reeldeal/http/HttpParserTest.java
@@ -5,9 +5,9 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.Test;
 
-/** How messages are parsed from fragments, and what is rejected. */
+/** Tests the parsing of fragmented messages and the rejection of malformed ones. */
 public class HttpParserTest {
-    private final HttpParser requests = new HttpParser(false);
+    private final HttpParser requestParser = new HttpParser(false);
 
     private static HttpParser.Result parse(HttpParser parser, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
@@ -20,7 +20,7 @@
     }
 
     @Test
-    public void aMessageInFragmentsOfOneByteIsOneMessage() {
+    public void messagesFedByteByByteAreParsedCompletely() {
         byte[] bytes =
                 """
 
@@ -43,8 +43,8 @@
                         .getBytes(StandardCharsets.US_ASCII);
         StringBuilder parsed = new StringBuilder();
         for (int i = 0; i < bytes.length; i++) {
-            requests.feed(bytes, i, 1);
-            if (requests.next() instanceof HttpParser.Complete complete) {
+            requestParser.feed(bytes, i, 1);
+            if (requestParser.next() instanceof HttpParser.Complete complete) {
                 parsed.append(complete.message().path())
                         .append(' ')
                         .append(complete.message().header("a"))
@@ -65,18 +65,21 @@
     }
 
     @Test
-    public void bodiesThatCouldBeReadInTwoWaysAreRejected() {
-        String post = "POST / HTTP/1.1\r\n";
-        assertEquals(400, rejectedStatus(post + "Content-Length: 1\r\nContent-Length: 2\r\n\r\n"));
+    public void ambiguousBodyLengthsAreRejected() {
+        String requestLine = "POST / HTTP/1.1\r\n";
         assertEquals(
                 400,
-                rejectedStatus(post + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"));
+                rejectedStatus(requestLine + "Content-Length: 1\r\nContent-Length: 2\r\n\r\n"));
+        assertEquals(
+                400,
+                rejectedStatus(
+                        requestLine + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"));
     }
 
     @Test
-    public void theClientsWaitForStatus100IsSignalledOnce() {
+    public void expectContinueIsReportedOnce() {
         String head = "POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n";
-        assertEquals(new HttpParser.NeedMore(true), parse(requests, head));
-        assertEquals(new HttpParser.NeedMore(false), parse(requests, "x"));
+        assertEquals(new HttpParser.NeedMore(true), parse(requestParser, head));
+        assertEquals(new HttpParser.NeedMore(false), parse(requestParser, "x"));
     }
 }
--- a/src/test/java/reeldeal/http/HttpServerTest.java
+++ b/src/test/java/reeldeal/http/HttpServerTest.java
@@ -22,9 +22,10 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** The server's limits on memory, connections and time, and how its connections end. */
+/** Tests the server's limits on memory, connections and time, and how connections are ended. */
 public class HttpServerTest {
-    private static final String HEAD = "POST / HTTP/1.1\r\nContent-Length: 60000\r\n\r\n";
+    private static final String POST_60000_BYTES =
+            "POST / HTTP/1.1\r\nContent-Length: 60000\r\n\r\n";
 
     private final AtomicLong now = new AtomicLong();
     private final BlockingQueue<Exchange> unanswered = new LinkedBlockingQueue<>();
@@ -36,7 +37,7 @@
                     100_000,
                     (message, exchange) -> {
                         if (message.path().equals("/fault")) {
-                            throw new IllegalStateException("the handler fails");
+                            throw new IllegalStateException("this handler fails for path /fault");
                         }
                         if (message.path().equals("/later")) {
                             exchange.onDisconnect(disconnected::countDown);
@@ -76,14 +77,14 @@
     }
 
     @Test
-    public void aRequestBeyondTheMemoryLimitIsRejectedAndTheOthersGoOn() throws Exception {
+    public void aRequestBeyondTheMemoryLimitIsRejectedAndOthersContinue() throws Exception {
         try (Socket first = client();
                 Socket second = client()) {
-            write(first, HEAD + "x".repeat(59_999));
-            while (group.next().submit(server::heldBytes).sync().getNow() < 60_000) {
+            write(first, POST_60000_BYTES + "x".repeat(59_999));
+            while (group.next().submit(server::usedMemoryBytes).sync().getNow() < 60_000) {
                 Thread.sleep(1);
             }
-            write(second, HEAD + "x".repeat(59_000));
+            write(second, POST_60000_BYTES + "x".repeat(59_000));
             assertEquals("HTTP/1.1 503", readStatus(second));
             write(first, "x");
             assertEquals("HTTP/1.1 200", readStatus(first));
@@ -91,9 +92,9 @@
     }
 
     @Test
-    public void anOversizeBodyIsAnsweredThoughItIsNotRead() throws Exception {
+    public void anOversizedBodyGetsStatus413WithoutBeingParsed() throws Exception {
         try (Socket socket = client()) {
-            write(socket, HEAD.replace("60000", "70000") + "x".repeat(70_000));
+            write(socket, POST_60000_BYTES.replace("60000", "70000") + "x".repeat(70_000));
             String answer =
                     new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
             assertTrue(
@@ -103,7 +104,7 @@
     }
 
     @Test
-    public void aFailureOfTheHandlerIsAnsweredAndEndsOnlyItsConnection() throws Exception {
+    public void aHandlerExceptionGetsStatus500AndEndsOnlyItsConnection() throws Exception {
         try (Socket bad = client();
                 Socket good = client()) {
             write(bad, "GET /fault HTTP/1.1\r\n\r\n");
@@ -114,19 +115,19 @@
     }
 
     /** Advances the server's clock and applies its timeouts. */
-    private void advance(long ms) throws Exception {
+    private void advanceClockAndSweep(long ms) throws Exception {
         now.addAndGet(ms);
         group.next().submit(server::sweep).sync();
     }
 
-    private void awaitOpen(int connections) throws Exception {
+    private void awaitOpenConnections(int connections) throws Exception {
         while (group.next().submit(server::openConnections).sync().getNow() != connections) {
             Thread.sleep(1);
         }
     }
 
     @Test
-    public void beyondTheLimitASilentConnectionGivesWayAndNoneThatWaitsForItsAnswer()
+    public void atTheConnectionLimitTheLongestSilentConnectionIsEvictedAndPendingRequestsAreKept()
             throws Exception {
         Socket[] silent = new Socket[6];
         try (Socket answeredLater = client();
@@ -136,15 +137,15 @@
             assertEquals("HTTP/1.1 200", readStatus(kept));
             for (int i = 0; i < silent.length; i++) {
                 silent[i] = client();
-                awaitOpen(3 + i);
+                awaitOpenConnections(3 + i);
                 now.addAndGet(1);
             }
             now.addAndGet(300);
-            try (Socket fresh = client()) {
-                write(fresh, "GET / HTTP/1.1\r\n\r\n");
-                assertEquals("HTTP/1.1 200", readStatus(fresh));
+            try (Socket newClient = client()) {
+                write(newClient, "GET / HTTP/1.1\r\n\r\n");
+                assertEquals("HTTP/1.1 200", readStatus(newClient));
                 assertEquals(
-                        "the one that was silent for longest",
+                        "expected the longest silent connection to be closed",
                         -1,
                         silent[0].getInputStream().read());
                 write(kept, "GET / HTTP/1.1\r\n\r\n");
@@ -160,7 +161,7 @@
     }
 
     @Test
-    public void silentIncompleteAndIdleConnectionsTimeOutAndThoseThatWaitForAnAnswerDoNot()
+    public void silentIncompleteAndIdleConnectionsTimeOutButPendingRequestsDoNot()
             throws Exception {
         try (Socket silent = client();
                 Socket incomplete = client();
@@ -170,25 +171,25 @@
             write(answeredLater, "GET /held HTTP/1.1\r\n\r\n");
             write(idle, "GET / HTTP/1.1\r\n\r\n");
             assertEquals("HTTP/1.1 200", readStatus(idle));
-            awaitOpen(4);
-            while (group.next().submit(server::messagesBegun).sync().getNow() < 2) {
+            awaitOpenConnections(4);
+            while (group.next().submit(server::connectionsWithRequest).sync().getNow() < 2) {
                 Thread.sleep(1);
             }
-            advance(1_999);
-            awaitOpen(4);
-            advance(1);
+            advanceClockAndSweep(1_999);
+            awaitOpenConnections(4);
+            advanceClockAndSweep(1);
             assertEquals(-1, silent.getInputStream().read());
             assertEquals("HTTP/1.1 408", readStatus(incomplete));
-            advance(2_000);
+            advanceClockAndSweep(2_000);
             idle.getInputStream()
                     .readNBytes("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n0".length() - 12);
             assertEquals(-1, idle.getInputStream().read());
-            awaitOpen(1);
+            awaitOpenConnections(1);
         }
     }
 
     @Test
-    public void chunksThatAreNearlyAllFramingAreRejected() throws Exception {
+    public void chunksWithExcessiveFramingAreRejected() throws Exception {
         try (Socket socket = client()) {
             write(
                     socket,
@@ -199,19 +200,21 @@
     }
 
     @Test
-    public void connectionsAcceptedInOneEventLoopTickEachReplaceAnother() throws Exception {
+    public void connectionsAcceptedInOneEventLoopTickEachEvictAnother() throws Exception {
         List<Socket> all = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             all.add(client());
         }
-        awaitOpen(8);
+        awaitOpenConnections(8);
         now.set(300);
-        CountDownLatch hold = new CountDownLatch(1);
+        CountDownLatch eventLoopRelease = new CountDownLatch(1);
         group.next()
                 .execute(
                         () -> {
                             try {
-                                hold.await(); // what connects meanwhile is accepted in one tick
+                                eventLoopRelease
+                                        .await(); // connections made meanwhile are accepted in one
+                                // tick
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
@@ -219,20 +222,20 @@
         for (int i = 0; i < 7; i++) {
             all.add(client());
         }
-        hold.countDown();
+        eventLoopRelease.countDown();
         for (int i = 0; i < 7; i++) {
             assertEquals("the silent connection " + i, -1, all.get(i).getInputStream().read());
         }
         write(all.get(14), "GET / HTTP/1.1\r\n\r\n");
         assertEquals("HTTP/1.1 200", readStatus(all.get(14)));
-        awaitOpen(8);
+        awaitOpenConnections(8);
         for (Socket s : all) {
             s.close();
         }
     }
 
     @Test
-    public void ofTooManyIdleConnectionsTheOneIdleForLongestEnds() throws Exception {
+    public void theLongestIdleConnectionIsClosedWhenTooManyAreIdle() throws Exception {
         try (Socket first = client();
                 Socket second = client();
                 Socket third = client();
@@ -243,8 +246,8 @@
                 write(s, "GET / HTTP/1.1\r\n\r\n");
                 assertEquals("HTTP/1.1 200", readStatus(s));
             }
-            // Of eight connections four may be idle.
-            awaitOpen(4);
+            // Half of the 8 allowed connections may be idle.
+            awaitOpenConnections(4);
             assertTrue(
                     new String(first.getInputStream().readAllBytes(), StandardCharsets.US_ASCII)
                             .endsWith("0"));
@@ -265,40 +268,39 @@
                 write(s, "GET / HTTP/1.1\r\n\r\n");
                 assertEquals("HTTP/1.1 200", readStatus(s));
             }
-            advance(4_500);
-            awaitOpen(3);
+            advanceClockAndSweep(4_500);
+            awaitOpenConnections(3);
             group.next().submit(server::stopServing).sync();
             assertTrue(
                     new String(first.getInputStream().readAllBytes(), StandardCharsets.US_ASCII)
                             .endsWith("0"));
-            awaitOpen(0);
+            awaitOpenConnections(0);
         }
     }
 
     @Test
     public void aRequestOnAnEndedConnectionIsDiscardedWithoutAReset() throws Exception {
-        try (Socket resting = client()) {
-            write(resting, "GET / HTTP/1.1\r\n\r\n");
-            assertEquals("HTTP/1.1 200", readStatus(resting));
-            resting.getInputStream()
+        try (Socket idle = client()) {
+            write(idle, "GET / HTTP/1.1\r\n\r\n");
+            assertEquals("HTTP/1.1 200", readStatus(idle));
+            idle.getInputStream()
                     .readNBytes("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n0".length() - 12);
             group.next().submit(server::stopServing).sync();
-            assertEquals(-1, resting.getInputStream().read());
-            write(resting, "GET /later HTTP/1.1\r\n\r\n");
+            assertEquals(-1, idle.getInputStream().read());
+            write(idle, "GET /later HTTP/1.1\r\n\r\n");
             group.next().submit(() -> {}).sync();
-            write(resting, "GET /later HTTP/1.1\r\n\r\n"); // fails on a connection that was reset
-            assertEquals(-1, resting.getInputStream().read());
-            awaitOpen(0);
-            assertEquals("nothing was passed to the handler", 0, unanswered.size());
+            write(idle, "GET /later HTTP/1.1\r\n\r\n"); // throws if the connection was reset
+            assertEquals(-1, idle.getInputStream().read());
+            awaitOpenConnections(0);
+            assertEquals("requests passed to the handler", 0, unanswered.size());
         }
     }
 
     @Test
-    public void theLastAnswerOfAConnectionArrivesCompletelyThoughMoreRequestsWerePipelined()
-            throws Exception {
+    public void theLastResponseArrivesCompletelyDespitePipelinedRequests() throws Exception {
         try (Socket socket = new Socket()) {
             socket.setReceiveBufferSize(
-                    4_096); // most of the answer is not sent yet when the server closes
+                    4_096); // most of the response is not sent yet when the server closes
             socket.connect(server.address());
             write(socket, "GET /later HTTP/1.1\r\n\r\n");
             Exchange exchange = unanswered.poll(20, TimeUnit.SECONDS);
@@ -310,40 +312,44 @@
                                     write(
                                             socket,
                                             "GET /held HTTP/1.1\r\n\r\n"
-                                                    .repeat(10)); // unread while this runs
+                                                    .repeat(10)); // not read while this runs on the
+                                    // event loop
                                 } catch (IOException e) {
                                     throw new IllegalStateException(e);
                                 }
                                 exchange.respond(200, Map.of(), new byte[300_000]);
                             })
                     .sync();
-            awaitOpen(0); // the client has not closed: what it reads now was sent before
-            byte[] all = socket.getInputStream().readAllBytes();
-            assertTrue("received " + all.length, all.length > 300_000);
+            awaitOpenConnections(
+                    0); // the client has not closed, so all that it reads now was sent before
+            byte[] received = socket.getInputStream().readAllBytes();
+            assertTrue("received " + received.length, received.length > 300_000);
         }
     }
 
     @Test
-    public void theDisconnectOfAClientThatPipelinedMuchIsNoticed() throws Exception {
-        try (Socket flood = client()) {
-            write(flood, "GET /later HTTP/1.1\r\n\r\n");
-            write(flood, "GET /held HTTP/1.1\r\n\r\n".repeat(8_000));
+    public void aDisconnectAfterManyPipelinedRequestsIsDetected() throws Exception {
+        try (Socket client = client()) {
+            write(client, "GET /later HTTP/1.1\r\n\r\n");
+            write(client, "GET /held HTTP/1.1\r\n\r\n".repeat(8_000));
         }
-        assertTrue("its request was not cancelled", disconnected.await(10, TimeUnit.SECONDS));
-        awaitOpen(0);
+        assertTrue(
+                "the disconnect action of the pending request did not run",
+                disconnected.await(10, TimeUnit.SECONDS));
+        awaitOpenConnections(0);
     }
 
     @Test
-    public void pipelinedRequestsTakeNoMoreMemoryThanTheLimit() throws Exception {
-        // Buffers grow by doubling: the first takes 80,000 bytes at most, the second 70,000 at
-        // least.
+    public void pipelinedRequestsStayWithinTheMemoryLimit() throws Exception {
+        // Buffers grow by doubling: that of the first connection takes at most 80,000 bytes, that
+        // of the second at least 70,000, so that both together exceed the limit of 100,000.
         String firstPipelined = "GET /held HTTP/1.1\r\n\r\n".repeat(1_818);
         String secondPipelined = "GET /held HTTP/1.1\r\n\r\n".repeat(3_182);
         try (Socket first = client();
                 Socket second = client()) {
             write(first, "GET /later HTTP/1.1\r\n\r\n" + firstPipelined);
             unanswered.poll(20, TimeUnit.SECONDS);
-            while (group.next().submit(server::heldBytes).sync().getNow()
+            while (group.next().submit(server::usedMemoryBytes).sync().getNow()
                     < firstPipelined.length()) {
                 Thread.sleep(1);
             }
@@ -351,12 +357,12 @@
             Exchange exchange = unanswered.poll(20, TimeUnit.SECONDS);
             for (int i = 0;
                     i < 10_000
-                            && group.next().submit(server::connectionsEnding).sync().getNow() < 1;
+                            && group.next().submit(server::endingConnections).sync().getNow() < 1;
                     i++) {
                 Thread.sleep(1);
             }
-            long held = group.next().submit(server::heldBytes).sync().getNow();
-            assertTrue("held " + held, held <= 100_000);
+            long usedBytes = group.next().submit(server::usedMemoryBytes).sync().getNow();
+            assertTrue("used bytes: " + usedBytes, usedBytes <= 100_000);
             group.next().submit(() -> exchange.respond(200, Map.of(), new byte[0])).sync();
             String answer =
                     new String(second.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
