--- a/src/main/java/reeldeal/cli/Commands.java
+++ b/src/main/java/reeldeal/cli/Commands.java
@@ -6,8 +6,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * All commands. Exit codes: 0 done, 1 the other side refused or cannot be reached, 2 bad usage or
- * bad input.
+ * The root command of the operators' tool. Exit codes: 0 for success, 1 if the server refused the
+ * request or cannot be reached or a check failed, 2 for invalid arguments or input.
  */
 @Command(
         name = "reeldeal",
@@ -23,37 +23,40 @@
         mixinStandardHelpOptions = true,
         footer = {"", "serve and benchlink are started as README.md says."})
 public final class Commands implements Runnable {
-    static final int REFUSED = 1;
-    static final int BAD_INPUT = 2;
+    static final int EXIT_FAILURE = 1;
+    static final int EXIT_BAD_INPUT = 2;
 
-    /** What a command could not do: one line, and the status to end with. */
+    /** The failure of a command: a message of one line, and the exit code. */
     static final class CommandFailedException extends Exception {
         private static final long serialVersionUID = 1L;
-        final int status;
+        final int exitCode;
 
-        CommandFailedException(int status, String why) {
-            super(why);
-            this.status = status;
+        CommandFailedException(int exitCode, String message) {
+            super(message);
+            this.exitCode = exitCode;
         }
     }
 
     @Spec private CommandLine.Model.CommandSpec spec;
 
-    /** Runs a command and returns its exit code. */
+    /** Runs the command that the arguments name and returns its exit code. */
     public static int run(String... args) {
         return new CommandLine(new Commands())
                 .setExecutionExceptionHandler(
-                        (e, line, parsed) -> {
-                            line.getErr()
+                        (e, commandLine, parseResult) -> {
+                            commandLine
+                                    .getErr()
                                     .println(
                                             "reeldeal: "
                                                     + (e.getMessage() == null
                                                             ? e
                                                             : e.getMessage()));
-                            return e instanceof CommandFailedException f ? f.status : REFUSED;
+                            return e instanceof CommandFailedException failure
+                                    ? failure.exitCode
+                                    : EXIT_FAILURE;
                         })
                 .setParameterExceptionHandler(
-                        (e, words) -> {
+                        (e, arguments) -> {
                             e.getCommandLine()
                                     .getErr()
                                     .println(
@@ -64,7 +67,7 @@
                                                             .getCommandSpec()
                                                             .qualifiedName()
                                                     + " --help");
-                            return BAD_INPUT;
+                            return EXIT_BAD_INPUT;
                         })
                 .execute(args);
     }
--- a/src/main/java/reeldeal/cli/DnsClient.java
+++ b/src/main/java/reeldeal/cli/DnsClient.java
@@ -16,17 +16,20 @@
 import reeldeal.dns.Zone;
 import reeldeal.zones.PeerLink;
 
-/** A name server at the other end of a TCP connection, asked one thing after the other. */
+/**
+ * A blocking DNS client with one TCP connection to a name server. It has one request in flight at a
+ * time, signed if there is a key. Used by one thread; the connection's events arrive on another.
+ */
 final class DnsClient implements AutoCloseable, PeerLink.Listener {
-    private static final int MAX_RECORDS = 10_000_000;
+    private static final int MAX_TRANSFER_RECORDS = 10_000_000;
 
     private final EventLoopGroup group = new NioEventLoopGroup(1);
-    private final LinkedBlockingQueue<Object> heard = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Object> events = new LinkedBlockingQueue<>();
     private final InetSocketAddress server;
     private final Tsig.Key key;
     private final long timeoutMs;
     private final PeerLink link;
-    private byte[] mac;
+    private byte[] requestMac;
 
     DnsClient(InetSocketAddress server, Tsig.Key key, long timeoutMs)
             throws Commands.CommandFailedException {
@@ -35,7 +38,7 @@
         this.timeoutMs = timeoutMs;
         this.link = PeerLink.over(group).connect(server, this);
         try {
-            next();
+            awaitEvent();
         } catch (Commands.CommandFailedException e) {
             close();
             throw e;
@@ -44,34 +47,39 @@
 
     @Override
     public void connected(PeerLink opened) {
-        heard.add(opened);
+        events.add(opened);
     }
 
     @Override
-    public void message(PeerLink from, byte[] message) {
-        heard.add(message);
+    public void message(PeerLink source, byte[] message) {
+        events.add(message);
     }
 
     @Override
-    public void ended(String why) {
-        heard.add(why);
+    public void ended(String reason) {
+        events.add(reason);
     }
 
-    private Object next() throws Commands.CommandFailedException {
+    /**
+     * Waits for the next event: the opened connection or a message; fails if the link has ended.
+     */
+    private Object awaitEvent() throws Commands.CommandFailedException {
         try {
-            Object got = heard.poll(timeoutMs, TimeUnit.MILLISECONDS);
-            if (got == null || got instanceof String) {
+            Object event = events.poll(timeoutMs, TimeUnit.MILLISECONDS);
+            if (event == null || event instanceof String) {
                 throw new Commands.CommandFailedException(
-                        Commands.REFUSED,
+                        Commands.EXIT_FAILURE,
                         server
                                 + ": "
-                                + (got == null ? "no answer in " + timeoutMs + " ms" : got)
-                                + "; is the daemon there, with dns in its store's file?");
+                                + (event == null
+                                        ? "no response within " + timeoutMs + " ms"
+                                        : event)
+                                + "; check that the daemon is running, with dns in its store configuration file");
             }
-            return got;
+            return event;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new Commands.CommandFailedException(Commands.REFUSED, "interrupted");
+            throw new Commands.CommandFailedException(Commands.EXIT_FAILURE, "interrupted");
         }
     }
 
@@ -81,24 +89,25 @@
             Tsig.Signed signed =
                     Tsig.sign(bytes, key, System.currentTimeMillis() / 1_000, null, false);
             bytes = signed.bytes();
-            mac = signed.mac();
+            requestMac = signed.mac();
         }
         link.send(bytes);
     }
 
-    static int id() {
+    static int randomId() {
         return new SecureRandom().nextInt(65_536);
     }
 
-    /** Sends a message and returns its answer, whose signature is good where one was asked for. */
-    Message ask(MessageWriter writer, int id) throws Commands.CommandFailedException {
+    /** Sends a message and returns the response. If there is a key, its signature is verified. */
+    Message request(MessageWriter writer, int id) throws Commands.CommandFailedException {
         send(writer);
-        byte[] bytes = (byte[]) next();
+        byte[] bytes = (byte[]) awaitEvent();
         try {
             Message answer = Message.parse(bytes);
             if (answer.id != id || !answer.response) {
                 throw new Commands.CommandFailedException(
-                        Commands.REFUSED, server + ": not an answer to what was asked");
+                        Commands.EXIT_FAILURE,
+                        server + ": the message received is not a response to the request");
             }
             if (key != null) {
                 Tsig.Checked checked =
@@ -108,29 +117,30 @@
                                         answer,
                                         Map.of(key.name(), key),
                                         System.currentTimeMillis() / 1_000,
-                                        mac,
+                                        requestMac,
                                         new byte[0],
                                         false);
                 if (checked == null || !checked.good()) {
                     throw new Commands.CommandFailedException(
-                            Commands.REFUSED,
+                            Commands.EXIT_FAILURE,
                             server
                                     + ": "
                                     + Rcode.name(answer.rcode())
-                                    + ", signature: "
+                                    + ", expected a valid TSIG signature, found "
                                     + (checked == null ? "none" : Rcode.name(checked.error())));
                 }
             }
             return answer;
         } catch (Message.Malformed e) {
             throw new Commands.CommandFailedException(
-                    Commands.REFUSED, server + ": not a message: " + e.getMessage());
+                    Commands.EXIT_FAILURE,
+                    server + ": received a malformed DNS message: " + e.getMessage());
         }
     }
 
-    /** A zone by AXFR. */
-    Zone transfer(String origin) throws Commands.CommandFailedException {
-        int id = id();
+    /** Fetches a whole zone by AXFR. */
+    Zone fetchZone(String origin) throws Commands.CommandFailedException {
+        int id = randomId();
         send(new MessageWriter(id, 0, 512).question(origin, Rr.AXFR, Rr.IN));
         TransferIn transfer =
                 new TransferIn(
@@ -138,14 +148,14 @@
                         Zone.empty(origin),
                         false,
                         key,
-                        mac,
+                        requestMac,
                         System.currentTimeMillis() / 1_000,
-                        MAX_RECORDS);
+                        MAX_TRANSFER_RECORDS);
         while (true) {
-            TransferIn.State state = transfer.take((byte[]) next());
+            TransferIn.State state = transfer.take((byte[]) awaitEvent());
             if (state == TransferIn.State.FAILED) {
                 throw new Commands.CommandFailedException(
-                        Commands.REFUSED, server + ": " + origin + ": " + transfer.why());
+                        Commands.EXIT_FAILURE, server + ": " + origin + ": " + transfer.why());
             } else if (state != TransferIn.State.MORE) {
                 return transfer.zone();
             }
--- a/src/main/java/reeldeal/cli/FaultInjectionCommand.java
+++ b/src/main/java/reeldeal/cli/FaultInjectionCommand.java
@@ -12,7 +12,7 @@
 import reeldeal.faultinjection.ScenarioReader;
 import reeldeal.faultinjection.ScenarioRunner;
 
-/** Plays a scenario with real processes on this machine. */
+/** Runs a fault-injection scenario with real processes on this machine. */
 @Command(
         name = "drill",
         description = {
@@ -24,7 +24,7 @@
     @Spec private CommandLine.Model.CommandSpec spec;
 
     @Parameters(paramLabel = "SCENARIO", description = "A scenario's file, as in deploy/drill.")
-    private Path scenario;
+    private Path scenarioFile;
 
     @Option(names = "--seed", defaultValue = "1", description = "Default: ${DEFAULT-VALUE}.")
     private long seed;
@@ -40,7 +40,7 @@
             defaultValue = "target/drill",
             paramLabel = "FOLDER",
             description = "Default: ${DEFAULT-VALUE}.")
-    private Path out;
+    private Path outputFolder;
 
     @Option(
             names = "--jar",
@@ -52,54 +52,60 @@
             names = "--from",
             paramLabel = "FILE",
             description = "The fleet starts with this program, and the release brings the other.")
-    private Path from;
+    private Path initialJar;
 
+    /** Returns the jar that this program runs from. */
     private static Path ownJar() throws Commands.CommandFailedException {
         try {
-            Path own =
+            Path location =
                     Path.of(
                             ScenarioRunner.class
                                     .getProtectionDomain()
                                     .getCodeSource()
                                     .getLocation()
                                     .toURI());
-            if (!own.toString().endsWith(".jar")) {
+            if (!location.toString().endsWith(".jar")) {
                 throw new Commands.CommandFailedException(
-                        Commands.BAD_INPUT, "--from: needs this program as a jar");
+                        Commands.EXIT_BAD_INPUT,
+                        "--from: expected this program to run from a jar, or --jar FILE");
             }
-            return own;
+            return location;
         } catch (java.net.URISyntaxException e) {
             throw new Commands.CommandFailedException(
-                    Commands.BAD_INPUT, "--from: " + e.getMessage());
+                    Commands.EXIT_BAD_INPUT, "--from: " + e.getMessage());
         }
     }
 
     @Override
     public Integer call() throws Exception {
-        Scenario play;
+        Scenario scenario;
         try {
-            play = ScenarioReader.read(scenario);
+            scenario = ScenarioReader.read(scenarioFile);
         } catch (BrokerConfig.InvalidConfigException e) {
-            throw new Commands.CommandFailedException(Commands.BAD_INPUT, e.getMessage());
+            throw new Commands.CommandFailedException(Commands.EXIT_BAD_INPUT, e.getMessage());
         }
-        int broken = 0;
-        for (long s = seed; s < seed + runs; s++) {
-            Path folder = out.resolve(play.name() + "-" + s).toAbsolutePath();
-            if (java.nio.file.Files.exists(folder)) {
+        int failedRuns = 0;
+        for (long runSeed = seed; runSeed < seed + runs; runSeed++) {
+            Path runFolder = outputFolder.resolve(scenario.name() + "-" + runSeed).toAbsolutePath();
+            if (java.nio.file.Files.exists(runFolder)) {
                 throw new Commands.CommandFailedException(
-                        Commands.BAD_INPUT, "--out: " + folder + " is there already");
+                        Commands.EXIT_BAD_INPUT, "--out: " + runFolder + " already exists");
             }
-            try (ScenarioRunner drill =
+            try (ScenarioRunner runner =
                     new ScenarioRunner(
-                            play, s, folder, from != null && jar == null ? ownJar() : jar, from)) {
-                ScenarioRunner.Result result = drill.play();
-                broken += result.violations().isEmpty() ? 0 : 1;
+                            scenario,
+                            runSeed,
+                            runFolder,
+                            initialJar != null && jar == null ? ownJar() : jar,
+                            initialJar)) {
+                ScenarioRunner.Result result = runner.play();
+                failedRuns += result.violations().isEmpty() ? 0 : 1;
                 spec.commandLine()
                         .getOut()
                         .println(
-                                play.name()
+                                scenario.name()
                                         + " seed "
-                                        + s
+                                        + runSeed
                                         + ": "
                                         + (result.violations().isEmpty()
                                                 ? "all rules hold"
@@ -109,6 +115,6 @@
                 spec.commandLine().getOut().flush();
             }
         }
-        return broken == 0 ? 0 : Commands.REFUSED;
+        return failedRuns == 0 ? 0 : Commands.EXIT_FAILURE;
     }
 }
--- a/src/main/java/reeldeal/cli/FleetCommands.java
+++ b/src/main/java/reeldeal/cli/FleetCommands.java
@@ -23,8 +23,8 @@
 import reeldeal.fleet.FormAttributes;
 
 /**
- * Commands on a fleet: who is in it, who may be out, releases. Each is answered by any node of the
- * store's group.
+ * Commands on a fleet: its members, drains and the permits for them, releases and recovery. Any
+ * node of the store's group accepts them.
  */
 @Command(
         name = "fleet",
@@ -33,7 +33,7 @@
         mixinStandardHelpOptions = true,
         subcommands = {FleetCommands.ReleaseCommands.class, FleetCommands.RecoveryCommands.class})
 public final class FleetCommands implements Runnable {
-    private static final int WATCH_MS = 500;
+    private static final int WATCH_POLL_INTERVAL_MS = 500;
 
     @Spec private CommandLine.Model.CommandSpec spec;
 
@@ -44,8 +44,8 @@
                 "expected members, work, permits, policy, drain, undrain, forget, release or recovery");
     }
 
-    /** How an answer is set out. */
-    static final class Form {
+    /** The output option, and the formatting of a response as a table or as JSON. */
+    static final class OutputFormat {
         enum Output {
             table,
             json
@@ -57,17 +57,19 @@
                 description = "${COMPLETION-CANDIDATES}; default: ${DEFAULT-VALUE}.")
         private Output output;
 
-        /** Sets out lines of words: as columns, or as a JSON array of objects. */
-        String set(String answer) {
+        /**
+         * Formats lines of {@code key=value} attributes as columns, or as a JSON array of objects.
+         */
+        String format(String answer) {
             List<Map<String, String>> rows = new ArrayList<>();
             for (String line : answer.split("\n")) {
                 if (!line.isBlank()) {
                     Map<String, String> row = new LinkedHashMap<>();
-                    for (String word : line.split(" ")) {
-                        int equals = word.indexOf('=');
+                    for (String attribute : line.split(" ")) {
+                        int equals = attribute.indexOf('=');
                         if (equals > 0) {
-                            String key = word.substring(0, equals);
-                            row.put(key, FormAttributes.of(word).get(key));
+                            String key = attribute.substring(0, equals);
+                            row.put(key, FormAttributes.of(attribute).get(key));
                         }
                     }
                     rows.add(row);
@@ -83,26 +85,30 @@
                 json.writeStartArray();
                 for (Map<String, String> row : rows) {
                     json.writeStartObject();
-                    for (Map.Entry<String, String> e : row.entrySet()) {
-                        if (e.getValue().matches("true|false")) {
-                            json.writeBooleanField(e.getKey(), e.getValue().equals("true"));
-                        } else if (e.getValue().matches("0|[1-9][0-9]{0,17}")
-                                && !e.getKey().matches("name|config|program|to|from")) {
-                            json.writeNumberField(e.getKey(), Long.parseLong(e.getValue()));
+                    for (Map.Entry<String, String> attribute : row.entrySet()) {
+                        if (attribute.getValue().matches("true|false")) {
+                            json.writeBooleanField(
+                                    attribute.getKey(), attribute.getValue().equals("true"));
+                        } else if (attribute.getValue().matches("0|[1-9][0-9]{0,17}")
+                                && !attribute.getKey().matches("name|config|program|to|from")) {
+                            json.writeNumberField(
+                                    attribute.getKey(), Long.parseLong(attribute.getValue()));
                         } else {
-                            json.writeStringField(e.getKey(), e.getValue());
+                            json.writeStringField(attribute.getKey(), attribute.getValue());
                         }
                     }
                     json.writeEndObject();
                 }
                 json.writeEndArray();
             } catch (IOException e) {
-                throw new IllegalStateException(e); // memory does not fail
+                throw new IllegalStateException(e); // writing to memory throws no IOException
             }
             return text.toString();
         }
 
-        /** Rows of the same columns form one table; where the columns change, another begins. */
+        /**
+         * Formats consecutive rows with the same columns as one table; other columns begin another.
+         */
         private static String table(List<Map<String, String>> rows) {
             StringBuilder text = new StringBuilder();
             for (int from = 0; from < rows.size(); ) {
@@ -111,33 +117,35 @@
                 while (to < rows.size() && rows.get(to).keySet().equals(columns)) {
                     to++;
                 }
-                List<Map<String, String>> part = rows.subList(from, to);
+                List<Map<String, String>> tableRows = rows.subList(from, to);
                 List<String> lines = new ArrayList<>();
                 lines.add("");
-                part.forEach(r -> lines.add(""));
-                for (String c : columns) {
+                tableRows.forEach(row -> lines.add(""));
+                for (String column : columns) {
                     int width =
                             Math.max(
-                                            c.length(),
-                                            part.stream()
-                                                    .mapToInt(r -> r.get(c).length())
+                                            column.length(),
+                                            tableRows.stream()
+                                                    .mapToInt(row -> row.get(column).length())
                                                     .max()
                                                     .orElse(0))
                                     + 2;
-                    lines.set(0, lines.get(0) + c + " ".repeat(width - c.length()));
-                    for (int i = 0; i < part.size(); i++) {
-                        String v = part.get(i).get(c);
-                        lines.set(i + 1, lines.get(i + 1) + v + " ".repeat(width - v.length()));
+                    lines.set(0, lines.get(0) + column + " ".repeat(width - column.length()));
+                    for (int i = 0; i < tableRows.size(); i++) {
+                        String value = tableRows.get(i).get(column);
+                        lines.set(
+                                i + 1,
+                                lines.get(i + 1) + value + " ".repeat(width - value.length()));
                     }
                 }
-                lines.forEach(l -> text.append(l.stripTrailing()).append('\n'));
+                lines.forEach(line -> text.append(line.stripTrailing()).append('\n'));
                 from = to;
             }
             return text.toString().stripTrailing();
         }
     }
 
-    private static void say(CommandLine.Model.CommandSpec spec, String line) {
+    private static void printLine(CommandLine.Model.CommandSpec spec, String line) {
         spec.commandLine().getOut().println(line);
         spec.commandLine().getOut().flush();
     }
@@ -146,8 +154,9 @@
             description =
                     "All brokers: state, incarnation, versions, for how long they were not heard.",
             mixinStandardHelpOptions = true)
-    int members(@Mixin NodeTarget target, @Mixin Form form) throws Commands.CommandFailedException {
-        say(spec, form.set(target.ask("fleet members")));
+    int members(@Mixin NodeTarget target, @Mixin OutputFormat format)
+            throws Commands.CommandFailedException {
+        printLine(spec, format.format(target.sendRequest("fleet members")));
         return 0;
     }
 
@@ -156,22 +165,27 @@
             mixinStandardHelpOptions = true)
     int work(
             @Mixin NodeTarget target,
-            @Mixin Form form,
+            @Mixin OutputFormat format,
             @Parameters(
                             paramLabel = "CLASS KEY",
                             arity = "0..2",
                             description = "A record's class and its client's key.")
                     List<String> record)
             throws Commands.CommandFailedException {
-        say(spec, form.set(target.ask("work " + (record == null ? "" : String.join(" ", record)))));
+        printLine(
+                spec,
+                format.format(
+                        target.sendRequest(
+                                "work " + (record == null ? "" : String.join(" ", record)))));
         return 0;
     }
 
     @Command(
             description = "Who is out or may be, why, and whether that is over the budget.",
             mixinStandardHelpOptions = true)
-    int permits(@Mixin NodeTarget target, @Mixin Form form) throws Commands.CommandFailedException {
-        say(spec, form.set(target.ask("fleet permits")));
+    int permits(@Mixin NodeTarget target, @Mixin OutputFormat format)
+            throws Commands.CommandFailedException {
+        printLine(spec, format.format(target.sendRequest("fleet permits")));
         return 0;
     }
 
@@ -180,22 +194,22 @@
             mixinStandardHelpOptions = true)
     int policy(
             @Mixin NodeTarget target,
-            @Mixin Form form,
+            @Mixin OutputFormat format,
             @Parameters(paramLabel = "KEY=VALUE", arity = "0..*") Map<String, String> settings)
             throws Commands.CommandFailedException {
-        FormAttributes words = new FormAttributes();
+        FormAttributes attributes = new FormAttributes();
         if (settings != null) {
-            settings.forEach(words::with);
+            settings.forEach(attributes::with);
         }
-        say(spec, form.set(target.ask("fleet policy " + words)));
+        printLine(spec, format.format(target.sendRequest("fleet policy " + attributes)));
         return 0;
     }
 
-    private int order(NodeTarget target, String verb, String name, String kind, String reason)
+    private int sendOrder(NodeTarget target, String verb, String name, String kind, String reason)
             throws Commands.CommandFailedException {
-        say(
+        printLine(
                 spec,
-                target.ask(
+                target.sendRequest(
                         "fleet "
                                 + verb
                                 + " "
@@ -219,7 +233,7 @@
                     String kind,
             @Option(names = "--reason", defaultValue = "") String reason)
             throws Commands.CommandFailedException {
-        return order(target, "drain", name, kind, reason);
+        return sendOrder(target, "drain", name, kind, reason);
     }
 
     @Command(description = "Takes a drain back.", mixinStandardHelpOptions = true)
@@ -228,7 +242,7 @@
             @Parameters(paramLabel = "NAME") String name,
             @Option(names = "--kind", defaultValue = "") String kind)
             throws Commands.CommandFailedException {
-        return order(target, "undrain", name, kind, "");
+        return sendOrder(target, "undrain", name, kind, "");
     }
 
     @Command(
@@ -241,10 +255,10 @@
             @Option(names = "--kind", defaultValue = "") String kind,
             @Option(names = "--reason", required = true) String reason)
             throws Commands.CommandFailedException {
-        return order(target, "forget", name, kind, reason);
+        return sendOrder(target, "forget", name, kind, reason);
     }
 
-    /** The way back from a loss of power. */
+    /** Commands on the recovery of a fleet from a loss of power. */
     @Command(
             name = "recovery",
             description =
@@ -262,9 +276,9 @@
         @Command(
                 description = "The recovery, and where the asked broker stands and why it waits.",
                 mixinStandardHelpOptions = true)
-        int show(@Mixin NodeTarget target, @Mixin Form form)
+        int show(@Mixin NodeTarget target, @Mixin OutputFormat format)
                 throws Commands.CommandFailedException {
-            say(spec, form.set(target.ask("fleet recovery show")));
+            printLine(spec, format.format(target.sendRequest("fleet recovery show")));
             return 0;
         }
 
@@ -279,9 +293,9 @@
                 @Parameters(paramLabel = "ZONE", arity = "0..1", defaultValue = "") String zone,
                 @Option(names = "--reason", defaultValue = "") String reason)
                 throws Commands.CommandFailedException {
-            say(
+            printLine(
                     spec,
-                    target.ask(
+                    target.sendRequest(
                             "fleet recovery "
                                     + verb
                                     + " "
@@ -292,7 +306,7 @@
         }
     }
 
-    /** Releases. */
+    /** Commands on releases: rollouts of a configuration or of a program version. */
     @Command(
             name = "release",
             description = "Plans a release, runs it, halts it, takes it back.",
@@ -338,19 +352,20 @@
                 throws Commands.CommandFailedException {
             if ((config == null) == (program == null)) {
                 throw new Commands.CommandFailedException(
-                        Commands.BAD_INPUT, "expected either --config FILE or --program VERSION");
+                        Commands.EXIT_BAD_INPUT,
+                        "expected either --config FILE or --program VERSION");
             }
             String to = program;
             if (config != null) {
-                String text = read(config);
+                String text = readValidConfig(config);
                 to = ConfigVersion.of(text);
-                target.ask(
+                target.sendRequest(
                         "fleet config "
                                 + new FormAttributes().with("version", to).with("text", text));
             }
-            say(
+            printLine(
                     spec,
-                    target.ask(
+                    target.sendRequest(
                             "fleet release plan "
                                     + new FormAttributes()
                                             .with("kind", searchers ? "searcher" : "broker")
@@ -363,26 +378,27 @@
             return 0;
         }
 
-        private static String read(Path config) throws Commands.CommandFailedException {
+        /** Reads a configuration file and rejects it if it is not valid. */
+        private static String readValidConfig(Path config) throws Commands.CommandFailedException {
             try {
                 byte[] bytes = Files.readAllBytes(config);
                 BrokerConfig.parse(bytes, System.getenv(), true);
                 return new String(bytes, java.nio.charset.StandardCharsets.UTF_8);
             } catch (IOException e) {
                 throw new Commands.CommandFailedException(
-                        Commands.BAD_INPUT, config + ": cannot be read: " + e.getMessage());
+                        Commands.EXIT_BAD_INPUT, config + ": cannot be read: " + e.getMessage());
             } catch (BrokerConfig.InvalidConfigException | IllegalArgumentException e) {
                 throw new Commands.CommandFailedException(
-                        Commands.BAD_INPUT, config + ": " + e.getMessage());
+                        Commands.EXIT_BAD_INPUT, config + ": " + e.getMessage());
             }
         }
 
         @Command(
                 description = "The release and where each member stands.",
                 mixinStandardHelpOptions = true)
-        int show(@Mixin NodeTarget target, @Mixin Form form)
+        int show(@Mixin NodeTarget target, @Mixin OutputFormat format)
                 throws Commands.CommandFailedException {
-            say(spec, form.set(target.ask("fleet release show")));
+            printLine(spec, format.format(target.sendRequest("fleet release show")));
             return 0;
         }
 
@@ -390,29 +406,29 @@
                 description =
                         "Shows each change until the release has ended: 0 when done, 1 when halted.",
                 mixinStandardHelpOptions = true)
-        int watch(@Mixin NodeTarget target, @Mixin Form form)
+        int watch(@Mixin NodeTarget target, @Mixin OutputFormat format)
                 throws Commands.CommandFailedException, InterruptedException {
-            Set<String> seen = new LinkedHashSet<>();
+            Set<String> printedLines = new LinkedHashSet<>();
             while (true) {
-                String answer = target.ask("fleet release show");
+                String answer = target.sendRequest("fleet release show");
                 for (String line : answer.split("\n")) {
-                    if (seen.add(line)) {
-                        say(spec, form.set(line));
+                    if (printedLines.add(line)) {
+                        printLine(spec, format.format(line));
                     }
                 }
                 String progress = FormAttributes.of(answer.split("\n")[0]).get("progress");
                 if (progress.equals("done") || progress.equals("halted")) {
-                    return progress.equals("done") ? 0 : Commands.REFUSED;
+                    return progress.equals("done") ? 0 : Commands.EXIT_FAILURE;
                 }
-                Thread.sleep(WATCH_MS);
+                Thread.sleep(WATCH_POLL_INTERVAL_MS);
             }
         }
 
-        private int order(NodeTarget target, String verb, String reason)
+        private int sendOrder(NodeTarget target, String verb, String reason)
                 throws Commands.CommandFailedException {
-            say(
+            printLine(
                     spec,
-                    target.ask(
+                    target.sendRequest(
                             "fleet release "
                                     + verb
                                     + " "
@@ -425,7 +441,7 @@
                 @Mixin NodeTarget target,
                 @Option(names = "--reason", defaultValue = "") String reason)
                 throws Commands.CommandFailedException {
-            return order(target, "start", reason);
+            return sendOrder(target, "start", reason);
         }
 
         @Command(description = "Takes no further step for now.", mixinStandardHelpOptions = true)
@@ -433,7 +449,7 @@
                 @Mixin NodeTarget target,
                 @Option(names = "--reason", defaultValue = "") String reason)
                 throws Commands.CommandFailedException {
-            return order(target, "pause", reason);
+            return sendOrder(target, "pause", reason);
         }
 
         @Command(
@@ -443,7 +459,7 @@
                 @Mixin NodeTarget target,
                 @Option(names = "--reason", defaultValue = "") String reason)
                 throws Commands.CommandFailedException {
-            return order(target, "resume", reason);
+            return sendOrder(target, "resume", reason);
         }
 
         @Command(description = "Halts it.", mixinStandardHelpOptions = true)
@@ -451,7 +467,7 @@
                 @Mixin NodeTarget target,
                 @Option(names = "--reason", defaultValue = "") String reason)
                 throws Commands.CommandFailedException {
-            return order(target, "halt", reason);
+            return sendOrder(target, "halt", reason);
         }
 
         @Command(
@@ -461,7 +477,7 @@
                 @Mixin NodeTarget target,
                 @Option(names = "--reason", defaultValue = "") String reason)
                 throws Commands.CommandFailedException {
-            return order(target, "back", reason);
+            return sendOrder(target, "back", reason);
         }
     }
 }
--- a/src/main/java/reeldeal/cli/MeasureCommands.java
+++ b/src/main/java/reeldeal/cli/MeasureCommands.java
@@ -15,7 +15,7 @@
 import reeldeal.faultinjection.ZoneBenchmark;
 import reeldeal.faultinjection.ZoneScriptReplay;
 
-/** Long measurements and replays, on this machine alone. */
+/** Benchmarks and replays that take long; they use only this machine. */
 @Command(
         name = "measure",
         description = "Measures the program on this machine: processes and nodes on loopback.",
@@ -23,8 +23,8 @@
 final class MeasureCommands implements Runnable {
     @Spec private CommandLine.Model.CommandSpec spec;
 
-    /** Which program processes are made of. */
-    static final class Program {
+    /** The option for the program that the measured processes run. */
+    static final class ProgramOption {
         @Option(
                 names = "--jar",
                 paramLabel = "FILE",
@@ -38,7 +38,7 @@
                 spec.commandLine(), "expected one of: zone, drains, check, commits, death, keys");
     }
 
-    private void say(String line) {
+    private void printLine(String line) {
         spec.commandLine().getOut().println(line);
         spec.commandLine().getOut().flush();
     }
@@ -47,10 +47,10 @@
             description =
                     "A zone of so many records in a broker of its own: updates, queries, transfers, and what they cost its clients.",
             mixinStandardHelpOptions = true)
-    int zone(@Mixin Program program, @Parameters(paramLabel = "RECORDS") int records)
+    int zone(@Mixin ProgramOption program, @Parameters(paramLabel = "RECORDS") int records)
             throws Exception {
-        try (ZoneBenchmark measure = new ZoneBenchmark(records, program.jar, this::say)) {
-            measure.run();
+        try (ZoneBenchmark benchmark = new ZoneBenchmark(records, program.jar, this::printLine)) {
+            benchmark.run();
         }
         return 0;
     }
@@ -62,16 +62,16 @@
             },
             mixinStandardHelpOptions = true)
     int drains(
-            @Mixin Program program,
+            @Mixin ProgramOption program,
             @Parameters(paramLabel = "SCRIPT", arity = "1..*") List<Path> scripts)
             throws Exception {
-        int broken = 0;
+        int failedScripts = 0;
         for (Path script : scripts) {
             Path folder = Files.createTempDirectory("replay");
             try (ZoneScriptReplay replay = new ZoneScriptReplay(folder, program.jar)) {
                 ScenarioRunner.Result result = replay.play(Files.readAllLines(script));
-                broken += result.violations().isEmpty() ? 0 : 1;
-                say(
+                failedScripts += result.violations().isEmpty() ? 0 : 1;
+                printLine(
                         script.getFileName()
                                 + ": "
                                 + (result.violations().isEmpty()
@@ -83,10 +83,10 @@
                                 + folder);
             } catch (IllegalArgumentException | java.nio.file.NoSuchFileException e) {
                 throw new Commands.CommandFailedException(
-                        Commands.BAD_INPUT, script + ": " + e.getMessage());
+                        Commands.EXIT_BAD_INPUT, script + ": " + e.getMessage());
             }
         }
-        return broken == 0 ? 0 : Commands.REFUSED;
+        return failedScripts == 0 ? 0 : Commands.EXIT_FAILURE;
     }
 
     @Command(
@@ -94,15 +94,15 @@
             mixinStandardHelpOptions = true)
     int check(@Parameters(paramLabel = "FOLDER", arity = "1..*") List<Path> folders)
             throws Exception {
-        int broken = 0;
+        int failedFolders = 0;
         for (Path folder : folders) {
             if (!Files.isReadable(folder.resolve("history.txt"))) {
                 throw new Commands.CommandFailedException(
-                        Commands.BAD_INPUT, folder + ": no history.txt");
+                        Commands.EXIT_BAD_INPUT, folder + ": expected a readable file history.txt");
             }
             ScenarioRunner.Result result = ScenarioRunner.check(folder);
-            broken += result.violations().isEmpty() ? 0 : 1;
-            say(
+            failedFolders += result.violations().isEmpty() ? 0 : 1;
+            printLine(
                     folder.getFileName()
                             + ": "
                             + (result.violations().isEmpty()
@@ -111,7 +111,7 @@
                             + " "
                             + result.figures());
         }
-        return broken == 0 ? 0 : Commands.REFUSED;
+        return failedFolders == 0 ? 0 : Commands.EXIT_FAILURE;
     }
 
     @Command(
--- a/src/main/java/reeldeal/cli/NodeTarget.java
+++ b/src/main/java/reeldeal/cli/NodeTarget.java
@@ -10,7 +10,10 @@
 import reeldeal.store.AdminClient;
 import reeldeal.store.StoreNode;
 
-/** Which running node is asked: the one of the store's file, or any other of its group. */
+/**
+ * Options for the running node that a command addresses: by default the node of the store
+ * configuration file, otherwise any node of a group.
+ */
 final class NodeTarget {
     @Option(
             names = "--node",
@@ -30,48 +33,52 @@
             description = "Default: ${DEFAULT-VALUE}.")
     private int timeoutMs;
 
-    /** The answer's text; fails with the node's reason where it was not done. */
-    String ask(String question) throws Commands.CommandFailedException {
+    /** Sends a request and returns the text of the response; fails with the reason of a refusal. */
+    String sendRequest(String request) throws Commands.CommandFailedException {
         try {
-            InetSocketAddress at;
+            InetSocketAddress nodeAddress;
             if (node == null || group == null) {
-                StoreConfigReader file =
+                StoreConfigReader config =
                         StoreConfigReader.read(new HashMap<>(Map.copyOf(System.getenv())));
-                if (file == null) {
+                if (config == null) {
                     throw new Commands.CommandFailedException(
-                            Commands.BAD_INPUT,
-                            "no store's file; expected deploy/store.json, REELDEAL_STORE, or "
+                            Commands.EXIT_BAD_INPUT,
+                            "no store configuration file; expected deploy/store.json, REELDEAL_STORE, or "
                                     + "both --node and --group");
                 }
-                group = group == null ? file.store().group() : group;
-                at = node == null ? file.store().nodes().get(file.store().node()) : address();
+                group = group == null ? config.store().group() : group;
+                nodeAddress =
+                        node == null
+                                ? config.store().nodes().get(config.store().node())
+                                : parseNodeOption();
             } else {
-                at = address();
+                nodeAddress = parseNodeOption();
             }
-            StoreNode.AdminAnswer answer = AdminClient.send(at, group, question, timeoutMs);
+            StoreNode.AdminAnswer answer = AdminClient.send(nodeAddress, group, request, timeoutMs);
             if (!answer.ok()) {
-                throw new Commands.CommandFailedException(Commands.REFUSED, answer.text());
+                throw new Commands.CommandFailedException(Commands.EXIT_FAILURE, answer.text());
             }
             return answer.text();
         } catch (BrokerConfig.InvalidConfigException e) {
-            throw new Commands.CommandFailedException(Commands.BAD_INPUT, e.getMessage());
+            throw new Commands.CommandFailedException(Commands.EXIT_BAD_INPUT, e.getMessage());
         } catch (IOException e) {
             throw new Commands.CommandFailedException(
-                    Commands.REFUSED,
-                    "the node does not answer: "
+                    Commands.EXIT_FAILURE,
+                    "no response from the node: "
                             + (e instanceof java.io.EOFException
-                                    ? "it closed the connection; it, or the leader that it named, may run an earlier program"
+                                    ? "the connection was closed; the node, or the leader that it redirected to, may run an earlier version"
                                     : e.getMessage()));
         }
     }
 
-    private InetSocketAddress address() throws Commands.CommandFailedException {
+    /** Parses the value of {@code --node}. */
+    private InetSocketAddress parseNodeOption() throws Commands.CommandFailedException {
         int colon = node.lastIndexOf(':');
         if (colon < 1
                 || !node.substring(colon + 1).matches("[0-9]{1,5}")
                 || Integer.parseInt(node.substring(colon + 1)) > 65_535) {
             throw new Commands.CommandFailedException(
-                    Commands.BAD_INPUT, "--node: expected HOST:PORT, found " + node);
+                    Commands.EXIT_BAD_INPUT, "--node: expected HOST:PORT, found " + node);
         }
         return new InetSocketAddress(
                 node.substring(0, colon), Integer.parseInt(node.substring(colon + 1)));
--- a/src/main/java/reeldeal/cli/StoreCommands.java
+++ b/src/main/java/reeldeal/cli/StoreCommands.java
@@ -23,8 +23,8 @@
 import reeldeal.store.KeyValueState;
 
 /**
- * Commands on a store: on folders and backups while the node is down, on the nodes of a running
- * group.
+ * Commands on a store. Some work on a data folder while its node is down or on a backup file, the
+ * others on the nodes of a running group.
  */
 @Command(
         name = "store",
@@ -42,60 +42,68 @@
                         + "promote, demote, remove, replace or level");
     }
 
-    private void say(String line) {
+    private void printLine(String line) {
         spec.commandLine().getOut().println(line);
         spec.commandLine().getOut().flush();
     }
 
-    /** Opens a copy of a folder, so that looking at it changes nothing; the node must be down. */
-    private static RaftNode.PersistentState look(Path path, List<String> notes)
+    /**
+     * Reads the state in a data folder from a copy, because opening a folder may change it. The
+     * node must be down.
+     *
+     * @param findings receives lines to print about the folder
+     */
+    private static RaftNode.PersistentState readCopy(Path folder, List<String> findings)
             throws Commands.CommandFailedException {
         Path copy = null;
         try {
-            if (!Files.exists(path.resolve("FORMAT"))) {
+            if (!Files.exists(folder.resolve("FORMAT"))) {
                 throw new Commands.CommandFailedException(
-                        Commands.BAD_INPUT,
-                        path + ": expected a store's folder, found no file FORMAT");
+                        Commands.EXIT_BAD_INPUT,
+                        folder
+                                + ": expected the data folder of a store node, found no file FORMAT");
             }
             copy = Files.createTempDirectory("reeldeal-check");
-            try (FileChannel file =
+            try (FileChannel lockFile =
                             FileChannel.open(
-                                    path.resolve("LOCK"),
+                                    folder.resolve("LOCK"),
                                     StandardOpenOption.CREATE,
                                     StandardOpenOption.WRITE);
-                    FileLock lock = file.tryLock();
-                    Stream<Path> files = Files.list(path)) {
+                    FileLock lock = lockFile.tryLock();
+                    Stream<Path> files = Files.list(folder)) {
                 if (lock == null) {
                     throw new Commands.CommandFailedException(
-                            Commands.REFUSED, path + ": a running node holds it; stop that first");
+                            Commands.EXIT_FAILURE,
+                            folder
+                                    + ": the folder is locked by a running node; stop the node first");
                 }
-                for (Path f : files.filter(Files::isRegularFile).toList()) {
-                    Files.copy(f, copy.resolve(f.getFileName()));
+                for (Path file : files.filter(Files::isRegularFile).toList()) {
+                    Files.copy(file, copy.resolve(file.getFileName()));
                 }
             }
-            String[] lines = Files.readString(path.resolve("FORMAT")).split("\n");
-            String node = lines.length > 1 ? lines[1] : "";
-            notes.add("group and node: " + node);
-            try (DataDirectory folder =
+            String[] lines = Files.readString(folder.resolve("FORMAT")).split("\n");
+            String groupAndNode = lines.length > 1 ? lines[1] : "";
+            findings.add("group and node: " + groupAndNode);
+            try (DataDirectory dataDirectory =
                     DataDirectory.open(
                             copy,
-                            node,
-                            GroupConfiguration.of(node.isEmpty() ? "?" : node),
+                            groupAndNode,
+                            GroupConfiguration.of(groupAndNode.isEmpty() ? "?" : groupAndNode),
                             4 << 20)) {
-                if (folder.opened().cutBytes() > 0) {
-                    notes.add(
+                if (dataDirectory.opened().cutBytes() > 0) {
+                    findings.add(
                             "a torn write of "
-                                    + folder.opened().cutBytes()
+                                    + dataDirectory.opened().cutBytes()
                                     + " bytes at the end, which the next start cuts off");
                 }
-                return folder.opened().state();
+                return dataDirectory.opened().state();
             }
         } catch (IOException e) {
             throw new Commands.CommandFailedException(
-                    Commands.REFUSED,
+                    Commands.EXIT_FAILURE,
                     e.getMessage() == null
                             ? String.valueOf(e)
-                            : e.getMessage().replace(String.valueOf(copy), path.toString()));
+                            : e.getMessage().replace(String.valueOf(copy), folder.toString()));
         } finally {
             delete(copy);
         }
@@ -106,23 +114,30 @@
             return;
         }
         try (Stream<Path> files = Files.walk(folder)) {
-            for (Path f : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
-                Files.delete(f);
+            for (Path file : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
+                Files.delete(file);
             }
         } catch (IOException e) {
             folder.toFile().deleteOnExit();
         }
     }
 
-    private static KeyValueState state(RaftNode.PersistentState disk)
+    /** Applies the entries of the log to the snapshot. */
+    private static KeyValueState replayLog(RaftNode.PersistentState persisted)
             throws Commands.CommandFailedException {
         try {
-            KeyValueState state = KeyValueState.fromBytes(disk.snapshot().data());
-            disk.entries()
-                    .forEach(e -> state.apply(e.index(), e.data(), new java.util.ArrayList<>()));
+            KeyValueState state = KeyValueState.fromBytes(persisted.snapshot().data());
+            persisted
+                    .entries()
+                    .forEach(
+                            entry ->
+                                    state.apply(
+                                            entry.index(),
+                                            entry.data(),
+                                            new java.util.ArrayList<>()));
             return state;
         } catch (IOException | KeyValueState.UnsupportedFormatException e) {
-            throw new Commands.CommandFailedException(Commands.REFUSED, e.getMessage());
+            throw new Commands.CommandFailedException(Commands.EXIT_FAILURE, e.getMessage());
         }
     }
 
@@ -132,39 +147,47 @@
             mixinStandardHelpOptions = true)
     int check(@Parameters(paramLabel = "FOLDER") Path folder)
             throws Commands.CommandFailedException {
-        List<String> notes = new java.util.ArrayList<>();
-        RaftNode.PersistentState disk = look(folder, notes);
-        notes.forEach(this::say);
-        say(
+        List<String> findings = new java.util.ArrayList<>();
+        RaftNode.PersistentState persisted = readCopy(folder, findings);
+        findings.forEach(this::printLine);
+        printLine(
                 "term "
-                        + disk.term()
+                        + persisted.term()
                         + ", vote "
-                        + disk.vote()
+                        + persisted.vote()
                         + ", snapshot of version "
-                        + disk.snapshot().index()
+                        + persisted.snapshot().index()
                         + " ("
-                        + disk.snapshot().data().length
+                        + persisted.snapshot().data().length
                         + " bytes), "
-                        + disk.entries().size()
+                        + persisted.entries().size()
                         + " entries after it");
-        say(
+        printLine(
                 "members: voters "
-                        + disk.snapshot().configuration().voters()
+                        + persisted.snapshot().configuration().voters()
                         + ", learners "
-                        + disk.snapshot().configuration().learners());
-        KeyValueState state = state(disk);
-        TreeMap<String, Integer> parts = new TreeMap<>();
+                        + persisted.snapshot().configuration().learners());
+        KeyValueState state = replayLog(persisted);
+        TreeMap<String, Integer> keysByPrefix = new TreeMap<>();
         state.valuesUnder("")
                 .keySet()
                 .forEach(
-                        k ->
-                                parts.merge(
-                                        k.contains("/") ? k.substring(0, k.indexOf('/')) : k,
+                        key ->
+                                keysByPrefix.merge(
+                                        key.contains("/")
+                                                ? key.substring(0, key.indexOf('/'))
+                                                : key,
                                         1,
                                         Integer::sum));
-        parts.forEach(
-                (part, keys) ->
-                        say(part + "/: " + keys + " keys, " + state.bytesUnder(part) + " bytes"));
+        keysByPrefix.forEach(
+                (prefix, keyCount) ->
+                        printLine(
+                                prefix
+                                        + "/: "
+                                        + keyCount
+                                        + " keys, "
+                                        + state.bytesUnder(prefix)
+                                        + " bytes"));
         return 0;
     }
 
@@ -178,14 +201,14 @@
             @Parameters(paramLabel = "FOLDER") Path folder,
             @Parameters(paramLabel = "FILE") Path file)
             throws Commands.CommandFailedException {
-        KeyValueState state = state(look(folder, new java.util.ArrayList<>()));
+        KeyValueState state = replayLog(readCopy(folder, new java.util.ArrayList<>()));
         try {
             Backup.write(file, state.freeze());
         } catch (IOException e) {
             throw new Commands.CommandFailedException(
-                    Commands.BAD_INPUT, file + ": cannot be written: " + e);
+                    Commands.EXIT_BAD_INPUT, file + ": cannot be written: " + e);
         }
-        say("version " + state.version() + " in " + file);
+        printLine("version " + state.version() + " in " + file);
         return 0;
     }
 
@@ -200,21 +223,21 @@
             throws Commands.CommandFailedException {
         try {
             KeyValueState state = Backup.read(file);
-            say("version " + state.version() + ", " + state.valuesUnder("").size() + " keys");
+            printLine("version " + state.version() + ", " + state.valuesUnder("").size() + " keys");
             if (prefix != null) {
                 state.valuesUnder(prefix)
                         .forEach(
-                                (k, v) ->
-                                        say(
-                                                k
+                                (key, value) ->
+                                        printLine(
+                                                key
                                                         + " "
-                                                        + v.text().length()
+                                                        + value.text().length()
                                                         + " characters, version "
-                                                        + v.version()));
+                                                        + value.version()));
             }
             return 0;
         } catch (IOException e) {
-            throw new Commands.CommandFailedException(Commands.BAD_INPUT, e.getMessage());
+            throw new Commands.CommandFailedException(Commands.EXIT_BAD_INPUT, e.getMessage());
         }
     }
 
@@ -242,11 +265,12 @@
             throws Commands.CommandFailedException {
         if (!nodes.contains(node)) {
             throw new Commands.CommandFailedException(
-                    Commands.BAD_INPUT, "--nodes: expected " + node + " among them");
+                    Commands.EXIT_BAD_INPUT,
+                    "--nodes: expected " + node + ", the value of --node, in the list");
         }
         try {
             long version = Backup.restore(file, folder, group, node, new TreeSet<>(nodes));
-            say(
+            printLine(
                     "version "
                             + version
                             + " in "
@@ -257,14 +281,15 @@
                             + group);
             return 0;
         } catch (IOException e) {
-            throw new Commands.CommandFailedException(Commands.BAD_INPUT, e.getMessage());
+            throw new Commands.CommandFailedException(Commands.EXIT_BAD_INPUT, e.getMessage());
         }
     }
 
-    // ---- a running group ----
+    // ---- commands on a running group ----
 
-    private int ask(NodeTarget target, String... words) throws Commands.CommandFailedException {
-        say(target.ask("store " + String.join(" ", words)));
+    private int sendCommand(NodeTarget target, String... arguments)
+            throws Commands.CommandFailedException {
+        printLine(target.sendRequest("store " + String.join(" ", arguments)));
         return 0;
     }
 
@@ -272,7 +297,7 @@
             description = "The nodes of the group: who votes, who leads, who is heard.",
             mixinStandardHelpOptions = true)
     int nodes(@Mixin NodeTarget target) throws Commands.CommandFailedException {
-        return ask(target, "nodes");
+        return sendCommand(target, "nodes");
     }
 
     @Command(
@@ -283,25 +308,25 @@
             @Parameters(paramLabel = "NAME") String name,
             @Parameters(paramLabel = "HOST:PORT") String address)
             throws Commands.CommandFailedException {
-        return ask(target, "add", name, address);
+        return sendCommand(target, "add", name, address);
     }
 
     @Command(description = "Lets a node that follows vote.", mixinStandardHelpOptions = true)
     int promote(@Mixin NodeTarget target, @Parameters(paramLabel = "NAME") String name)
             throws Commands.CommandFailedException {
-        return ask(target, "promote", name);
+        return sendCommand(target, "promote", name);
     }
 
     @Command(description = "Lets a voter only follow.", mixinStandardHelpOptions = true)
     int demote(@Mixin NodeTarget target, @Parameters(paramLabel = "NAME") String name)
             throws Commands.CommandFailedException {
-        return ask(target, "demote", name);
+        return sendCommand(target, "demote", name);
     }
 
     @Command(description = "Takes a node out of the group.", mixinStandardHelpOptions = true)
     int remove(@Mixin NodeTarget target, @Parameters(paramLabel = "NAME") String name)
             throws Commands.CommandFailedException {
-        return ask(target, "remove", name);
+        return sendCommand(target, "remove", name);
     }
 
     @Command(
@@ -310,10 +335,10 @@
             mixinStandardHelpOptions = true)
     int replace(
             @Mixin NodeTarget target,
-            @Parameters(paramLabel = "OLD") String old,
-            @Parameters(paramLabel = "NEW") String fresh)
+            @Parameters(paramLabel = "OLD") String replaced,
+            @Parameters(paramLabel = "NEW") String replacement)
             throws Commands.CommandFailedException {
-        return ask(target, "replace", old, fresh);
+        return sendCommand(target, "replace", replaced, replacement);
     }
 
     @Command(
@@ -324,6 +349,6 @@
             mixinStandardHelpOptions = true)
     int level(@Mixin NodeTarget target, @Option(names = "--raise") boolean raise)
             throws Commands.CommandFailedException {
-        return raise ? ask(target, "level", "raise") : ask(target, "level");
+        return raise ? sendCommand(target, "level", "raise") : sendCommand(target, "level");
     }
 }
--- a/src/main/java/reeldeal/cli/ZoneCommands.java
+++ b/src/main/java/reeldeal/cli/ZoneCommands.java
@@ -39,7 +39,7 @@
 import reeldeal.zones.ZoneFileReader;
 import reeldeal.zones.ZoneService;
 
-/** Commands on zones. */
+/** Commands on zone files and on the zones that a daemon serves. */
 @Command(
         name = "zone",
         description = "Checks zone files, and shows, changes and copies the zones of a daemon.",
@@ -55,8 +55,8 @@
                 spec.commandLine(), "expected check, show, members, update, " + "transfer or key");
     }
 
-    /** Where the daemon is and how to sign. */
-    static final class Target {
+    /** Options for the address of the daemon, the key to sign with and the timeout. */
+    static final class DaemonTarget {
         @Option(
                 names = {"-s", "--server"},
                 defaultValue = "127.0.0.1:5300",
@@ -76,13 +76,13 @@
                 description = "Default: ${DEFAULT-VALUE}.")
         private long timeoutMs;
 
-        DnsClient open() throws Commands.CommandFailedException {
+        DnsClient connect() throws Commands.CommandFailedException {
             int colon = server.lastIndexOf(':');
             if (colon < 1
                     || !server.substring(colon + 1).matches("[0-9]{1,5}")
                     || Integer.parseInt(server.substring(colon + 1)) > 65_535) {
                 throw new Commands.CommandFailedException(
-                        Commands.BAD_INPUT, "--server: expected HOST:PORT, found " + server);
+                        Commands.EXIT_BAD_INPUT, "--server: expected HOST:PORT, found " + server);
             }
             try {
                 Tsig.Key key = keyFile == null ? null : TsigKeyFile.read(keyFile);
@@ -93,16 +93,16 @@
                         key,
                         timeoutMs);
             } catch (BrokerConfig.InvalidConfigException e) {
-                throw new Commands.CommandFailedException(Commands.BAD_INPUT, e.getMessage());
+                throw new Commands.CommandFailedException(Commands.EXIT_BAD_INPUT, e.getMessage());
             }
         }
     }
 
-    private static String origin(String text) throws Commands.CommandFailedException {
+    private static String parseOrigin(String text) throws Commands.CommandFailedException {
         String origin = Names.parse(text, ".");
         if (origin == null) {
             throw new Commands.CommandFailedException(
-                    Commands.BAD_INPUT, "expected a domain name, found " + text);
+                    Commands.EXIT_BAD_INPUT, "expected a domain name, found " + text);
         }
         return origin;
     }
@@ -119,11 +119,12 @@
             @Parameters(paramLabel = "ORIGIN", description = "The zone's name.") String zoneName)
             throws Commands.CommandFailedException {
         try {
-            Zone zone = ZoneFileReader.read(file, origin(zoneName));
-            Map<String, Integer> types = new TreeMap<>();
-            for (var sets = zone.sets(); sets.hasNext(); ) {
-                Zone.Placed p = sets.next();
-                types.merge(Types.name(p.type()), p.set().data().size(), Integer::sum);
+            Zone zone = ZoneFileReader.read(file, parseOrigin(zoneName));
+            Map<String, Integer> recordsByType = new TreeMap<>();
+            for (var recordSets = zone.sets(); recordSets.hasNext(); ) {
+                Zone.Placed recordSet = recordSets.next();
+                recordsByType.merge(
+                        Types.name(recordSet.type()), recordSet.set().data().size(), Integer::sum);
             }
             out().println(
                             zone.origin
@@ -132,30 +133,30 @@
                                     + ", "
                                     + zone.size()
                                     + " records "
-                                    + types);
-            int faults = 0;
-            for (EndpointReport claim : EndpointReports.parse(zone)) {
-                String fault =
-                        claim.addresses().isEmpty()
+                                    + recordsByType);
+            int unusableCount = 0;
+            for (EndpointReport report : EndpointReports.parse(zone)) {
+                String problem =
+                        report.addresses().isEmpty()
                                 ? "has no address"
-                                : claim.cells().isEmpty()
+                                : report.cells().isEmpty()
                                         ? "has no cell=N in its TXT"
-                                        : claim.cells().size() > 1 ? "has several cells" : null;
-                if (fault != null) {
-                    faults++;
-                    out().println("searcher " + claim.name() + " " + fault);
+                                        : report.cells().size() > 1 ? "has several cells" : null;
+                if (problem != null) {
+                    unusableCount++;
+                    out().println("searcher " + report.name() + " " + problem);
                 }
             }
             out().println(
                             EndpointReports.parse(zone).size()
                                     + " searchers listed, "
-                                    + faults
+                                    + unusableCount
                                     + " of them not sound");
             out().flush();
             return 0;
         } catch (ZoneFile.Malformed | IOException e) {
             throw new Commands.CommandFailedException(
-                    Commands.BAD_INPUT,
+                    Commands.EXIT_BAD_INPUT,
                     e instanceof IOException
                             ? file + ": cannot be read: " + e.getMessage()
                             : e.getMessage());
@@ -165,10 +166,10 @@
     @Command(
             description = "Prints a zone of the daemon as a zone file.",
             mixinStandardHelpOptions = true)
-    int show(@Mixin Target target, @Parameters(paramLabel = "ORIGIN") String zoneName)
+    int show(@Mixin DaemonTarget target, @Parameters(paramLabel = "ORIGIN") String zoneName)
             throws Commands.CommandFailedException, IOException {
-        try (DnsClient client = target.open()) {
-            ZoneFile.write(client.transfer(origin(zoneName)), out());
+        try (DnsClient client = target.connect()) {
+            ZoneFile.write(client.fetchZone(parseOrigin(zoneName)), out());
             out().flush();
         }
         return 0;
@@ -178,19 +179,20 @@
             description = "Copies a zone of the daemon to a file by a whole transfer.",
             mixinStandardHelpOptions = true)
     int transfer(
-            @Mixin Target target,
+            @Mixin DaemonTarget target,
             @Parameters(paramLabel = "ORIGIN") String zoneName,
             @Parameters(paramLabel = "FILE") Path file)
             throws Commands.CommandFailedException, IOException {
-        try (DnsClient client = target.open()) {
-            Zone zone = client.transfer(origin(zoneName));
-            // Whole or not at all: a copy that broke off must not stand under the file's name.
-            Path fresh = Path.of(file + ".new");
-            try (Writer writer = Files.newBufferedWriter(fresh)) {
+        try (DnsClient client = target.connect()) {
+            Zone zone = client.fetchZone(parseOrigin(zoneName));
+            // Writes another file first and renames it, so that an incomplete copy never has the
+            // name of the target file.
+            Path temporaryFile = Path.of(file + ".new");
+            try (Writer writer = Files.newBufferedWriter(temporaryFile)) {
                 ZoneFile.write(zone, writer);
             }
             Files.move(
-                    fresh,
+                    temporaryFile,
                     file,
                     StandardCopyOption.ATOMIC_MOVE,
                     StandardCopyOption.REPLACE_EXISTING);
@@ -212,7 +214,7 @@
                     "Lists the searchers as the daemon sees them, each with its source and reason.",
             mixinStandardHelpOptions = true)
     int members(
-            @Mixin Target target,
+            @Mixin DaemonTarget target,
             @Option(
                             names = "--output",
                             defaultValue = "table",
@@ -221,14 +223,14 @@
             throws Commands.CommandFailedException, IOException {
         if (!output.matches("table|json")) {
             throw new Commands.CommandFailedException(
-                    Commands.BAD_INPUT, "--output: expected table or json, found " + output);
+                    Commands.EXIT_BAD_INPUT, "--output: expected table or json, found " + output);
         }
         List<Map<String, String>> rows = new ArrayList<>();
-        try (DnsClient client = target.open()) {
+        try (DnsClient client = target.connect()) {
             for (int page = 0; ; page++) {
-                int id = DnsClient.id();
+                int id = DnsClient.randomId();
                 Message answer =
-                        client.ask(
+                        client.request(
                                 new MessageWriter(id, 0, 512)
                                         .question(page + "." + ZoneService.MEMBERS, Rr.TXT, Rr.CH),
                                 id);
@@ -236,42 +238,43 @@
                     break;
                 } else if (answer.rcode() != Rcode.NOERROR) {
                     throw new Commands.CommandFailedException(
-                            Commands.REFUSED,
-                            "the daemon says "
+                            Commands.EXIT_FAILURE,
+                            "the daemon responded "
                                     + Rcode.name(answer.rcode())
-                                    + "; the view is shown to loopback only");
+                                    + "; it lists its searchers to loopback addresses only");
                 }
-                answer.answers().forEach(r -> rows.add(strings(r.data())));
+                answer.answers().forEach(record -> rows.add(parseTxtStrings(record.data())));
             }
         }
         if (output.equals("json")) {
-            json(rows);
+            printJson(rows);
         } else {
-            table(rows, List.of("name", "status", "address", "cell", "source", "reason"));
+            printTable(rows, List.of("name", "status", "address", "cell", "source", "reason"));
         }
         out().flush();
         return 0;
     }
 
-    private static Map<String, String> strings(byte[] data) {
-        Map<String, String> strings = new LinkedHashMap<>();
-        for (int at = 0; at < data.length; at += 1 + (data[at] & 0xff)) {
-            String string = new String(data, at + 1, data[at] & 0xff, StandardCharsets.UTF_8);
-            int eq = string.indexOf('=');
-            strings.put(string.substring(0, eq), string.substring(eq + 1));
+    /** Parses the character-strings of a TXT record, each of the form {@code key=value}. */
+    private static Map<String, String> parseTxtStrings(byte[] data) {
+        Map<String, String> pairs = new LinkedHashMap<>();
+        for (int offset = 0; offset < data.length; offset += 1 + (data[offset] & 0xff)) {
+            String pair = new String(data, offset + 1, data[offset] & 0xff, StandardCharsets.UTF_8);
+            int equals = pair.indexOf('=');
+            pairs.put(pair.substring(0, equals), pair.substring(equals + 1));
         }
-        return strings;
+        return pairs;
     }
 
-    private void json(List<Map<String, String>> rows) throws IOException {
+    private void printJson(List<Map<String, String>> rows) throws IOException {
         try (JsonGenerator json = new JsonFactory().createGenerator(out())) {
             json.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
             json.useDefaultPrettyPrinter();
             json.writeStartArray();
             for (Map<String, String> row : rows) {
                 json.writeStartObject();
-                for (Map.Entry<String, String> e : row.entrySet()) {
-                    json.writeStringField(e.getKey(), e.getValue());
+                for (Map.Entry<String, String> field : row.entrySet()) {
+                    json.writeStringField(field.getKey(), field.getValue());
                 }
                 json.writeEndObject();
             }
@@ -280,31 +283,36 @@
         out().println();
     }
 
-    private void table(List<Map<String, String>> rows, List<String> columns) {
+    private void printTable(List<Map<String, String>> rows, List<String> columns) {
         Map<String, Integer> widths = new LinkedHashMap<>();
         columns.forEach(
-                c ->
+                column ->
                         widths.put(
-                                c,
+                                column,
                                 rows.stream()
-                                        .mapToInt(r -> r.getOrDefault(c, "").length())
+                                        .mapToInt(row -> row.getOrDefault(column, "").length())
                                         .max()
                                         .orElse(0)));
-        StringBuilder head = new StringBuilder();
+        StringBuilder header = new StringBuilder();
         columns.forEach(
-                c ->
-                        head.append(
+                column ->
+                        header.append(
                                 String.format(
-                                        "%-" + Math.max(c.length(), widths.get(c)) + "s  ", c)));
-        out().println(head.toString().stripTrailing());
+                                        "%-"
+                                                + Math.max(column.length(), widths.get(column))
+                                                + "s  ",
+                                        column)));
+        out().println(header.toString().stripTrailing());
         for (Map<String, String> row : rows) {
             StringBuilder line = new StringBuilder();
             columns.forEach(
-                    c ->
+                    column ->
                             line.append(
                                     String.format(
-                                            "%-" + Math.max(c.length(), widths.get(c)) + "s  ",
-                                            row.getOrDefault(c, ""))));
+                                            "%-"
+                                                    + Math.max(column.length(), widths.get(column))
+                                                    + "s  ",
+                                            row.getOrDefault(column, ""))));
             out().println(line.toString().stripTrailing());
         }
         out().println(rows.size() + " searchers");
@@ -317,79 +325,83 @@
             },
             mixinStandardHelpOptions = true)
     int update(
-            @Mixin Target target,
+            @Mixin DaemonTarget target,
             @Parameters(paramLabel = "ORIGIN") String zoneName,
             @Option(
                             names = "--add",
                             paramLabel = "'NAME TTL TYPE DATA'",
                             description = "Add a record.")
-                    List<String> adds,
+                    List<String> additions,
             @Option(
                             names = "--delete",
                             paramLabel = "'NAME [TYPE [DATA]]'",
                             description =
                                     "Delete a name, a set or a record. Deletions come before additions.")
-                    List<String> deletes,
+                    List<String> deletions,
             @Option(
                             names = "--require",
                             paramLabel = "'NAME [TYPE [DATA]]'",
                             description =
                                     "Only if this name, set or whole set of records is there.")
-                    List<String> requires,
+                    List<String> requiredPresent,
             @Option(
                             names = "--require-no",
                             paramLabel = "'NAME [TYPE]'",
                             description = "Only if this name or set is not there.")
-                    List<String> bars)
+                    List<String> requiredAbsent)
             throws Commands.CommandFailedException {
-        String zone = origin(zoneName);
-        int id = DnsClient.id();
+        String zone = parseOrigin(zoneName);
+        int id = DnsClient.randomId();
         MessageWriter writer =
                 new MessageWriter(id, Message.UPDATE << 11, 65_000).question(zone, Rr.SOA, Rr.IN);
         int changes = 0;
         try {
-            for (String text : requires == null ? List.<String>of() : requires) {
-                RecordText r = RecordText.parse(text, zone, false);
-                writer.add(1, r.data().length > 0 ? r.record(Rr.IN, 0) : r.record(Rr.ANY, 0));
+            for (String text : requiredPresent == null ? List.<String>of() : requiredPresent) {
+                RecordText record = RecordText.parse(text, zone, false);
+                writer.add(
+                        1,
+                        record.data().length > 0
+                                ? record.record(Rr.IN, 0)
+                                : record.record(Rr.ANY, 0));
             }
-            for (String text : bars == null ? List.<String>of() : bars) {
+            for (String text : requiredAbsent == null ? List.<String>of() : requiredAbsent) {
                 writer.add(1, RecordText.parse(text, zone, false).record(Rr.NONE, 0));
             }
-            for (String text : deletes == null ? List.<String>of() : deletes) {
-                RecordText r = RecordText.parse(text, zone, false);
-                writer.add(2, r.record(r.data().length > 0 ? Rr.NONE : Rr.ANY, 0));
+            for (String text : deletions == null ? List.<String>of() : deletions) {
+                RecordText record = RecordText.parse(text, zone, false);
+                writer.add(2, record.record(record.data().length > 0 ? Rr.NONE : Rr.ANY, 0));
                 changes++;
             }
-            for (String text : adds == null ? List.<String>of() : adds) {
-                RecordText r = RecordText.parse(text, zone, true);
-                writer.add(2, r.record(Rr.IN, r.ttl()));
+            for (String text : additions == null ? List.<String>of() : additions) {
+                RecordText record = RecordText.parse(text, zone, true);
+                writer.add(2, record.record(Rr.IN, record.ttl()));
                 changes++;
             }
         } catch (RecordText.Unreadable e) {
-            throw new Commands.CommandFailedException(Commands.BAD_INPUT, e.getMessage());
+            throw new Commands.CommandFailedException(Commands.EXIT_BAD_INPUT, e.getMessage());
         }
         if (changes == 0) {
             throw new Commands.CommandFailedException(
-                    Commands.BAD_INPUT, "expected --add or --delete");
+                    Commands.EXIT_BAD_INPUT, "expected at least one --add or --delete");
         }
-        try (DnsClient client = target.open()) {
-            int rcode = client.ask(writer, id).rcode();
+        try (DnsClient client = target.connect()) {
+            int rcode = client.request(writer, id).rcode();
             out().println(Rcode.name(rcode));
             out().flush();
             if (rcode != Rcode.NOERROR) {
                 throw new Commands.CommandFailedException(
-                        Commands.REFUSED,
-                        "nothing was changed: "
+                        Commands.EXIT_FAILURE,
+                        "the zone was not changed: "
                                 + switch (rcode) {
                                     case Rcode.REFUSED ->
-                                            "no leave for this address or key; the daemon's log tells why";
+                                            "this address or key has no permission; see the daemon's log for the reason";
                                     case Rcode.NOTAUTH -> "the daemon has no zone " + zone;
-                                    case Rcode.SERVFAIL -> "the store has no majority, or is full";
+                                    case Rcode.SERVFAIL -> "the store has no quorum, or is full";
                                     case Rcode.NXDOMAIN,
                                             Rcode.YXDOMAIN,
                                             Rcode.NXRRSET,
                                             Rcode.YXRRSET ->
-                                            "a condition does not hold";
+                                            "a condition of --require or --require-no is not met";
                                     default -> Rcode.name(rcode);
                                 });
             }
@@ -413,13 +425,13 @@
         byte[] secret = new byte[SECRET_BYTES];
         new SecureRandom().nextBytes(secret);
         try {
-            TsigKeyFile.write(file, new Tsig.Key(origin(name), algorithm + ".", secret));
+            TsigKeyFile.write(file, new Tsig.Key(parseOrigin(name), algorithm + ".", secret));
         } catch (IllegalArgumentException e) {
             throw new Commands.CommandFailedException(
-                    Commands.BAD_INPUT, "--algorithm: " + e.getMessage());
+                    Commands.EXIT_BAD_INPUT, "--algorithm: " + e.getMessage());
         } catch (IOException e) {
             throw new Commands.CommandFailedException(
-                    Commands.BAD_INPUT, file + ": cannot be written: " + e);
+                    Commands.EXIT_BAD_INPUT, file + ": cannot be written: " + e);
         }
         out().println("wrote " + file + "; name it in dns.key_files");
         out().flush();
--- a/src/main/java/reeldeal/cli/package-info.java
+++ b/src/main/java/reeldeal/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operators' commands, on picocli. Nothing here is loaded by {@code serve}; it asks a running
- * daemon only over the network, as any client would.
+ * The commands for operators, based on picocli. {@code serve} loads none of these classes. The
+ * commands reach a running daemon only over the network, as any other client does.
  */
 package reeldeal.cli;
--- a/src/main/java/reeldeal/http/ServerConnection.java
+++ b/src/main/java/reeldeal/http/ServerConnection.java
@@ -365,7 +365,7 @@
      * Ends the connection after a write: first shuts down its output, then closes it when the
      * client has closed its side or {@link #LINGER_MS} have passed. Until then input is read and
      * discarded, because closing a connection with unread bytes resets it and loses the last
-     * response. A discarded request was never parsed, so that its client may send it elsewhere.
+     * response. A discarded request was never processed, so that its client may send it elsewhere.
      */
     private void endAfter(ChannelFuture written) {
         ending = true;
