--- a/src/main/java/reeldeal/cli/Commands.java
+++ b/src/main/java/reeldeal/cli/Commands.java
@@ -21,7 +21,7 @@
             CommandLine.HelpCommand.class
         },
         mixinStandardHelpOptions = true,
-        footer = {"", "serve and benchlink are started as README.md says."})
+        footer = {"", "README.md describes how to start serve and benchlink."})
 public final class Commands implements Runnable {
     static final int EXIT_FAILURE = 1;
     static final int EXIT_BAD_INPUT = 2;
--- a/src/main/java/reeldeal/cli/FaultInjectionCommand.java
+++ b/src/main/java/reeldeal/cli/FaultInjectionCommand.java
@@ -16,30 +16,35 @@
 @Command(
         name = "drill",
         description = {
-            "Starts a fleet of this program on loopback, with stand-in searchers and a load, puts the scenario's",
-            "faults between the processes, and checks the rules over all that happened. 0: all hold, 1: some do not."
+            "Runs a fault-injection scenario: a fleet of this program on loopback, with simulated searchers and load.",
+            "Injects the scenario's faults and checks all rules on the history. Exit code 0: all hold, 1: some do not."
         },
         mixinStandardHelpOptions = true)
 final class FaultInjectionCommand implements Callable<Integer> {
     @Spec private CommandLine.Model.CommandSpec spec;
 
-    @Parameters(paramLabel = "SCENARIO", description = "A scenario's file, as in deploy/drill.")
+    @Parameters(
+            paramLabel = "SCENARIO",
+            description = "A scenario file, such as those in deploy/drill.")
     private Path scenarioFile;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Default: ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "The seed of the first run (default: ${DEFAULT-VALUE}).")
     private long seed;
 
     @Option(
             names = "--runs",
             defaultValue = "1",
-            description = "How many, with one seed after the other.")
+            description = "The number of runs, with consecutive seeds (default: ${DEFAULT-VALUE}).")
     private int runs;
 
     @Option(
             names = "--out",
             defaultValue = "target/drill",
             paramLabel = "FOLDER",
-            description = "Default: ${DEFAULT-VALUE}.")
+            description = "The folder for the results (default: ${DEFAULT-VALUE}).")
     private Path outputFolder;
 
     @Option(
@@ -51,7 +56,8 @@
     @Option(
             names = "--from",
             paramLabel = "FILE",
-            description = "The fleet starts with this program, and the release brings the other.")
+            description =
+                    "The program that the fleet starts with; the release installs that of --jar.")
     private Path initialJar;
 
     /** Returns the jar that this program runs from. */
--- a/src/main/java/reeldeal/cli/FleetCommands.java
+++ b/src/main/java/reeldeal/cli/FleetCommands.java
@@ -152,7 +152,7 @@
 
     @Command(
             description =
-                    "All brokers: state, incarnation, versions, for how long they were not heard.",
+                    "Lists all brokers: state, incarnation, versions and time since the last heartbeat.",
             mixinStandardHelpOptions = true)
     int members(@Mixin NodeTarget target, @Mixin OutputFormat format)
             throws Commands.CommandFailedException {
@@ -161,7 +161,7 @@
     }
 
     @Command(
-            description = "Work in hand as one broker sees it, or one record.",
+            description = "Shows the work in progress as one broker sees it, or one record.",
             mixinStandardHelpOptions = true)
     int work(
             @Mixin NodeTarget target,
@@ -169,7 +169,8 @@
             @Parameters(
                             paramLabel = "CLASS KEY",
                             arity = "0..2",
-                            description = "A record's class and its client's key.")
+                            description =
+                                    "The class of a record and the idempotency key that its client sent.")
                     List<String> record)
             throws Commands.CommandFailedException {
         printLine(
@@ -181,7 +182,8 @@
     }
 
     @Command(
-            description = "Who is out or may be, why, and whether that is over the budget.",
+            description =
+                    "Lists the members that are or may be out of service, the reasons, and whether the budget is exceeded.",
             mixinStandardHelpOptions = true)
     int permits(@Mixin NodeTarget target, @Mixin OutputFormat format)
             throws Commands.CommandFailedException {
@@ -190,7 +192,7 @@
     }
 
     @Command(
-            description = "Shows the policy, or sets what is given as KEY=VALUE.",
+            description = "Shows the policy, or changes the settings given as KEY=VALUE.",
             mixinStandardHelpOptions = true)
     int policy(
             @Mixin NodeTarget target,
@@ -221,7 +223,7 @@
     }
 
     @Command(
-            description = "Drains a broker or a searcher, where the policy allows it.",
+            description = "Drains a broker or a searcher if the policy allows it.",
             mixinStandardHelpOptions = true)
     int drain(
             @Mixin NodeTarget target,
@@ -229,14 +231,14 @@
             @Option(
                             names = "--kind",
                             defaultValue = "",
-                            description = "broker or searcher, where the name is of both.")
+                            description = "broker or searcher; needed if one of each has the name.")
                     String kind,
             @Option(names = "--reason", defaultValue = "") String reason)
             throws Commands.CommandFailedException {
         return sendOrder(target, "drain", name, kind, reason);
     }
 
-    @Command(description = "Takes a drain back.", mixinStandardHelpOptions = true)
+    @Command(description = "Cancels a drain.", mixinStandardHelpOptions = true)
     int undrain(
             @Mixin NodeTarget target,
             @Parameters(paramLabel = "NAME") String name,
@@ -247,7 +249,7 @@
 
     @Command(
             description =
-                    "Says that a broker or a searcher will not come back: frees its slot on this word alone.",
+                    "Declares that a broker or a searcher will not return, and frees its slot without further evidence.",
             mixinStandardHelpOptions = true)
     int forget(
             @Mixin NodeTarget target,
@@ -262,7 +264,7 @@
     @Command(
             name = "recovery",
             description =
-                    "Shows how the fleet comes back from a loss of power, holds or forces its steps.",
+                    "Shows the recovery of the fleet from a loss of power, holds it or forces its steps.",
             mixinStandardHelpOptions = true)
     static final class RecoveryCommands implements Runnable {
         @Spec private CommandLine.Model.CommandSpec spec;
@@ -274,7 +276,8 @@
         }
 
         @Command(
-                description = "The recovery, and where the asked broker stands and why it waits.",
+                description =
+                        "Shows the recovery, the step of the broker that responds, and the reason for which it waits.",
                 mixinStandardHelpOptions = true)
         int show(@Mixin NodeTarget target, @Mixin OutputFormat format)
                 throws Commands.CommandFailedException {
@@ -284,8 +287,8 @@
 
         @Command(
                 description =
-                        "Holds it at its step, or goes on (resume), takes the next step now (force), or declares that a zone"
-                                + " will not come back (forget ZONE).",
+                        "Holds the recovery at its step (hold), continues it (resume), takes the next step now (force), or"
+                                + " declares that a zone will not return (forget ZONE).",
                 mixinStandardHelpOptions = true)
         int order(
                 @Mixin NodeTarget target,
@@ -309,7 +312,7 @@
     /** Commands on releases: rollouts of a configuration or of a program version. */
     @Command(
             name = "release",
-            description = "Plans a release, runs it, halts it, takes it back.",
+            description = "Plans, starts, halts and rolls back releases.",
             mixinStandardHelpOptions = true)
     static final class ReleaseCommands implements Runnable {
         @Spec private CommandLine.Model.CommandSpec spec;
@@ -323,31 +326,35 @@
 
         @Command(
                 description =
-                        "Plans a release: of a configuration, which each broker takes at its restart, or of a program, which"
-                                + " the operator's own agent installs.",
+                        "Plans the release of a configuration, which each broker applies at its restart, or of a program,"
+                                + " which the operator's own agent installs.",
                 mixinStandardHelpOptions = true)
         int plan(
                 @Mixin NodeTarget target,
                 @Option(names = "--config", paramLabel = "FILE") Path config,
                 @Option(names = "--program", paramLabel = "VERSION") String program,
-                @Option(names = "--searchers", description = "A program on searchers, not brokers.")
+                @Option(
+                                names = "--searchers",
+                                description =
+                                        "Install the program on searchers instead of brokers.")
                         boolean searchers,
                 @Option(
                                 names = "--members",
                                 defaultValue = "",
                                 paramLabel = "A,B",
-                                description = "Default: all.")
+                                description = "The members to change (default: all).")
                         String members,
                 @Option(
                                 names = "--waves",
                                 defaultValue = "1,2,4",
-                                description = "How many in each wave; the last again.")
+                                description =
+                                        "The number of members in each wave; the last number applies to all later waves.")
                         String waves,
                 @Option(names = "--settle-ms", defaultValue = "5000") long settleMs,
                 @Option(
                                 names = "--step-ms",
                                 defaultValue = "60000",
-                                description = "What a step may take.")
+                                description = "The time limit of a step.")
                         long stepMs)
                 throws Commands.CommandFailedException {
             if ((config == null) == (program == null)) {
@@ -394,7 +401,7 @@
         }
 
         @Command(
-                description = "The release and where each member stands.",
+                description = "Shows the release and the stage of each member.",
                 mixinStandardHelpOptions = true)
         int show(@Mixin NodeTarget target, @Mixin OutputFormat format)
                 throws Commands.CommandFailedException {
@@ -404,7 +411,7 @@
 
         @Command(
                 description =
-                        "Shows each change until the release has ended: 0 when done, 1 when halted.",
+                        "Shows each change until the release has ended. Exit code 0: done, 1: halted.",
                 mixinStandardHelpOptions = true)
         int watch(@Mixin NodeTarget target, @Mixin OutputFormat format)
                 throws Commands.CommandFailedException, InterruptedException {
@@ -436,7 +443,7 @@
             return 0;
         }
 
-        @Command(description = "Starts what is planned.", mixinStandardHelpOptions = true)
+        @Command(description = "Starts the planned release.", mixinStandardHelpOptions = true)
         int start(
                 @Mixin NodeTarget target,
                 @Option(names = "--reason", defaultValue = "") String reason)
@@ -444,7 +451,9 @@
             return sendOrder(target, "start", reason);
         }
 
-        @Command(description = "Takes no further step for now.", mixinStandardHelpOptions = true)
+        @Command(
+                description = "Pauses the release: no further step is taken until it is resumed.",
+                mixinStandardHelpOptions = true)
         int pause(
                 @Mixin NodeTarget target,
                 @Option(names = "--reason", defaultValue = "") String reason)
@@ -453,7 +462,7 @@
         }
 
         @Command(
-                description = "Goes on, whatever halted or paused it.",
+                description = "Resumes the release, whatever halted or paused it.",
                 mixinStandardHelpOptions = true)
         int resume(
                 @Mixin NodeTarget target,
@@ -462,7 +471,7 @@
             return sendOrder(target, "resume", reason);
         }
 
-        @Command(description = "Halts it.", mixinStandardHelpOptions = true)
+        @Command(description = "Halts the release.", mixinStandardHelpOptions = true)
         int halt(
                 @Mixin NodeTarget target,
                 @Option(names = "--reason", defaultValue = "") String reason)
@@ -471,7 +480,8 @@
         }
 
         @Command(
-                description = "Takes it back, over exactly the members changed so far.",
+                description =
+                        "Rolls the release back on exactly the members that it has changed so far.",
                 mixinStandardHelpOptions = true)
         int back(
                 @Mixin NodeTarget target,
--- a/src/main/java/reeldeal/cli/MeasureCommands.java
+++ b/src/main/java/reeldeal/cli/MeasureCommands.java
@@ -18,7 +18,7 @@
 /** Benchmarks and replays that take long; they use only this machine. */
 @Command(
         name = "measure",
-        description = "Measures the program on this machine: processes and nodes on loopback.",
+        description = "Runs benchmarks on this machine, with processes and nodes on loopback.",
         mixinStandardHelpOptions = true)
 final class MeasureCommands implements Runnable {
     @Spec private CommandLine.Model.CommandSpec spec;
@@ -45,7 +45,7 @@
 
     @Command(
             description =
-                    "A zone of so many records in a broker of its own: updates, queries, transfers, and what they cost its clients.",
+                    "Measures a broker that hosts a zone of the given size: updates, queries, transfers, and what they cost its clients.",
             mixinStandardHelpOptions = true)
     int zone(@Mixin ProgramOption program, @Parameters(paramLabel = "RECORDS") int records)
             throws Exception {
@@ -57,8 +57,8 @@
 
     @Command(
             description = {
-                "Replays scripts of zone updates against a broker with stand-in searchers under load, as those in",
-                "deploy/drill/zones. 0: no part came to a drained searcher and each query had one answer."
+                "Replays scripts of zone updates against a broker with simulated searchers under load.",
+                "Scripts are in deploy/drill/zones. Exit code 0: drained searchers got no part of a query, and each query got one answer."
             },
             mixinStandardHelpOptions = true)
     int drains(
@@ -90,7 +90,8 @@
     }
 
     @Command(
-            description = "Checks the histories that drills have left in these folders once more.",
+            description =
+                    "Checks all rules again on the histories that drills left in these folders.",
             mixinStandardHelpOptions = true)
     int check(@Parameters(paramLabel = "FOLDER", arity = "1..*") List<Path> folders)
             throws Exception {
@@ -115,7 +116,8 @@
     }
 
     @Command(
-            description = "Commits a second of three and five nodes, by writers.",
+            description =
+                    "Measures the commits per second of groups of three and five nodes, by number of writers.",
             mixinStandardHelpOptions = true)
     int commits() throws Exception {
         StoreBenchmark.commits();
@@ -123,7 +125,7 @@
     }
 
     @Command(
-            description = "The time from a leader's death to the next commit.",
+            description = "Measures the time from the failure of a leader to the next commit.",
             mixinStandardHelpOptions = true)
     int death() throws Exception {
         StoreBenchmark.death();
@@ -131,7 +133,8 @@
     }
 
     @Command(
-            description = "A start with so many keys, and writes during a compaction.",
+            description =
+                    "Measures a start with the given number of keys, and writes during a compaction.",
             mixinStandardHelpOptions = true)
     int keys(@Parameters(paramLabel = "KEYS") int count) throws Exception {
         StoreBenchmark.keys(count);
--- a/src/main/java/reeldeal/cli/NodeTarget.java
+++ b/src/main/java/reeldeal/cli/NodeTarget.java
@@ -18,19 +18,21 @@
     @Option(
             names = "--node",
             paramLabel = "HOST:PORT",
-            description = "A node's address (default: that of the store's file).")
+            description =
+                    "The address of a node (default: the node of the store configuration file).")
     private String node;
 
     @Option(
             names = "--group",
             paramLabel = "NAME",
-            description = "The group's name (default: that of the store's file).")
+            description =
+                    "The name of the group (default: the one in the store configuration file).")
     private String group;
 
     @Option(
             names = "--timeout-ms",
             defaultValue = "8000",
-            description = "Default: ${DEFAULT-VALUE}.")
+            description = "The timeout of each connection and read (default: ${DEFAULT-VALUE}).")
     private int timeoutMs;
 
     /** Sends a request and returns the text of the response; fails with the reason of a refusal. */
--- a/src/main/java/reeldeal/cli/StoreCommands.java
+++ b/src/main/java/reeldeal/cli/StoreCommands.java
@@ -29,7 +29,7 @@
 @Command(
         name = "store",
         description =
-                "Checks a node's folder, makes new groups from backups, changes who is in a running group.",
+                "Checks a node's data folder, creates new groups from backups, and changes the members of a running group.",
         mixinStandardHelpOptions = true)
 public final class StoreCommands implements Runnable {
     @Spec private CommandLine.Model.CommandSpec spec;
@@ -143,7 +143,7 @@
 
     @Command(
             description =
-                    "Reads a whole folder and says what it holds, or which file is damaged and where.",
+                    "Reads a whole data folder and reports its contents, or which file is damaged and where.",
             mixinStandardHelpOptions = true)
     int check(@Parameters(paramLabel = "FOLDER") Path folder)
             throws Commands.CommandFailedException {
@@ -193,8 +193,8 @@
 
     @Command(
             description = {
-                "Writes a node's state to a backup file, the node being down. What its group had not yet",
-                "committed is in it."
+                "Writes the state of a node that is down to a backup file.",
+                "The backup includes entries that the group had not yet committed."
             },
             mixinStandardHelpOptions = true)
     int export(
@@ -212,13 +212,13 @@
         return 0;
     }
 
-    @Command(description = "Says what a backup holds.", mixinStandardHelpOptions = true)
+    @Command(description = "Reports the contents of a backup.", mixinStandardHelpOptions = true)
     int inspect(
             @Parameters(paramLabel = "FILE") Path file,
             @Option(
                             names = "--keys",
                             paramLabel = "PREFIX",
-                            description = "List keys that begin so.")
+                            description = "List the keys that begin with this prefix.")
                     String prefix)
             throws Commands.CommandFailedException {
         try {
@@ -243,8 +243,8 @@
 
     @Command(
             description = {
-                "Makes the folder of one node of a new group from a backup. Run it for each node, with",
-                "the same file, group and nodes."
+                "Creates the data folder of one node of a new group from a backup.",
+                "Run it for each node, with the same file, group and nodes."
             },
             mixinStandardHelpOptions = true)
     int restore(
@@ -253,14 +253,15 @@
             @Option(
                             names = "--group",
                             required = true,
-                            description = "A name that no group has had.")
+                            description =
+                                    "The name of the new group; no earlier group may have had it.")
                     String group,
             @Option(names = "--node", required = true) String node,
             @Option(
                             names = "--nodes",
                             required = true,
                             split = ",",
-                            description = "All first voters.")
+                            description = "All initial voters.")
                     List<String> nodes)
             throws Commands.CommandFailedException {
         if (!nodes.contains(node)) {
@@ -294,14 +295,15 @@
     }
 
     @Command(
-            description = "The nodes of the group: who votes, who leads, who is heard.",
+            description =
+                    "Lists the nodes of the group: the voters, the leader, and which nodes are heard from.",
             mixinStandardHelpOptions = true)
     int nodes(@Mixin NodeTarget target) throws Commands.CommandFailedException {
         return sendCommand(target, "nodes");
     }
 
     @Command(
-            description = "Takes a node into the group, as one that only follows.",
+            description = "Adds a node to the group as a learner.",
             mixinStandardHelpOptions = true)
     int add(
             @Mixin NodeTarget target,
@@ -311,19 +313,19 @@
         return sendCommand(target, "add", name, address);
     }
 
-    @Command(description = "Lets a node that follows vote.", mixinStandardHelpOptions = true)
+    @Command(description = "Promotes a learner to voter.", mixinStandardHelpOptions = true)
     int promote(@Mixin NodeTarget target, @Parameters(paramLabel = "NAME") String name)
             throws Commands.CommandFailedException {
         return sendCommand(target, "promote", name);
     }
 
-    @Command(description = "Lets a voter only follow.", mixinStandardHelpOptions = true)
+    @Command(description = "Demotes a voter to learner.", mixinStandardHelpOptions = true)
     int demote(@Mixin NodeTarget target, @Parameters(paramLabel = "NAME") String name)
             throws Commands.CommandFailedException {
         return sendCommand(target, "demote", name);
     }
 
-    @Command(description = "Takes a node out of the group.", mixinStandardHelpOptions = true)
+    @Command(description = "Removes a node from the group.", mixinStandardHelpOptions = true)
     int remove(@Mixin NodeTarget target, @Parameters(paramLabel = "NAME") String name)
             throws Commands.CommandFailedException {
         return sendCommand(target, "remove", name);
@@ -331,7 +333,7 @@
 
     @Command(
             description =
-                    "Lets a node that follows vote in the place of another, which is taken out.",
+                    "Promotes a learner to voter in place of another node, which is removed from the group.",
             mixinStandardHelpOptions = true)
     int replace(
             @Mixin NodeTarget target,
@@ -343,8 +345,8 @@
 
     @Command(
             description = {
-                "Which forms the log may have. Raised, no earlier program can take part any more: the way",
-                "back is closed."
+                "Shows or raises the level of entry formats that the log may contain.",
+                "After a raise, earlier versions of the program cannot take part any more: it cannot be undone."
             },
             mixinStandardHelpOptions = true)
     int level(@Mixin NodeTarget target, @Option(names = "--raise") boolean raise)
--- a/src/main/java/reeldeal/cli/ZoneCommands.java
+++ b/src/main/java/reeldeal/cli/ZoneCommands.java
@@ -61,7 +61,7 @@
                 names = {"-s", "--server"},
                 defaultValue = "127.0.0.1:5300",
                 paramLabel = "HOST:PORT",
-                description = "The daemon's dns.listen (default: ${DEFAULT-VALUE}).")
+                description = "The address in the daemon's dns.listen (default: ${DEFAULT-VALUE}).")
         private String server;
 
         @Option(
@@ -73,7 +73,7 @@
         @Option(
                 names = "--timeout-ms",
                 defaultValue = "5000",
-                description = "Default: ${DEFAULT-VALUE}.")
+                description = "The timeout of each response (default: ${DEFAULT-VALUE}).")
         private long timeoutMs;
 
         DnsClient connect() throws Commands.CommandFailedException {
@@ -112,7 +112,8 @@
     }
 
     @Command(
-            description = "Reads a zone file and says what it holds, or what is wrong and where.",
+            description =
+                    "Reads a zone file and reports its contents, or the first error and its place.",
             mixinStandardHelpOptions = true)
     int check(
             @Parameters(paramLabel = "FILE") Path file,
@@ -176,7 +177,7 @@
     }
 
     @Command(
-            description = "Copies a zone of the daemon to a file by a whole transfer.",
+            description = "Copies a zone of the daemon to a file by a full transfer (AXFR).",
             mixinStandardHelpOptions = true)
     int transfer(
             @Mixin DaemonTarget target,
@@ -320,8 +321,8 @@
 
     @Command(
             description = {
-                "Changes a zone: whole or not at all (RFC 2136). Records are as in a zone file,",
-                "with their names whole or relative to the zone."
+                "Updates a zone atomically (RFC 2136).",
+                "Records are written as in a zone file, with names absolute or relative to the zone."
             },
             mixinStandardHelpOptions = true)
     int update(
@@ -336,18 +337,18 @@
                             names = "--delete",
                             paramLabel = "'NAME [TYPE [DATA]]'",
                             description =
-                                    "Delete a name, a set or a record. Deletions come before additions.")
+                                    "Delete a name, a record set or a record. Deletions are applied before additions.")
                     List<String> deletions,
             @Option(
                             names = "--require",
                             paramLabel = "'NAME [TYPE [DATA]]'",
                             description =
-                                    "Only if this name, set or whole set of records is there.")
+                                    "Update only if this name or record set exists, or the set has exactly these records.")
                     List<String> requiredPresent,
             @Option(
                             names = "--require-no",
                             paramLabel = "'NAME [TYPE]'",
-                            description = "Only if this name or set is not there.")
+                            description = "Update only if this name or record set does not exist.")
                     List<String> requiredAbsent)
             throws Commands.CommandFailedException {
         String zone = parseOrigin(zoneName);
@@ -410,10 +411,12 @@
     }
 
     @Command(
-            description = "Makes a new key and writes it to a file that only its owner can read.",
+            description = "Creates a new key and writes it to a file that only its owner can read.",
             mixinStandardHelpOptions = true)
     int key(
-            @Parameters(paramLabel = "NAME", description = "The key's name, as update.example.org.")
+            @Parameters(
+                            paramLabel = "NAME",
+                            description = "The name of the key, such as update.example.org.")
                     String name,
             @Parameters(paramLabel = "FILE") Path file,
             @Option(
