--- a/src/test/java/reeldeal/http/HttpServerTest.java
+++ b/src/test/java/reeldeal/http/HttpServerTest.java
@@ -201,9 +201,9 @@
 
     @Test
     public void connectionsAcceptedInOneEventLoopTickEachEvictAnother() throws Exception {
-        List<Socket> all = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            all.add(client());
+            clients.add(client());
         }
         awaitOpenConnections(8);
         now.set(300);
@@ -212,24 +212,26 @@
                 .execute(
                         () -> {
                             try {
-                                eventLoopRelease
-                                        .await(); // connections made meanwhile are accepted in one
-                                // tick
+                                // Connections made meanwhile are accepted in one tick.
+                                eventLoopRelease.await();
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
                         });
         for (int i = 0; i < 7; i++) {
-            all.add(client());
+            clients.add(client());
         }
         eventLoopRelease.countDown();
         for (int i = 0; i < 7; i++) {
-            assertEquals("the silent connection " + i, -1, all.get(i).getInputStream().read());
+            assertEquals(
+                    "expected the end of silent connection " + i,
+                    -1,
+                    clients.get(i).getInputStream().read());
         }
-        write(all.get(14), "GET / HTTP/1.1\r\n\r\n");
-        assertEquals("HTTP/1.1 200", readStatus(all.get(14)));
+        write(clients.get(14), "GET / HTTP/1.1\r\n\r\n");
+        assertEquals("HTTP/1.1 200", readStatus(clients.get(14)));
         awaitOpenConnections(8);
-        for (Socket s : all) {
+        for (Socket s : clients) {
             s.close();
         }
     }
