--- a/src/main/java/reeldeal/cli/MeasureCommands.java
+++ b/src/main/java/reeldeal/cli/MeasureCommands.java
@@ -15,16 +15,16 @@
 import reeldeal.faultinjection.ZoneBenchmark;
 import reeldeal.faultinjection.ZoneScriptReplay;
 
-/** Long measurements and replays, on this machine alone. */
+/** Benchmarks and replays that take long; they use only this machine. */
 @Command(
         name = "measure",
-        description = "Measures the program on this machine: processes and nodes on loopback.",
+        description = "Runs benchmarks on this machine, with processes and nodes on loopback.",
         mixinStandardHelpOptions = true)
 final class MeasureCommands implements Runnable {
     @Spec private CommandLine.Model.CommandSpec spec;
 
-    /** Which program processes are made of. */
-    static final class Program {
+    /** The option for the program that the measured processes run. */
+    static final class ProgramOption {
         @Option(
                 names = "--jar",
                 paramLabel = "FILE",
@@ -38,40 +38,40 @@
                 spec.commandLine(), "expected one of: zone, drains, check, commits, death, keys");
     }
 
-    private void say(String line) {
+    private void printLine(String line) {
         spec.commandLine().getOut().println(line);
         spec.commandLine().getOut().flush();
     }
 
     @Command(
             description =
-                    "A zone of so many records in a broker of its own: updates, queries, transfers, and what they cost its clients.",
+                    "Measures a broker that hosts a zone of the given size: updates, queries, transfers, and what they cost its clients.",
             mixinStandardHelpOptions = true)
-    int zone(@Mixin Program program, @Parameters(paramLabel = "RECORDS") int records)
+    int zone(@Mixin ProgramOption program, @Parameters(paramLabel = "RECORDS") int records)
             throws Exception {
-        try (ZoneBenchmark measure = new ZoneBenchmark(records, program.jar, this::say)) {
-            measure.run();
+        try (ZoneBenchmark benchmark = new ZoneBenchmark(records, program.jar, this::printLine)) {
+            benchmark.run();
         }
         return 0;
     }
 
     @Command(
             description = {
-                "Replays scripts of zone updates against a broker with stand-in searchers under load, as those in",
-                "deploy/drill/zones. 0: no part came to a drained searcher and each query had one answer."
+                "Replays scripts of zone updates against a broker with simulated searchers under load.",
+                "Scripts are in deploy/drill/zones. Exit code 0: drained searchers got no part of a query, and each query got one answer."
             },
             mixinStandardHelpOptions = true)
     int drains(
-            @Mixin Program program,
+            @Mixin ProgramOption program,
             @Parameters(paramLabel = "SCRIPT", arity = "1..*") List<Path> scripts)
             throws Exception {
-        int broken = 0;
+        int failedScripts = 0;
         for (Path script : scripts) {
             Path folder = Files.createTempDirectory("replay");
             try (ZoneScriptReplay replay = new ZoneScriptReplay(folder, program.jar)) {
                 ScenarioRunner.Result result = replay.play(Files.readAllLines(script));
-                broken += result.violations().isEmpty() ? 0 : 1;
-                say(
+                failedScripts += result.violations().isEmpty() ? 0 : 1;
+                printLine(
                         script.getFileName()
                                 + ": "
                                 + (result.violations().isEmpty()
@@ -83,26 +83,27 @@
                                 + folder);
             } catch (IllegalArgumentException | java.nio.file.NoSuchFileException e) {
                 throw new Commands.CommandFailedException(
-                        Commands.BAD_INPUT, script + ": " + e.getMessage());
+                        Commands.EXIT_BAD_INPUT, script + ": " + e.getMessage());
             }
         }
-        return broken == 0 ? 0 : Commands.REFUSED;
+        return failedScripts == 0 ? 0 : Commands.EXIT_FAILURE;
     }
 
     @Command(
-            description = "Checks the histories that drills have left in these folders once more.",
+            description =
+                    "Checks all rules again on the histories that drills left in these folders.",
             mixinStandardHelpOptions = true)
     int check(@Parameters(paramLabel = "FOLDER", arity = "1..*") List<Path> folders)
             throws Exception {
-        int broken = 0;
+        int failedFolders = 0;
         for (Path folder : folders) {
             if (!Files.isReadable(folder.resolve("history.txt"))) {
                 throw new Commands.CommandFailedException(
-                        Commands.BAD_INPUT, folder + ": no history.txt");
+                        Commands.EXIT_BAD_INPUT, folder + ": expected a readable file history.txt");
             }
             ScenarioRunner.Result result = ScenarioRunner.check(folder);
-            broken += result.violations().isEmpty() ? 0 : 1;
-            say(
+            failedFolders += result.violations().isEmpty() ? 0 : 1;
+            printLine(
                     folder.getFileName()
                             + ": "
                             + (result.violations().isEmpty()
@@ -111,11 +112,12 @@
                             + " "
                             + result.figures());
         }
-        return broken == 0 ? 0 : Commands.REFUSED;
+        return failedFolders == 0 ? 0 : Commands.EXIT_FAILURE;
     }
 
     @Command(
-            description = "Commits a second of three and five nodes, by writers.",
+            description =
+                    "Measures the commits per second of groups of three and five nodes, by number of writers.",
             mixinStandardHelpOptions = true)
     int commits() throws Exception {
         StoreBenchmark.commits();
@@ -123,7 +125,7 @@
     }
 
     @Command(
-            description = "The time from a leader's death to the next commit.",
+            description = "Measures the time from the failure of a leader to the next commit.",
             mixinStandardHelpOptions = true)
     int death() throws Exception {
         StoreBenchmark.death();
@@ -131,7 +133,8 @@
     }
 
     @Command(
-            description = "A start with so many keys, and writes during a compaction.",
+            description =
+                    "Measures a start with the given number of keys, and writes during a compaction.",
             mixinStandardHelpOptions = true)
     int keys(@Parameters(paramLabel = "KEYS") int count) throws Exception {
         StoreBenchmark.keys(count);
