--- a/src/main/java/reeldeal/dns/Answerer.java
+++ b/src/main/java/reeldeal/dns/Answerer.java
@@ -8,14 +8,14 @@
 import reeldeal.dns.Zone.Placed;
 
 /**
- * What an authoritative server answers to a question (RFC 1034, section 4.3.2; wildcards by RFC
- * 4592, negative answers by RFC 2308). The cost grows with the labels of the name and the logarithm
- * of the zone.
+ * Computes the answer of an authoritative server to a question (RFC 1034, section 4.3.2; wildcards
+ * by RFC 4592, negative answers by RFC 2308). The cost grows with the number of labels in the name
+ * and with the logarithm of the zone size.
  */
 public final class Answerer {
-    private static final int MAX_CHAIN = 8;
+    private static final int MAX_CNAME_CHAIN = 8;
 
-    /** An answer's sections, as sets. */
+    /** The response code, the AA flag and the three sections of an answer, as record sets. */
     public record Answer(
             int rcode,
             boolean authoritative,
@@ -27,7 +27,7 @@
     private final List<Placed> answers = new ArrayList<>();
     private final List<Placed> authority = new ArrayList<>();
     private final List<Placed> additional = new ArrayList<>();
-    private final Set<String> passed = new HashSet<>();
+    private final Set<String> visitedNames = new HashSet<>();
     private boolean authoritative = true;
 
     private Answerer(Function<String, Zone> zones) {
@@ -35,7 +35,8 @@
     }
 
     /**
-     * Answers from the zones that a function finds: the closest one at or above a name, or null.
+     * Answers a question. {@code zones} returns the closest hosted zone at or above a name, or null
+     * if there is none.
      */
     public static Answer answer(String name, int type, Function<String, Zone> zones) {
         Answerer answerer = new Answerer(zones);
@@ -48,91 +49,101 @@
                 answerer.additional);
     }
 
-    private int resolve(String asked, int type) {
-        String name = asked;
-        for (int i = 0; i < MAX_CHAIN && passed.add(name); i++) {
+    private int resolve(String queryName, int type) {
+        String name = queryName;
+        for (int i = 0; i < MAX_CNAME_CHAIN && visitedNames.add(name); i++) {
             Zone zone = zones.apply(name);
             if (zone == null || zone.soa() == null) {
-                return i == 0 ? Rcode.REFUSED : Rcode.NOERROR; // the chain leads elsewhere
+                // After the first name, the CNAME chain has left the hosted zones.
+                return i == 0 ? Rcode.REFUSED : Rcode.NOERROR;
             }
-            Placed cut = cut(zone, name);
-            if (cut != null) {
+            Placed delegation = findDelegation(zone, name);
+            if (delegation != null) {
                 authoritative &= i > 0;
-                authority.add(cut);
-                extra(zone, cut.set(), 0, true);
+                authority.add(delegation);
+                addAddresses(zone, delegation.set(), 0, true);
                 return Rcode.NOERROR;
             }
-            String from = zone.exists(name) ? name : wildcard(zone, name);
-            if (from == null) {
-                negative(zone);
+            String owner = zone.exists(name) ? name : findWildcard(zone, name);
+            if (owner == null) {
+                addNegativeSoa(zone);
                 return Rcode.NXDOMAIN;
             }
-            RrSet alias = zone.get(from, Rr.CNAME);
+            RrSet alias = zone.get(owner, Rr.CNAME);
             if (alias != null && type != Rr.CNAME && type != Rr.ANY) {
                 answers.add(new Placed(name, Rr.CNAME, alias));
                 name = Names.text(alias.data().get(0), 0);
                 continue;
             }
-            found(zone, from, name, type);
+            addMatches(zone, owner, name, type);
             return Rcode.NOERROR;
         }
-        return Rcode.NOERROR; // a chain too long or one that goes round ends where it was cut
+        // A CNAME loop or an overlong chain: the answer holds the part followed so far.
+        return Rcode.NOERROR;
     }
 
-    private void found(Zone zone, String from, String name, int type) {
-        int before = answers.size();
-        for (int t : type == Rr.ANY ? zone.types(from) : new int[] {type}) {
-            RrSet set = zone.get(from, t);
+    private void addMatches(Zone zone, String owner, String name, int type) {
+        int sizeBefore = answers.size();
+        for (int matchType : type == Rr.ANY ? zone.types(owner) : new int[] {type}) {
+            RrSet set = zone.get(owner, matchType);
             if (set != null) {
-                answers.add(new Placed(name, t, set));
-                if (t == Rr.SRV || t == Rr.MX || t == Rr.NS) {
-                    extra(zone, set, t == Rr.SRV ? 6 : t == Rr.MX ? 2 : 0, false);
+                answers.add(new Placed(name, matchType, set));
+                if (matchType == Rr.SRV || matchType == Rr.MX || matchType == Rr.NS) {
+                    addAddresses(
+                            zone, set, matchType == Rr.SRV ? 6 : matchType == Rr.MX ? 2 : 0, false);
                 }
             }
         }
-        if (answers.size() == before) {
-            negative(zone);
+        if (answers.size() == sizeBefore) {
+            addNegativeSoa(zone);
         }
     }
 
-    /** The topmost delegation at or above a name and below the zone's origin, or null. */
-    private static Placed cut(Zone zone, String name) {
+    /** Returns the topmost delegation at or above a name and below the zone's origin, or null. */
+    private static Placed findDelegation(Zone zone, String name) {
         Placed topmost = null;
-        for (String n = name; !n.equals(zone.origin); n = Names.parent(n)) {
-            RrSet servers = zone.get(n, Rr.NS);
-            topmost = servers == null ? topmost : new Placed(n, Rr.NS, servers);
+        for (String ancestor = name;
+                !ancestor.equals(zone.origin);
+                ancestor = Names.parent(ancestor)) {
+            RrSet nameServers = zone.get(ancestor, Rr.NS);
+            topmost = nameServers == null ? topmost : new Placed(ancestor, Rr.NS, nameServers);
         }
         return topmost;
     }
 
-    /** The wildcard that covers a name that does not exist, or null (RFC 4592, section 3.3.1). */
-    private static String wildcard(Zone zone, String name) {
+    /**
+     * Returns the wildcard name that covers a nonexistent name, or null (RFC 4592, section 3.3.1).
+     */
+    private static String findWildcard(Zone zone, String name) {
         String encloser = Names.parent(name);
         while (!zone.exists(encloser)) {
             encloser = Names.parent(encloser);
         }
-        String star = encloser.equals(".") ? "*." : "*." + encloser;
-        return zone.types(star).length > 0 ? star : null;
+        String wildcardName = encloser.equals(".") ? "*." : "*." + encloser;
+        return zone.types(wildcardName).length > 0 ? wildcardName : null;
     }
 
     /**
-     * No such name, or no such data: the SOA tells for how long to remember it (RFC 2308, section
-     * 3).
+     * Adds the SOA record of a negative answer (no such name or no such data); its TTL limits how
+     * long resolvers cache the answer (RFC 2308, section 3).
      */
-    private void negative(Zone zone) {
+    private void addNegativeSoa(Zone zone) {
         Rr soa = zone.soa();
         long ttl = Math.min(soa.ttl(), Zone.soaNumber(soa.data(), 4));
         authority.add(new Placed(zone.origin, Rr.SOA, new RrSet(ttl, List.of(soa.data()))));
     }
 
-    /** Addresses of the hosts that a set names, from this zone; below a cut they are glue. */
-    private void extra(Zone zone, RrSet set, int offset, boolean glue) {
+    /**
+     * Adds the addresses that this zone holds for the host names in a record set. Addresses below a
+     * delegation are added only as glue.
+     */
+    private void addAddresses(Zone zone, RrSet set, int offset, boolean includeGlue) {
         Set<String> hosts = new HashSet<>();
         for (byte[] data : set.data()) {
             String host = Names.text(data, offset);
             if (!hosts.add(host)
                     || !Names.within(host, zone.origin)
-                    || (!glue && cut(zone, host) != null)) {
+                    || (!includeGlue && findDelegation(zone, host) != null)) {
                 continue;
             }
             for (int type : new int[] {Rr.A, Rr.AAAA}) {
--- a/src/main/java/reeldeal/dns/Journal.java
+++ b/src/main/java/reeldeal/dns/Journal.java
@@ -5,48 +5,55 @@
 import java.util.List;
 
 /**
- * The latest changes of a zone, for incremental transfers (RFC 1995), within bounds: the oldest go
- * first.
+ * Holds the latest changes of a zone for incremental transfers (RFC 1995). When the record limit is
+ * exceeded, the oldest changes are dropped first.
  */
 public final class Journal {
 
-    /** What one version took away and brought; both SOA records stand apart. */
+    /**
+     * The records that one zone version removed and added; the two SOA records are kept separately.
+     */
     public record Diff(Rr oldSoa, Rr newSoa, List<Rr> removed, List<Rr> added) {
-        /** The serial before the change. */
-        public long from() {
+        /** Returns the serial before the change. */
+        public long fromSerial() {
             return Zone.serial(oldSoa.data());
         }
 
-        /** The serial after the change. */
-        public long to() {
+        /** Returns the serial after the change. */
+        public long toSerial() {
             return Zone.serial(newSoa.data());
         }
 
-        int records() {
+        int recordCount() {
             return 2 + removed.size() + added.size();
         }
 
-        /** What lies between two zones at these places. */
-        public static Diff between(Zone before, Zone after, Iterable<String[]> places) {
+        /**
+         * Returns the difference between two versions of a zone, comparing only the given record
+         * sets. Each element of {@code keys} holds a name and a type number; the SOA at the origin
+         * is skipped.
+         */
+        public static Diff between(Zone before, Zone after, Iterable<String[]> keys) {
             List<Rr> removed = new ArrayList<>();
             List<Rr> added = new ArrayList<>();
-            for (String[] place : places) {
-                int type = Integer.parseInt(place[1]);
-                if (type == Rr.SOA && place[0].equals(before.origin)) {
+            for (String[] key : keys) {
+                int type = Integer.parseInt(key[1]);
+                if (type == Rr.SOA && key[0].equals(before.origin)) {
                     continue;
                 }
-                RrSet old = before.get(place[0], type);
-                RrSet now = after.get(place[0], type);
-                boolean sameTtl = old != null && now != null && old.ttl() == now.ttl();
-                if (old != null) {
-                    old.data().stream()
-                            .filter(d -> !sameTtl || !now.holds(d))
-                            .forEach(d -> removed.add(new Rr(place[0], type, Rr.IN, old.ttl(), d)));
+                RrSet oldSet = before.get(key[0], type);
+                RrSet newSet = after.get(key[0], type);
+                boolean sameTtl = oldSet != null && newSet != null && oldSet.ttl() == newSet.ttl();
+                if (oldSet != null) {
+                    oldSet.data().stream()
+                            .filter(d -> !sameTtl || !newSet.contains(d))
+                            .forEach(
+                                    d -> removed.add(new Rr(key[0], type, Rr.IN, oldSet.ttl(), d)));
                 }
-                if (now != null) {
-                    now.data().stream()
-                            .filter(d -> !sameTtl || !old.holds(d))
-                            .forEach(d -> added.add(new Rr(place[0], type, Rr.IN, now.ttl(), d)));
+                if (newSet != null) {
+                    newSet.data().stream()
+                            .filter(d -> !sameTtl || !oldSet.contains(d))
+                            .forEach(d -> added.add(new Rr(key[0], type, Rr.IN, newSet.ttl(), d)));
                 }
             }
             return new Diff(before.soa(), after.soa(), List.copyOf(removed), List.copyOf(added));
@@ -55,48 +62,51 @@
 
     private final ArrayDeque<Diff> diffs = new ArrayDeque<>();
     private final int maxRecords;
-    private int records;
+    private int recordCount;
 
-    /** A journal that holds at most so many records. */
+    /** Creates a journal that holds at most {@code maxRecords} records. */
     public Journal(int maxRecords) {
         this.maxRecords = maxRecords;
     }
 
     /**
-     * Adds the step from the last version to the next; one that does not follow the last drops all
-     * before.
+     * Adds the change from the last version to the next. If it does not start at the last serial,
+     * all earlier changes are dropped.
      */
     public void add(Diff diff) {
-        if (!diffs.isEmpty() && diffs.getLast().to() != diff.from()) {
+        if (!diffs.isEmpty() && diffs.getLast().toSerial() != diff.fromSerial()) {
             clear();
         }
         diffs.add(diff);
-        records += diff.records();
-        while (records > maxRecords && !diffs.isEmpty()) {
-            records -= diffs.poll().records();
+        recordCount += diff.recordCount();
+        while (recordCount > maxRecords && !diffs.isEmpty()) {
+            recordCount -= diffs.poll().recordCount();
         }
     }
 
-    /** Forgets all: the zone was replaced. */
+    /** Drops all changes, as needed when the zone is replaced. */
     public void clear() {
         diffs.clear();
-        records = 0;
+        recordCount = 0;
     }
 
-    /** The steps from this version to the last, or null where they are not all here. */
+    /**
+     * Returns the changes from this serial to the latest, or null if some of them are no longer
+     * held.
+     */
     List<Diff> since(long serial) {
-        List<Diff> found = new ArrayList<>();
-        boolean begun = false;
+        List<Diff> diffsSince = new ArrayList<>();
+        boolean reached = false;
         for (Diff diff : diffs) {
-            begun |= diff.from() == serial;
-            if (begun) {
-                found.add(diff);
+            reached |= diff.fromSerial() == serial;
+            if (reached) {
+                diffsSince.add(diff);
             }
         }
-        return begun ? found : null;
+        return reached ? diffsSince : null;
     }
 
-    int records() {
-        return records;
+    int recordCount() {
+        return recordCount;
     }
 }
--- a/src/main/java/reeldeal/dns/Message.java
+++ b/src/main/java/reeldeal/dns/Message.java
@@ -7,37 +7,39 @@
 import reeldeal.dns.Types.Field;
 
 /**
- * A DNS message as it is read (RFC 1035, section 4; RFC 6891; RFC 8945); every length is held
- * against what there is, and a compression pointer leads only backwards, so that reading ends.
+ * A parsed DNS message (RFC 1035, section 4; RFC 6891; RFC 8945). Every length is checked against
+ * the available bytes, and a compression pointer may only point backwards, so parsing always
+ * terminates.
  */
 public final class Message {
-    /** Bytes of a header; a message that has as many can be answered. */
+    /** Size of the header in bytes; any message of at least this size can be answered. */
     public static final int HEADER = 12;
 
     public static final int QUERY = 0;
     public static final int NOTIFY = 4;
     public static final int UPDATE = 5;
-    private static final int MAX_HOPS = 127;
+    private static final int MAX_POINTERS = 127;
     static final int QR = 0x8000;
     static final int AA = 0x0400;
     static final int TC = 0x0200;
     static final int RD = 0x0100;
 
-    /** A question, or an update's zone. */
+    /** An entry of the question section, or of the zone section of an update. */
     public record Question(String name, int type, int recordClass) {}
 
     /**
-     * The sender's OPT record: its bound on UDP answers in bytes, its version, and the DO bit (RFC
-     * 6891).
+     * The contents of the sender's OPT record (RFC 6891): the largest UDP answer it accepts in
+     * bytes, the EDNS version and the DO bit.
      */
     public record Edns(int udpSize, int version, boolean dnssecOk) {}
 
-    /** Bytes that are no message. */
+    /** Thrown for bytes that are not a valid DNS message. */
     public static final class Malformed extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Malformed(String why) {
-            super(why, null, false, false); // noise must not cost a stack trace each
+        Malformed(String reason) {
+            // No stack trace: random or hostile input must stay cheap to reject.
+            super(reason, null, false, false);
         }
     }
 
@@ -46,72 +48,77 @@
     public final boolean response;
     public final List<Question> questions = new ArrayList<>();
 
-    /** Answers, authority, additional; or an update's prerequisites, updates, additional. */
+    /**
+     * The answer, authority and additional sections; in an update the prerequisite, update and
+     * additional sections. OPT and TSIG records are left out.
+     */
     public final List<List<Rr>> sections = new ArrayList<>();
 
     final int flags;
     private Edns edns;
     private Rr tsig;
-    private int tsigAt = -1;
+    private int tsigOffset = -1;
     private int questionEnd = HEADER;
     private final byte[] bytes;
-    private final boolean pointers;
-    private int at;
+    private final boolean pointersAllowed;
+    private int position;
 
-    private Message(byte[] bytes, int at, boolean pointers) {
+    private Message(byte[] bytes, int position, boolean pointersAllowed) {
         this.bytes = bytes;
-        this.at = at;
-        this.pointers = pointers;
-        flags = pointers ? (bytes[2] & 0xff) << 8 | (bytes[3] & 0xff) : 0;
-        id = pointers ? (bytes[0] & 0xff) << 8 | (bytes[1] & 0xff) : 0;
+        this.position = position;
+        this.pointersAllowed = pointersAllowed;
+        flags = pointersAllowed ? (bytes[2] & 0xff) << 8 | (bytes[3] & 0xff) : 0;
+        id = pointersAllowed ? (bytes[0] & 0xff) << 8 | (bytes[1] & 0xff) : 0;
         response = (flags & QR) != 0;
         opcode = flags >> 11 & 0xf;
     }
 
-    /** Reads a message. */
+    /** Parses a message. */
     public static Message parse(byte[] bytes) throws Malformed {
         if (bytes.length < HEADER) {
-            throw new Malformed("short header");
+            throw new Malformed("header shorter than 12 bytes");
         }
         Message message = new Message(bytes, HEADER, true);
-        int questions = message.count(4);
+        int questions = message.readCount(4);
         for (int i = 0; i < questions; i++) {
-            String name = message.name();
-            message.questions.add(new Question(name, message.u16(), message.u16()));
+            String name = message.readName();
+            message.questions.add(new Question(name, message.readU16(), message.readU16()));
         }
-        message.questionEnd = message.at;
+        message.questionEnd = message.position;
         for (int section = 0; section < 3; section++) {
             List<Rr> records = new ArrayList<>();
-            int count = message.count(6 + 2 * section);
+            int count = message.readCount(6 + 2 * section);
             for (int i = 0; i < count; i++) {
-                int from = message.at;
-                Rr record = message.record();
+                int recordStart = message.position;
+                Rr record = message.readRecord();
                 if (record.type() == Rr.OPT) {
-                    message.opt(record, section);
+                    message.readOpt(record, section);
                 } else if (record.type() == Rr.TSIG) {
-                    // RFC 8945, section 5.1: the last record of the additional section, and only
-                    // one.
+                    // RFC 8945, section 5.1: only one, as the last record of the additional
+                    // section.
                     if (section != 2 || i != count - 1 || record.recordClass() != Rr.ANY) {
-                        throw new Malformed("a TSIG that is not the last record");
+                        throw new Malformed(
+                                "TSIG record out of place: expected the last additional record, class ANY");
                     }
                     message.tsig = record;
-                    message.tsigAt = from;
+                    message.tsigOffset = recordStart;
                 } else {
                     records.add(record);
                 }
             }
             message.sections.add(records);
         }
-        if (message.at != bytes.length) {
-            throw new Malformed("bytes after the message");
+        if (message.position != bytes.length) {
+            throw new Malformed("unexpected bytes after the last record");
         }
         return message;
     }
 
-    private void opt(Rr record, int section) throws Malformed {
-        // RFC 6891, section 6.1.1: one, in the additional section, at the root.
+    private void readOpt(Rr record, int section) throws Malformed {
+        // RFC 6891, section 6.1.1: at most one, in the additional section, owned by the root.
         if (section != 2 || edns != null || !record.name().equals(".")) {
-            throw new Malformed("an OPT record out of place");
+            throw new Malformed(
+                    "OPT record out of place: expected one in the additional section, at the root");
         }
         edns =
                 new Edns(
@@ -120,124 +127,127 @@
                         (record.ttl() & 0x8000) != 0);
     }
 
-    /** The sender's OPT record, or null. */
+    /** Returns the contents of the sender's OPT record, or null if there is none. */
     public Edns edns() {
         return edns;
     }
 
-    /** The signature, or null. */
+    /** Returns the TSIG record, or null if the message is unsigned. */
     Rr tsig() {
         return tsig;
     }
 
-    /** Where the signature's record begins, or -1. */
-    int tsigAt() {
-        return tsigAt;
+    /** Returns the offset of the TSIG record, or -1 if the message is unsigned. */
+    int tsigOffset() {
+        return tsigOffset;
     }
 
-    /** The code of a response, without EDNS's part. */
+    /** Returns the response code in the header, without the upper bits in the OPT record. */
     public int rcode() {
         return flags & 0xf;
     }
 
-    /** Whether the answer was cut to fit (the TC bit). */
+    /** Returns whether the answer was truncated (the TC bit). */
     public boolean truncated() {
         return (flags & TC) != 0;
     }
 
-    /** The bytes as they came. */
+    /** Returns the message as received. */
     byte[] bytes() {
         return bytes;
     }
 
     /**
-     * The questions as they came, to be given back letter by letter; empty where they are more than
-     * one.
+     * Returns the bytes of the question as received, so that a response can repeat it in the same
+     * letter case; empty unless there is exactly one question.
      */
     byte[] question() {
         return questions.size() == 1 ? Arrays.copyOfRange(bytes, HEADER, questionEnd) : new byte[0];
     }
 
-    /** Answers, or an update's prerequisites. */
+    /** Returns the answer section, or the prerequisite section of an update. */
     public List<Rr> answers() {
         return sections.get(0);
     }
 
-    /** Uncompressed data made whole and in lower case, or null where they do not fit the type. */
-    static byte[] wholeData(int type, byte[] data) {
+    /**
+     * Parses uncompressed record data and returns it with names in lower case, or null if it is not
+     * valid data of the type.
+     */
+    static byte[] canonicalData(int type, byte[] data) {
         Message message = new Message(data, 0, false);
         try {
-            byte[] whole = message.data(type, data.length);
-            return message.at == data.length ? whole : null;
+            byte[] canonical = message.readData(type, data.length);
+            return message.position == data.length ? canonical : null;
         } catch (Malformed e) {
             return null;
         }
     }
 
-    private int count(int offset) {
+    private int readCount(int offset) {
         return (bytes[offset] & 0xff) << 8 | (bytes[offset + 1] & 0xff);
     }
 
-    private void need(int from, int length, int limit) throws Malformed {
-        if (length < 0 || from + length > limit) {
-            throw new Malformed("ends early");
+    private void requireBytes(int offset, int length, int limit) throws Malformed {
+        if (length < 0 || offset + length > limit) {
+            throw new Malformed("unexpected end of data");
         }
     }
 
-    private int u16() throws Malformed {
-        need(at, 2, bytes.length);
-        at += 2;
-        return (bytes[at - 2] & 0xff) << 8 | (bytes[at - 1] & 0xff);
+    private int readU16() throws Malformed {
+        requireBytes(position, 2, bytes.length);
+        position += 2;
+        return (bytes[position - 2] & 0xff) << 8 | (bytes[position - 1] & 0xff);
     }
 
-    private Rr record() throws Malformed {
-        String name = name();
-        int type = u16();
-        int recordClass = u16();
-        long ttl = (long) u16() << 16 | u16();
+    private Rr readRecord() throws Malformed {
+        String name = readName();
+        int type = readU16();
+        int recordClass = readU16();
+        long ttl = (long) readU16() << 16 | readU16();
         if (type != Rr.OPT && ttl > 0x7fffffffL) {
             ttl = 0; // RFC 2181, section 8
         }
-        int length = u16();
-        need(at, length, bytes.length);
-        int end = at + length;
-        byte[] data = length == 0 ? new byte[0] : data(type, end);
-        if (at != end) {
-            throw new Malformed("data of another length");
+        int length = readU16();
+        requireBytes(position, length, bytes.length);
+        int end = position + length;
+        byte[] data = length == 0 ? new byte[0] : readData(type, end);
+        if (position != end) {
+            throw new Malformed("record data does not match its length field");
         }
         return new Rr(name, type, recordClass, ttl, data);
     }
 
-    /** A record's data up to this end, with the names in them made whole. */
-    private byte[] data(int type, int end) throws Malformed {
+    /** Reads the data of a record up to {@code end} and returns it with the names uncompressed. */
+    private byte[] readData(int type, int end) throws Malformed {
         Field[] fields = Types.fields(type);
         if (fields == null) {
-            byte[] data = Arrays.copyOfRange(bytes, at, end);
-            at = end;
+            byte[] data = Arrays.copyOfRange(bytes, position, end);
+            position = end;
             return data;
         }
-        ByteArrayOutputStream out = new ByteArrayOutputStream(end - at + 16);
+        ByteArrayOutputStream out = new ByteArrayOutputStream(end - position + 16);
         for (Field field : fields) {
             switch (field) {
                 case NAME, PLAIN_NAME -> {
-                    out.writeBytes(Names.wire(name()));
-                    need(at, 0, end);
+                    out.writeBytes(Names.wire(readName()));
+                    requireBytes(position, 0, end);
                 }
-                case U8 -> take(out, 1, end);
-                case U16 -> take(out, 2, end);
-                case U32, TIME, IPV4 -> take(out, 4, end);
-                case IPV6 -> take(out, 16, end);
-                case STRING -> string(out, end);
+                case U8 -> copyBytes(out, 1, end);
+                case U16 -> copyBytes(out, 2, end);
+                case U32, TIME, IPV4 -> copyBytes(out, 4, end);
+                case IPV6 -> copyBytes(out, 16, end);
+                case STRING -> copyString(out, end);
                 case STRINGS -> {
-                    string(out, end);
-                    while (at < end) {
-                        string(out, end);
+                    copyString(out, end);
+                    while (position < end) {
+                        copyString(out, end);
                     }
                 }
-                case HEX, BASE64, TEXT -> take(out, end - at, end);
+                case HEX, BASE64, TEXT -> copyBytes(out, end - position, end);
                 case SERVICES -> {
-                    take(out, 1, end);
-                    take(out, end - at, end);
+                    copyBytes(out, 1, end);
+                    copyBytes(out, end - position, end);
                 }
                 default -> throw new IllegalStateException(field.name());
             }
@@ -245,51 +255,57 @@
         return out.toByteArray();
     }
 
-    private void string(ByteArrayOutputStream out, int end) throws Malformed {
-        need(at, 1, end);
-        take(out, 1 + (bytes[at] & 0xff), end);
+    private void copyString(ByteArrayOutputStream out, int end) throws Malformed {
+        requireBytes(position, 1, end);
+        copyBytes(out, 1 + (bytes[position] & 0xff), end);
     }
 
-    private void take(ByteArrayOutputStream out, int length, int end) throws Malformed {
-        need(at, length, end);
-        out.write(bytes, at, length);
-        at += length;
+    private void copyBytes(ByteArrayOutputStream out, int length, int end) throws Malformed {
+        requireBytes(position, length, end);
+        out.write(bytes, position, length);
+        position += length;
     }
 
-    /** A name; what it points to must lie before it, so that no pointers go round. */
-    private String name() throws Malformed {
+    /**
+     * Reads a name, following compression pointers. Each pointer must point before the lowest
+     * offset read so far, so that pointers cannot form a loop.
+     */
+    private String readName() throws Malformed {
         StringBuilder name = new StringBuilder(32);
-        int i = at;
-        int behind = -1;
-        int lowest = at;
-        int length = 1;
-        int hops = 0;
+        int offset = position;
+        int endOfName = -1;
+        int lowestOffset = position;
+        int nameLength = 1;
+        int pointersFollowed = 0;
         while (true) {
-            need(i, 1, bytes.length);
-            int label = bytes[i] & 0xff;
-            if (label == 0) {
-                at = behind < 0 ? i + 1 : behind;
+            requireBytes(offset, 1, bytes.length);
+            int lengthByte = bytes[offset] & 0xff;
+            if (lengthByte == 0) {
+                position = endOfName < 0 ? offset + 1 : endOfName;
                 return name.length() == 0 ? "." : name.toString();
-            } else if (label >= 0xc0) {
-                need(i, 2, bytes.length);
-                int target = (label & 0x3f) << 8 | (bytes[i + 1] & 0xff);
-                behind = behind < 0 ? i + 2 : behind;
-                // A name has 127 labels at most: a longer chain of pointers only costs time.
-                if (!pointers || target < HEADER || target >= lowest || ++hops > MAX_HOPS) {
-                    throw new Malformed("a pointer that leads nowhere");
+            } else if (lengthByte >= 0xc0) {
+                requireBytes(offset, 2, bytes.length);
+                int target = (lengthByte & 0x3f) << 8 | (bytes[offset + 1] & 0xff);
+                endOfName = endOfName < 0 ? offset + 2 : endOfName;
+                // A name has at most 127 labels, so a longer chain of pointers only costs time.
+                if (!pointersAllowed
+                        || target < HEADER
+                        || target >= lowestOffset
+                        || ++pointersFollowed > MAX_POINTERS) {
+                    throw new Malformed("invalid compression pointer");
                 }
-                lowest = target;
-                i = target;
-            } else if (label > Names.MAX_LABEL) {
-                throw new Malformed("an unknown kind of label");
+                lowestOffset = target;
+                offset = target;
+            } else if (lengthByte > Names.MAX_LABEL) {
+                throw new Malformed("unknown label type");
             } else {
-                need(i + 1, label, bytes.length);
-                length += 1 + label;
-                if (length > Names.MAX_NAME) {
-                    throw new Malformed("name too long");
+                requireBytes(offset + 1, lengthByte, bytes.length);
+                nameLength += 1 + lengthByte;
+                if (nameLength > Names.MAX_NAME) {
+                    throw new Malformed("name longer than 255 bytes");
                 }
-                Names.label(name, bytes, i + 1, label);
-                i += 1 + label;
+                Names.appendLabel(name, bytes, offset + 1, lengthByte);
+                offset += 1 + lengthByte;
             }
         }
     }
--- a/src/main/java/reeldeal/dns/MessageWriter.java
+++ b/src/main/java/reeldeal/dns/MessageWriter.java
@@ -5,21 +5,19 @@
 import java.util.Map;
 import reeldeal.dns.Types.Field;
 
-/**
- * Writes one message, with names compressed (RFC 1035, section 4.1.4), within a bound on its bytes.
- */
+/** Writes one message with compressed names (RFC 1035, section 4.1.4), up to a size limit. */
 public final class MessageWriter {
     private static final int MAX_POINTER = 0x3fff;
     private static final int OPT_BYTES = 11;
 
-    private final Map<String, Integer> names = new HashMap<>();
+    private final Map<String, Integer> nameOffsets = new HashMap<>();
     private final int[] counts = new int[4];
     private byte[] bytes = new byte[512];
-    private int at = Message.HEADER;
+    private int position = Message.HEADER;
     private int limit;
     private int flags;
 
-    /** A message of at most so many bytes, 512 to 65,535. */
+    /** Starts a message of at most {@code limit} bytes, 512 to 65,535. */
     public MessageWriter(int id, int flags, int limit) {
         this.flags = flags;
         this.limit = limit;
@@ -27,70 +25,73 @@
         bytes[1] = (byte) id;
     }
 
-    /** The answer to a message, with its question as it was asked. */
-    static MessageWriter answer(Message asked, int rcode, int limit) {
+    /** Starts the response to a request, repeating its question byte for byte. */
+    static MessageWriter answer(Message request, int rcode, int limit) {
         MessageWriter writer =
                 new MessageWriter(
-                        asked.id,
-                        (asked.flags & (0xf << 11 | Message.RD)) | Message.QR | (rcode & 0xf),
+                        request.id,
+                        (request.flags & (0xf << 11 | Message.RD)) | Message.QR | (rcode & 0xf),
                         limit);
-        byte[] question = asked.question();
+        byte[] question = request.question();
         if (question.length > 0) {
-            writer.need(question.length);
-            System.arraycopy(question, 0, writer.bytes, writer.at, question.length);
+            writer.ensureCapacity(question.length);
+            System.arraycopy(question, 0, writer.bytes, writer.position, question.length);
             writer.counts[0] = 1;
-            writer.remember(asked.questions.get(0).name(), writer.at);
-            writer.at += question.length;
+            writer.recordSuffixes(request.questions.get(0).name(), writer.position);
+            writer.position += question.length;
         }
         return writer;
     }
 
-    /** Remembers where an uncompressed name stands, and each of its ends. */
-    private void remember(String name, int offset) {
-        int where = offset;
-        for (String rest = name; !rest.equals("."); rest = Names.parent(rest)) {
-            if (where <= MAX_POINTER) {
-                names.putIfAbsent(rest, where);
+    /**
+     * Records the offsets of an uncompressed name and of each of its suffixes, as targets for
+     * compression pointers.
+     */
+    private void recordSuffixes(String name, int offset) {
+        int suffixOffset = offset;
+        for (String suffix = name; !suffix.equals("."); suffix = Names.parent(suffix)) {
+            if (suffixOffset <= MAX_POINTER) {
+                nameOffsets.putIfAbsent(suffix, suffixOffset);
             }
-            where += 1 + Names.wire(rest)[0];
+            suffixOffset += 1 + Names.wire(suffix)[0];
         }
     }
 
-    /** Adds a question. */
+    /** Adds an entry to the question section. */
     public MessageWriter question(String name, int type, int recordClass) {
-        name(name);
-        u16(type);
-        u16(recordClass);
+        writeName(name);
+        writeU16(type);
+        writeU16(recordClass);
         counts[0]++;
         return this;
     }
 
-    void flag(int flag) {
+    void setFlag(int flag) {
         flags |= flag;
     }
 
-    /** Leaves so many bytes free for what comes last. */
-    void reserve(int room) {
-        limit -= room;
+    /** Reserves bytes at the end of the message for the OPT and TSIG records. */
+    void reserve(int reservedBytes) {
+        limit -= reservedBytes;
     }
 
-    /** Adds a record to a section, 1 to 3; false, and nothing added, where it does not fit. */
+    /** Adds a record to a section, 1 to 3. Returns false and adds nothing if it does not fit. */
     public boolean add(int section, Rr record) {
-        int from = at;
-        if (!write(record)) {
-            undo(from);
+        int start = position;
+        if (!writeRecord(record)) {
+            rollBack(start);
             return false;
         }
         counts[section]++;
         return true;
     }
 
-    /** Adds a whole set, or nothing of it. */
+    /** Adds all records of a set, or returns false and adds nothing if they do not fit. */
     boolean add(int section, String name, int type, int recordClass, RrSet set) {
-        int from = at;
+        int start = position;
         for (byte[] data : set.data()) {
-            if (!write(new Rr(name, type, recordClass, set.ttl(), data))) {
-                undo(from);
+            if (!writeRecord(new Rr(name, type, recordClass, set.ttl(), data))) {
+                rollBack(start);
                 return false;
             }
         }
@@ -98,72 +99,78 @@
         return true;
     }
 
-    private void undo(int from) {
-        at = from;
-        names.values().removeIf(offset -> offset >= from);
+    private void rollBack(int start) {
+        position = start;
+        nameOffsets.values().removeIf(offset -> offset >= start);
     }
 
-    private boolean write(Rr rr) {
-        name(rr.name());
-        u16(rr.type());
-        u16(rr.recordClass());
-        u16((int) (rr.ttl() >> 16));
-        u16((int) rr.ttl());
-        int lengthAt = at;
-        u16(0);
+    private boolean writeRecord(Rr rr) {
+        writeName(rr.name());
+        writeU16(rr.type());
+        writeU16(rr.recordClass());
+        writeU16((int) (rr.ttl() >> 16));
+        writeU16((int) rr.ttl());
+        int lengthOffset = position;
+        writeU16(0);
         Field[] fields = rr.data().length == 0 ? null : Types.fields(rr.type());
-        boolean named = fields != null && Arrays.asList(fields).contains(Field.NAME);
-        if (!named) {
-            put(rr.data(), 0, rr.data().length);
+        boolean hasCompressibleName = fields != null && Arrays.asList(fields).contains(Field.NAME);
+        if (!hasCompressibleName) {
+            writeBytes(rr.data(), 0, rr.data().length);
         } else {
-            data(fields, rr.data());
+            writeData(fields, rr.data());
         }
-        int length = at - lengthAt - 2;
-        bytes[lengthAt] = (byte) (length >> 8);
-        bytes[lengthAt + 1] = (byte) length;
-        return at <= limit;
-    }
-
-    /** Data of the types of RFC 1035 that hold names: these may be compressed. */
-    private void data(Field[] fields, byte[] data) {
-        int from = 0;
+        int length = position - lengthOffset - 2;
+        bytes[lengthOffset] = (byte) (length >> 8);
+        bytes[lengthOffset + 1] = (byte) length;
+        return position <= limit;
+    }
+
+    /**
+     * Writes the data of a type of RFC 1035 that contains names; only these names may be
+     * compressed.
+     */
+    private void writeData(Field[] fields, byte[] data) {
+        int dataOffset = 0;
         for (Field field : fields) {
             if (field == Field.NAME) {
-                name(Names.text(data, from));
-                while (data[from] != 0) {
-                    from += 1 + data[from];
+                writeName(Names.text(data, dataOffset));
+                while (data[dataOffset] != 0) {
+                    dataOffset += 1 + data[dataOffset];
                 }
-                from++;
+                dataOffset++;
             } else {
                 int length = field == Field.U8 ? 1 : field == Field.U16 ? 2 : 4;
-                put(data, from, length);
-                from += length;
+                writeBytes(data, dataOffset, length);
+                dataOffset += length;
             }
         }
     }
 
-    private void name(String name) {
-        String rest = name;
-        while (!rest.equals(".")) {
-            Integer offset = names.get(rest);
+    private void writeName(String name) {
+        String suffix = name;
+        while (!suffix.equals(".")) {
+            Integer offset = nameOffsets.get(suffix);
             if (offset != null) {
-                u16(0xc000 | offset);
+                writeU16(0xc000 | offset);
                 return;
             }
-            if (at <= MAX_POINTER) {
-                names.put(rest, at);
+            if (position <= MAX_POINTER) {
+                nameOffsets.put(suffix, position);
             }
-            byte[] wire = Names.wire(rest);
-            put(wire, 0, 1 + wire[0]);
-            rest = Names.parent(rest);
+            byte[] wire = Names.wire(suffix);
+            writeBytes(wire, 0, 1 + wire[0]);
+            suffix = Names.parent(suffix);
         }
-        put(new byte[1], 0, 1);
+        writeBytes(new byte[1], 0, 1);
     }
 
-    /** Adds the sender's OPT record (RFC 6891); {@code rcode}'s upper bits go here. */
+    /**
+     * Adds the sender's OPT record (RFC 6891) in the space reserved for it; the record carries the
+     * upper bits of {@code rcode}.
+     */
     public void edns(int udpSize, int rcode, boolean dnssecOk) {
         limit += OPT_BYTES;
-        write(
+        writeRecord(
                 new Rr(
                         ".",
                         Rr.OPT,
@@ -173,30 +180,30 @@
         counts[3]++;
     }
 
-    private void need(int more) {
-        if (at + more > bytes.length) {
-            bytes = Arrays.copyOf(bytes, Math.max(at + more, bytes.length * 2));
+    private void ensureCapacity(int additionalBytes) {
+        if (position + additionalBytes > bytes.length) {
+            bytes = Arrays.copyOf(bytes, Math.max(position + additionalBytes, bytes.length * 2));
         }
     }
 
-    private void put(byte[] from, int start, int length) {
-        need(length);
-        System.arraycopy(from, start, bytes, at, length);
-        at += length;
+    private void writeBytes(byte[] source, int start, int length) {
+        ensureCapacity(length);
+        System.arraycopy(source, start, bytes, position, length);
+        position += length;
     }
 
-    private void u16(int value) {
-        need(2);
-        bytes[at++] = (byte) (value >> 8);
-        bytes[at++] = (byte) value;
+    private void writeU16(int value) {
+        ensureCapacity(2);
+        bytes[position++] = (byte) (value >> 8);
+        bytes[position++] = (byte) value;
     }
 
-    /** Bytes so far. */
+    /** Returns the number of bytes written so far. */
     public int size() {
-        return at;
+        return position;
     }
 
-    /** The message. */
+    /** Returns the message with its header completed. */
     public byte[] toBytes() {
         bytes[2] = (byte) (flags >> 8);
         bytes[3] = (byte) flags;
@@ -204,6 +211,6 @@
             bytes[4 + 2 * i] = (byte) (counts[i] >> 8);
             bytes[5 + 2 * i] = (byte) counts[i];
         }
-        return Arrays.copyOf(bytes, at);
+        return Arrays.copyOf(bytes, position);
     }
 }
--- a/src/main/java/reeldeal/dns/Names.java
+++ b/src/main/java/reeldeal/dns/Names.java
@@ -3,8 +3,8 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Domain names as text: absolute, in lower case, with what is no letter, digit, - _ or * as {@code
- * \DDD}.
+ * Converts domain names between wire form and text. Text is absolute and in lower case; every byte
+ * other than a letter, a digit, {@code -}, {@code _} or {@code *} is written as {@code \DDD}.
  */
 public final class Names {
     static final int MAX_NAME = 255;
@@ -12,8 +12,8 @@
 
     private Names() {}
 
-    /** Adds one label of the wire to a name. */
-    static void label(StringBuilder name, byte[] bytes, int from, int length) {
+    /** Appends one label in wire form to a name in text form. */
+    static void appendLabel(StringBuilder name, byte[] bytes, int from, int length) {
         for (int i = from; i < from + length; i++) {
             int character = bytes[i] & 0xff;
             character = character >= 'A' && character <= 'Z' ? character + 32 : character;
@@ -33,7 +33,10 @@
         name.append('.');
     }
 
-    /** The name that this text stands for under an origin, or null where it is none. */
+    /**
+     * Parses a name that may be relative to an origin. Returns null if the text is not a valid
+     * name.
+     */
     public static String parse(String text, String origin) {
         if (text.equals("@")) {
             return origin;
@@ -43,7 +46,7 @@
         return wire == null ? null : text(wire, 0);
     }
 
-    /** Whether the text ends in a dot that no backslash escapes. */
+    /** Returns whether the text ends in an unescaped dot. */
     static boolean isAbsolute(String text) {
         int backslashes = 0;
         for (int i = text.length() - 2; i >= 0 && text.charAt(i) == '\\'; i--) {
@@ -52,7 +55,7 @@
         return text.endsWith(".") && backslashes % 2 == 0;
     }
 
-    /** The name on the wire, without compression, or null where the text is no name. */
+    /** Returns the uncompressed wire form of a name, or null if the text is not a valid name. */
     public static byte[] wire(String text) {
         if (text.equals(".")) {
             return new byte[1];
@@ -69,7 +72,7 @@
                 out.writeBytes(label.toByteArray());
                 label.reset();
             } else if (character == '\\') {
-                int code = escape(text, i);
+                int code = decodeEscape(text, i);
                 if (code < 0) {
                     return null;
                 }
@@ -85,20 +88,22 @@
         return label.size() > 0 || out.size() > MAX_NAME ? null : out.toByteArray();
     }
 
-    /** What the escape at this place stands for, or -1. */
-    static int escape(String text, int at) {
-        if (at + 1 >= text.length()) {
+    /**
+     * Returns the byte that the escape at this offset stands for, or -1 if the escape is invalid.
+     */
+    static int decodeEscape(String text, int offset) {
+        if (offset + 1 >= text.length()) {
             return -1;
         }
-        if (!isDigit(text.charAt(at + 1))) {
-            return text.charAt(at + 1) < 128 ? text.charAt(at + 1) : -1;
+        if (!isDigit(text.charAt(offset + 1))) {
+            return text.charAt(offset + 1) < 128 ? text.charAt(offset + 1) : -1;
         }
-        if (at + 3 >= text.length()
-                || !isDigit(text.charAt(at + 2))
-                || !isDigit(text.charAt(at + 3))) {
+        if (offset + 3 >= text.length()
+                || !isDigit(text.charAt(offset + 2))
+                || !isDigit(text.charAt(offset + 3))) {
             return -1;
         }
-        int code = Integer.parseInt(text.substring(at + 1, at + 4));
+        int code = Integer.parseInt(text.substring(offset + 1, offset + 4));
         return code > 255 ? -1 : code;
     }
 
@@ -106,16 +111,16 @@
         return character >= '0' && character <= '9';
     }
 
-    /** The text of an uncompressed name that begins here. */
+    /** Returns the text of the uncompressed name that starts at {@code from}. */
     public static String text(byte[] wire, int from) {
         StringBuilder name = new StringBuilder();
-        for (int at = from; wire[at] != 0; at += 1 + wire[at]) {
-            label(name, wire, at + 1, wire[at]);
+        for (int offset = from; wire[offset] != 0; offset += 1 + wire[offset]) {
+            appendLabel(name, wire, offset + 1, wire[offset]);
         }
         return name.length() == 0 ? "." : name.toString();
     }
 
-    /** Whether a name lies at or below another. */
+    /** Returns whether a name is equal to {@code origin} or below it. */
     public static boolean within(String name, String origin) {
         return origin.equals(".")
                 || name.equals(origin)
@@ -123,13 +128,13 @@
                         && name.charAt(name.length() - origin.length() - 1) == '.');
     }
 
-    /** The name without its first label; the root's is the root. */
+    /** Returns the name without its first label; the parent of the root is the root. */
     public static String parent(String name) {
         int dot = name.indexOf('.');
         return dot < 0 || dot == name.length() - 1 ? "." : name.substring(dot + 1);
     }
 
-    /** How many labels a name has; the root has none. */
+    /** Returns the number of labels in a name, 0 for the root. */
     public static int labels(String name) {
         int labels = 0;
         for (int i = 0; i < name.length(); i++) {
@@ -139,11 +144,11 @@
     }
 
     /**
-     * The key by which a zone sorts its names: labels from the root down, each ended by a byte that
-     * sorts before all others, so that a name stands right before what lies below it (as RFC 4034,
-     * section 6.1).
+     * Returns the key by which a zone sorts a name: its labels from the root down, each followed by
+     * a byte that sorts before all others, so that a name sorts directly before the names below it
+     * (as in RFC 4034, section 6.1).
      */
-    static String key(String name) {
+    static String sortKey(String name) {
         StringBuilder key = new StringBuilder(name.length() + 1);
         int end = name.length() - 1;
         while (end > 0) {
--- a/src/main/java/reeldeal/dns/Rcode.java
+++ b/src/main/java/reeldeal/dns/Rcode.java
@@ -34,7 +34,7 @@
 
     private Rcode() {}
 
-    /** A code's name, as operators know it. */
+    /** Returns the mnemonic of a response code, or {@code RCODE} and its number if it has none. */
     public static String name(int rcode) {
         return rcode < NAMES.length
                 ? NAMES[rcode]
--- a/src/main/java/reeldeal/dns/RecordText.java
+++ b/src/main/java/reeldeal/dns/RecordText.java
@@ -2,58 +2,64 @@
 
 import java.util.List;
 
-/** One record as an operator writes it: {@code NAME [TTL] [TYPE [DATA]]}, as in a zone file. */
+/**
+ * A record parsed from the text that an operator writes: {@code NAME [TTL] [TYPE [DATA]]}, in zone
+ * file syntax.
+ */
 public record RecordText(String name, long ttl, int type, byte[] data) {
 
-    /** Text that is no record; the message names what was expected. */
+    /** Thrown for text that is not a record; the message says what was expected. */
     public static final class Unreadable extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Unreadable(String why) {
-            super(why);
+        Unreadable(String reason) {
+            super(reason);
         }
     }
 
     /**
-     * Reads a record; where it is not whole, type and data may be left out, and the TTL must be.
+     * Parses a record. If {@code complete} is set, TTL, type and data are required; otherwise type
+     * and data are optional and a TTL is not allowed.
      */
-    public static RecordText parse(String text, String origin, boolean whole) throws Unreadable {
+    public static RecordText parse(String text, String origin, boolean complete) throws Unreadable {
         try {
-            List<Rdata.Word> words = ZoneFile.words(text);
-            if (words.isEmpty()) {
+            List<Rdata.Token> tokens = ZoneFile.tokens(text);
+            if (tokens.isEmpty()) {
                 throw new Unreadable("expected a name, found nothing");
             }
-            String name = Names.parse(words.get(0).text(), origin);
+            String name = Names.parse(tokens.get(0).text(), origin);
             if (name == null) {
                 throw new Unreadable("expected a name in: " + text);
             }
-            int at = 1;
+            int index = 1;
             long ttl = 0;
-            if (whole) {
-                if (words.size() < 3) {
+            if (complete) {
+                if (tokens.size() < 3) {
                     throw new Unreadable("expected NAME TTL TYPE DATA in: " + text);
                 }
-                ttl = Rdata.time(words.get(at++));
+                ttl = Rdata.parseTime(tokens.get(index++));
             }
-            if (at < words.size() && words.get(at).text().equalsIgnoreCase("IN")) {
-                at++;
+            if (index < tokens.size() && tokens.get(index).text().equalsIgnoreCase("IN")) {
+                index++;
             }
-            if (at >= words.size()) {
+            if (index >= tokens.size()) {
                 return new RecordText(name, 0, Rr.ANY, new byte[0]);
             }
             int type =
-                    words.get(at).text().equalsIgnoreCase("ANY") && !whole
+                    tokens.get(index).text().equalsIgnoreCase("ANY") && !complete
                             ? Rr.ANY
-                            : Types.number(words.get(at).text());
-            if (type < 0 || (whole && Rr.isMeta(type))) {
-                throw new Unreadable("expected a record type, found " + words.get(at).text());
+                            : Types.number(tokens.get(index).text());
+            if (type < 0 || (complete && Rr.isMeta(type))) {
+                throw new Unreadable("expected a record type, found " + tokens.get(index).text());
             }
-            List<Rdata.Word> rest = words.subList(at + 1, words.size());
+            List<Rdata.Token> dataTokens = tokens.subList(index + 1, tokens.size());
             return new RecordText(
                     name,
                     ttl,
                     type,
-                    rest.isEmpty() && !whole ? new byte[0] : Rdata.parse(type, rest, origin));
+                    dataTokens.isEmpty() && !complete
+                            ? new byte[0]
+                            : Rdata.parse(type, dataTokens, origin));
         } catch (Rdata.Unreadable e) {
             throw new Unreadable(e.getMessage() + " in: " + text);
         } catch (ZoneFile.Malformed e) {
@@ -61,7 +67,7 @@
         }
     }
 
-    /** The record of this class. */
+    /** Returns the record with the given class and TTL. */
     public Rr record(int recordClass, long withTtl) {
         return new Rr(name, type, recordClass, withTtl, data);
     }
--- a/src/main/java/reeldeal/dns/Responder.java
+++ b/src/main/java/reeldeal/dns/Responder.java
@@ -6,39 +6,44 @@
 import reeldeal.dns.Zone.Placed;
 
 /**
- * Makes the answers to one message: its id and question given back, its bound on bytes kept, signed
- * where it was signed.
+ * Builds the responses to one request. A response repeats the id and question of the request, stays
+ * within its size limit and is signed if the request was signed.
  */
 public final class Responder {
-    /** Bytes that this server takes over UDP (RFC 9715 advises some 1,400 at most). */
-    private static final int UDP_SIZE = 1_232;
+    /**
+     * The size limit of UDP messages that this server advertises, in bytes (RFC 9715 advises at
+     * most about 1,400). A transport with a higher limit is TCP.
+     */
+    private static final int MAX_UDP_BYTES = 1_232;
 
-    private static final int PLAIN_UDP = 512;
+    private static final int UDP_BYTES_WITHOUT_EDNS = 512;
     private static final int EDNS_BYTES = 11;
 
-    private final Message asked;
+    private final Message request;
     private final int limit;
     private final long nowS;
-    private Tsig.Checked checked;
-    private String why = "";
+    private Tsig.Checked signature;
+    private String signatureError = "";
 
     /**
-     * For a message; {@code limit} is the transport's bound in bytes, {@code nowS} Unix time in
-     * seconds.
+     * Creates a responder for a request; {@code limit} is the size limit of the transport in bytes,
+     * {@code nowS} Unix time in seconds.
      */
-    public Responder(Message asked, int limit, long nowS) {
-        this.asked = asked;
+    public Responder(Message request, int limit, long nowS) {
+        this.request = request;
         this.nowS = nowS;
-        // RFC 6891, section 6.2.3: what the asker takes, 512 bytes without EDNS.
+        // RFC 6891, section 6.2.3: the size that the client accepts, 512 bytes without EDNS.
         this.limit =
-                limit > UDP_SIZE
+                limit > MAX_UDP_BYTES
                         ? limit
-                        : asked.edns() == null
-                                ? PLAIN_UDP
-                                : Math.max(PLAIN_UDP, Math.min(limit, asked.edns().udpSize()));
+                        : request.edns() == null
+                                ? UDP_BYTES_WITHOUT_EDNS
+                                : Math.max(
+                                        UDP_BYTES_WITHOUT_EDNS,
+                                        Math.min(limit, request.edns().udpSize()));
     }
 
-    /** The answer to bytes that are no message but have a header: FORMERR. */
+    /** Returns a FORMERR response to bytes that have a header but are not a valid message. */
     public static byte[] malformed(byte[] bytes) {
         byte[] answer = new byte[Message.HEADER];
         System.arraycopy(bytes, 0, answer, 0, 2);
@@ -47,93 +52,103 @@
         return answer;
     }
 
-    /** Checks the message's signature; null where it is good, else the answer that refuses it. */
+    /**
+     * Checks the signature of the request. Returns null if it is valid, otherwise the error
+     * response to send.
+     */
     public byte[] check(Map<String, Tsig.Key> keys) {
-        checked = Tsig.check(asked, keys, nowS, null, new byte[0], false);
-        if (checked == null) {
-            why = "malformed TSIG";
-            return bare(Rcode.FORMERR).toBytes();
+        signature = Tsig.check(request, keys, nowS, null, new byte[0], false);
+        if (signature == null) {
+            signatureError = "malformed TSIG";
+            return newAnswer(Rcode.FORMERR).toBytes();
         }
-        if (checked.good()) {
+        if (signature.good()) {
             return null;
         }
-        Tsig.Checked failed = checked;
-        checked = null;
-        why = Rcode.name(failed.error()) + ", key " + asked.tsig().name();
-        return Tsig.refuse(bare(Rcode.NOTAUTH).toBytes(), asked, failed, nowS);
+        Tsig.Checked failed = signature;
+        signature = null;
+        signatureError = Rcode.name(failed.error()) + ", key " + request.tsig().name();
+        return Tsig.refuse(newAnswer(Rcode.NOTAUTH).toBytes(), request, failed, nowS);
     }
 
-    /** What was wrong with the signature. */
+    /** Returns why {@link #check} rejected the signature, empty if it did not. */
     public String why() {
-        return why;
+        return signatureError;
     }
 
-    /** The key by which the message is signed, or null. */
+    /** Returns the key that signed the request, or null if no valid signature was checked. */
     public Tsig.Key key() {
-        return checked == null ? null : checked.key();
+        return signature == null ? null : signature.key();
     }
 
-    /** Its name, or null. */
+    /** Returns the name of the key that signed the request, or null. */
     public String signer() {
-        return checked == null ? null : checked.key().name();
+        return signature == null ? null : signature.key().name();
     }
 
-    /** The message's MAC, or null. */
+    /** Returns the MAC of the request, or null. */
     public byte[] mac() {
-        return checked == null ? null : checked.mac();
+        return signature == null ? null : signature.mac();
     }
 
-    private MessageWriter bare(int rcode) {
-        MessageWriter writer = MessageWriter.answer(asked, rcode, limit);
+    private MessageWriter newAnswer(int rcode) {
+        MessageWriter writer = MessageWriter.answer(request, rcode, limit);
         writer.reserve(
-                (asked.edns() == null ? 0 : EDNS_BYTES) + (checked == null ? 0 : key().room()));
+                (request.edns() == null ? 0 : EDNS_BYTES)
+                        + (signature == null ? 0 : key().signatureBytes()));
         return writer;
     }
 
     private byte[] finish(MessageWriter writer, int rcode) {
-        if (asked.edns() != null) {
-            writer.edns(UDP_SIZE, rcode, asked.edns().dnssecOk());
+        if (request.edns() != null) {
+            writer.edns(MAX_UDP_BYTES, rcode, request.edns().dnssecOk());
         }
         byte[] bytes = writer.toBytes();
-        return checked == null ? bytes : Tsig.sign(bytes, key(), nowS, mac(), false).bytes();
+        return signature == null ? bytes : Tsig.sign(bytes, key(), nowS, mac(), false).bytes();
     }
 
-    /** An answer that is a code only. */
+    /** Returns a response with a response code and no records. */
     public byte[] code(int rcode) {
-        return finish(bare(rcode), rcode);
+        return finish(newAnswer(rcode), rcode);
     }
 
-    /** An answer with these records. */
+    /**
+     * Returns an authoritative response with these answer records, truncated if they do not fit.
+     */
     public byte[] records(List<Rr> records) {
-        MessageWriter writer = bare(Rcode.NOERROR);
-        writer.flag(Message.AA);
+        MessageWriter writer = newAnswer(Rcode.NOERROR);
+        writer.setFlag(Message.AA);
         for (Rr r : records) {
             if (!writer.add(1, r)) {
-                writer.flag(Message.TC);
+                writer.setFlag(Message.TC);
                 break;
             }
         }
         return finish(writer, Rcode.NOERROR);
     }
 
-    /** The answer from the zones; what does not fit is said to be cut off (RFC 2181, section 9). */
+    /**
+     * Answers a question from the zones; sets the TC bit if required records do not fit (RFC 2181,
+     * section 9).
+     */
     public byte[] answer(Message.Question question, Function<String, Zone> zones) {
         Answerer.Answer answer = Answerer.answer(question.name(), question.type(), zones);
-        MessageWriter writer = bare(answer.rcode());
+        MessageWriter writer = newAnswer(answer.rcode());
         if (answer.authoritative() && answer.rcode() != Rcode.REFUSED) {
-            writer.flag(Message.AA);
+            writer.setFlag(Message.AA);
         }
-        boolean fits = true;
+        boolean complete = true;
         for (int section = 1; section <= 3; section++) {
             List<Placed> sets =
                     section == 1
                             ? answer.answers()
                             : section == 2 ? answer.authority() : answer.additional();
             for (Placed p : sets) {
-                fits = fits && writer.add(section, p.name(), p.type(), Rr.IN, p.set());
-                // Additional data that do not fit are left out without a word, glue excepted.
-                if (!fits && (section < 3 || !answer.authoritative())) {
-                    writer.flag(Message.TC);
+                complete = complete && writer.add(section, p.name(), p.type(), Rr.IN, p.set());
+                // Additional records that do not fit are omitted without the TC bit, except for
+                // glue.
+                if (!complete && (section < 3 || !answer.authoritative())) {
+                    writer.setFlag(Message.TC);
                 }
             }
         }
--- a/src/main/java/reeldeal/dns/Rr.java
+++ b/src/main/java/reeldeal/dns/Rr.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /**
- * A resource record; its data are as on the wire, names in them without compression.
+ * A resource record. Its data is in wire form with uncompressed names.
  *
  * @param name absolute, in lower case
  * @param ttl seconds, 0 to 2^31 - 1 (RFC 2181, section 8)
@@ -28,12 +28,15 @@
     public static final int IXFR = 251;
     public static final int AXFR = 252;
 
-    /** Whether the type only asks or belongs to one message, and no zone can hold it. */
+    /**
+     * Returns whether this is a query type or a type that belongs to a single message, such as OPT,
+     * which no zone can hold.
+     */
     public static boolean isMeta(int type) {
         return type == 0 || type == OPT || (type >= 249 && type <= ANY);
     }
 
-    /** Whether the data are the same, byte for byte (RFC 2136, section 1.1.1). */
+    /** Returns whether the data is equal byte for byte (RFC 2136, section 1.1.1). */
     public boolean sameData(byte[] other) {
         return Arrays.equals(data, other);
     }
--- a/src/main/java/reeldeal/dns/RrSet.java
+++ b/src/main/java/reeldeal/dns/RrSet.java
@@ -5,51 +5,57 @@
 import java.util.List;
 
 /**
- * The records that share a name and a type: one time to live (RFC 2181, section 5.2), no data
- * twice.
+ * The records that share a name and a type. They have one TTL (RFC 2181, section 5.2) and no
+ * duplicate data.
  */
 public record RrSet(long ttl, List<byte[]> data) {
-    /** Bytes of data that one set may hold: beyond this no message could carry it whole. */
+    /**
+     * Limit in bytes on {@link #messageBytes}: a larger set might not fit into a single message.
+     */
     public static final int MAX_BYTES = 60_000;
 
-    /** Whether one record of the set has these data. */
-    public boolean holds(byte[] one) {
+    /** Returns whether a record of the set has this data. */
+    public boolean contains(byte[] recordData) {
         for (byte[] d : data) {
-            if (Arrays.equals(d, one)) {
+            if (Arrays.equals(d, recordData)) {
                 return true;
             }
         }
         return false;
     }
 
-    RrSet with(long newTtl, byte[] one) {
-        List<byte[]> more = new ArrayList<>(data);
-        if (!holds(one)) {
-            more.add(one);
+    /** Returns the set with a new TTL, and with this data added unless it is already present. */
+    RrSet with(long newTtl, byte[] recordData) {
+        List<byte[]> extended = new ArrayList<>(data);
+        if (!contains(recordData)) {
+            extended.add(recordData);
         }
-        return new RrSet(newTtl, List.copyOf(more));
+        return new RrSet(newTtl, List.copyOf(extended));
     }
 
-    /** The set without these data, or null where nothing would be left. */
-    RrSet without(byte[] one) {
-        List<byte[]> rest = data.stream().filter(d -> !Arrays.equals(d, one)).toList();
-        return rest.isEmpty() ? null : new RrSet(ttl, rest);
+    /** Returns the set without this data, or null if no record remains. */
+    RrSet without(byte[] recordData) {
+        List<byte[]> remaining = data.stream().filter(d -> !Arrays.equals(d, recordData)).toList();
+        return remaining.isEmpty() ? null : new RrSet(ttl, remaining);
     }
 
-    /** Bytes that the set takes in a message, with uncompressed names of owners as pointers. */
-    public int size() {
-        int size = 0;
+    /**
+     * Returns the size of the set in a message, in bytes, with the owner names as compression
+     * pointers and the data uncompressed.
+     */
+    public int messageBytes() {
+        int total = 0;
         for (byte[] d : data) {
-            size += 12 + d.length;
+            total += 12 + d.length;
         }
-        return size;
+        return total;
     }
 
-    /** Whether both are the same set, in whatever order. */
-    public boolean same(RrSet other) {
+    /** Returns whether both sets have the same TTL and records, in any order. */
+    public boolean sameRecords(RrSet other) {
         return other != null
                 && ttl == other.ttl
                 && data.size() == other.data.size()
-                && data.stream().allMatch(other::holds);
+                && data.stream().allMatch(other::contains);
     }
 }
--- a/src/main/java/reeldeal/dns/Secondary.java
+++ b/src/main/java/reeldeal/dns/Secondary.java
@@ -1,15 +1,18 @@
 package reeldeal.dns;
 
 /**
- * When a secondary asks its primaries (RFC 1034, section 4.3.5; NOTIFY by RFC 1996): a state
- * machine that is told the time in milliseconds and what came of each step, and says what to do
- * next.
+ * Decides when a secondary server contacts its primaries and what it requests (RFC 1034, section
+ * 4.3.5; NOTIFY by RFC 1996). This state machine receives the time in milliseconds and the result
+ * of each step, and returns the next step.
  */
 public final class Secondary {
     private static final long MIN_MS = 1_000;
     private static final long MAX_BACKOFF_MS = 60_000;
 
-    /** What is to be done now. */
+    /**
+     * The step to take next: nothing, query the SOA, request an incremental transfer (IXFR),
+     * request a full transfer (AXFR), or stop serving the expired zone.
+     */
     public enum Step {
         NOTHING,
         ASK_SOA,
@@ -27,88 +30,91 @@
     private long confirmedAt;
     private long nextAt;
     private long backoffMs = MIN_MS;
-    private boolean busy;
-    private boolean again;
+    private boolean stepInProgress;
+    private boolean checkAgain;
     private boolean expired;
-    private boolean wantsWhole;
-    private boolean known;
+    private boolean fullTransferNeeded;
+    private boolean hasZone;
 
-    /** A secondary of so many primaries that has no zone yet; it asks at once. */
+    /** Creates a secondary without a zone; its first transfer is due at once. */
     public Secondary(int primaries, long now) {
         this.primaries = primaries;
         this.nextAt = now;
     }
 
-    /** Begins with a zone kept from before, which was confirmed then; it is asked about at once. */
+    /**
+     * Starts with a stored zone that a primary last confirmed at {@code confirmed}, in ms; its
+     * refresh is due at once.
+     */
     public void restored(Zone zone, long confirmed) {
-        timers(zone);
+        readTimers(zone);
         confirmedAt = confirmed;
     }
 
-    private void timers(Zone zone) {
+    private void readTimers(Zone zone) {
         byte[] soa = zone.soa().data();
         serial = zone.serial();
         refreshMs = Math.max(MIN_MS, Zone.soaNumber(soa, 1) * 1_000);
         retryMs = Math.max(MIN_MS, Zone.soaNumber(soa, 2) * 1_000);
         expireMs = Math.max(MIN_MS, Zone.soaNumber(soa, 3) * 1_000);
-        known = true;
+        hasZone = true;
     }
 
-    /** Which primary to ask. */
+    /** Returns the index of the primary to contact. */
     public int primary() {
         return primary;
     }
 
     /**
-     * Whether the zone has expired: it answers nothing and lists nobody until a primary is heard
-     * again.
+     * Returns whether the zone has expired. An expired zone answers no queries and lists no
+     * searchers until a primary responds again.
      */
     public boolean expired() {
         return expired;
     }
 
-    /** When a primary last confirmed the zone, in ms. */
+    /** Returns when a primary last confirmed the zone, in ms. */
     public long confirmedAt() {
         return confirmedAt;
     }
 
-    /** What is due. */
+    /** Returns the step that is due now, and marks it as in progress if it contacts a primary. */
     public Step tick(long now) {
-        if (known && !expired && now - confirmedAt >= expireMs) {
+        if (hasZone && !expired && now - confirmedAt >= expireMs) {
             expired = true;
             return Step.EXPIRE;
         }
-        if (busy || now < nextAt) {
+        if (stepInProgress || now < nextAt) {
             return Step.NOTHING;
         }
-        busy = true;
-        again = false;
-        return known && !wantsWhole ? Step.ASK_SOA : Step.ASK_WHOLE;
+        stepInProgress = true;
+        checkAgain = false;
+        return hasZone && !fullTransferNeeded ? Step.ASK_SOA : Step.ASK_WHOLE;
     }
 
     /**
-     * A primary says that the zone has changed; a serial below 0 is not known. True where it will
-     * be asked.
+     * Handles a NOTIFY from a primary; {@code newSerial} is below 0 if unknown. Returns whether the
+     * primary will be contacted.
      */
     public boolean notified(long now, long newSerial) {
-        if (known && !expired && newSerial >= 0 && !Zone.later(newSerial, serial)) {
+        if (hasZone && !expired && newSerial >= 0 && !Zone.later(newSerial, serial)) {
             return false;
         }
-        if (busy) {
-            again = true; // RFC 1996, section 4.4: one more look once this one is over
+        if (stepInProgress) {
+            checkAgain = true; // RFC 1996, section 4.4: check once more after the current step
         } else {
             nextAt = now;
         }
         return true;
     }
 
-    /** The primary's serial; says what to ask for then. */
-    public Step soa(long now, long theirs) {
-        if (!known || Zone.later(theirs, serial)) {
-            return known && !wantsWhole ? Step.ASK_CHANGES : Step.ASK_WHOLE;
+    /** Handles the serial of the primary's SOA and returns the next step. */
+    public Step soa(long now, long primarySerial) {
+        if (!hasZone || Zone.later(primarySerial, serial)) {
+            return hasZone && !fullTransferNeeded ? Step.ASK_CHANGES : Step.ASK_WHOLE;
         }
-        if (theirs != serial) {
-            failed(now); // it went back: this is no confirmation of what is had
+        if (primarySerial != serial) {
+            failed(now); // the primary has an older serial, which does not confirm the local zone
             return Step.NOTHING;
         }
         confirmed(now);
@@ -116,53 +122,56 @@
     }
 
     /**
-     * A transfer ended well with this zone. Returns whether it is newer than what is had, and is to
-     * be taken.
+     * Handles a completed transfer. Returns whether to install the zone; it is rejected if its
+     * serial is older than that of the unexpired local zone.
      */
     public boolean transferred(long now, Zone zone) {
-        if (known && !expired && !Zone.later(zone.serial(), serial) && zone.serial() != serial) {
+        if (hasZone && !expired && !Zone.later(zone.serial(), serial) && zone.serial() != serial) {
             failed(now);
             return false;
         }
-        timers(zone);
+        readTimers(zone);
         confirmed(now);
         return true;
     }
 
-    /** A primary said that what is had is its latest. */
+    /** Records that a primary confirmed the local zone as its latest version. */
     public void confirmed(long now) {
         confirmedAt = now;
         expired = false;
-        wantsWhole = false;
+        fullTransferNeeded = false;
         backoffMs = MIN_MS;
-        done(again ? now : now + refreshMs);
+        finishStep(checkAgain ? now : now + refreshMs);
     }
 
-    /** Changes could not be used: the whole zone is asked for at once (RFC 1995, section 4). */
+    /**
+     * Handles an incremental transfer that could not be applied: a full transfer is due at once
+     * (RFC 1995, section 4).
+     */
     public void changesFailed(long now) {
-        wantsWhole = true;
-        done(now);
+        fullTransferNeeded = true;
+        finishStep(now);
     }
 
     /**
-     * A step failed: the next primary is asked after the retry interval, sooner while no zone is
-     * had.
+     * Handles a failed step: selects the next primary and retries with exponential backoff, at the
+     * latest after the retry interval of the SOA if there is a zone.
      */
     public void failed(long now) {
         primary = (primary + 1) % primaries;
-        long wait = known ? Math.min(retryMs, backoffMs) : backoffMs;
+        long delayMs = hasZone ? Math.min(retryMs, backoffMs) : backoffMs;
         backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
-        done(again ? now : now + wait);
+        finishStep(checkAgain ? now : now + delayMs);
     }
 
-    private void done(long next) {
-        busy = false;
-        nextAt = next;
+    private void finishStep(long nextStepAt) {
+        stepInProgress = false;
+        nextAt = nextStepAt;
     }
 
-    /** When {@link #tick} has something to do next, in ms. */
+    /** Returns when {@link #tick} is next due, in ms. */
     public long nextAt() {
-        long expiry = known && !expired ? confirmedAt + expireMs : Long.MAX_VALUE;
-        return busy ? expiry : Math.min(nextAt, expiry);
+        long expiry = hasZone && !expired ? confirmedAt + expireMs : Long.MAX_VALUE;
+        return stepInProgress ? expiry : Math.min(nextAt, expiry);
     }
 }
--- a/src/main/java/reeldeal/dns/TransferIn.java
+++ b/src/main/java/reeldeal/dns/TransferIn.java
@@ -6,15 +6,20 @@
 import reeldeal.dns.Journal.Diff;
 
 /**
- * A transfer from a primary, message by message: whole (RFC 5936) or by changes (RFC 1995). What it
- * gives is a whole new zone or nothing: a transfer that ends early, goes against its serial numbers
- * or bears a bad signature leaves the zone as it was.
+ * Receives a zone transfer from a primary, message by message: a full transfer (RFC 5936) or an
+ * incremental one (RFC 1995). It yields a complete new zone or nothing: a transfer that ends early,
+ * has inconsistent serial numbers or a bad signature leaves the current zone unchanged.
  */
 public final class TransferIn {
-    /** Unsigned messages that may stand between two signed ones (RFC 8945, section 5.3.1). */
+    /**
+     * The number of unsigned messages allowed between two signed ones (RFC 8945, section 5.3.1).
+     */
     private static final int MAX_UNSIGNED = 99;
 
-    /** How far a transfer has come. */
+    /**
+     * The state of a transfer: more messages are expected, the zone is up to date, a full transfer
+     * or an incremental one is complete, or the transfer failed.
+     */
     public enum State {
         MORE,
         UP_TO_DATE,
@@ -33,41 +38,41 @@
     }
 
     private final int id;
-    private final Zone before;
+    private final Zone currentZone;
     private final boolean incremental;
     private final Tsig.Key key;
     private final long now;
     private final int maxRecords;
     private byte[] mac;
-    private byte[] unsigned = new byte[0];
+    private byte[] unsignedBytes = new byte[0];
     private int unsignedCount;
-    private Expect expect = Expect.FIRST;
+    private Expect expected = Expect.FIRST;
     private Zone zone;
-    private Rr soa;
+    private Rr targetSoa;
     private Rr oldSoa;
     private Rr newSoa;
     private List<Rr> removed = new ArrayList<>();
     private List<Rr> added = new ArrayList<>();
     private final List<Diff> diffs = new ArrayList<>();
-    private String why;
+    private String failureReason;
     private boolean firstMessage = true;
-    private int records;
+    private int recordCount;
 
     /**
-     * A transfer of the zone that is to replace or follow {@code before}, which may be empty; where
-     * {@code incremental}, changes were asked for. {@code mac} is the request's, {@code now} Unix
-     * time in s.
+     * Starts a transfer that replaces or updates {@code currentZone}, which may be empty. {@code
+     * incremental} says whether the request was an IXFR; {@code mac} is the MAC of the request and
+     * {@code now} is Unix time in seconds.
      */
     public TransferIn(
             int id,
-            Zone before,
+            Zone currentZone,
             boolean incremental,
             Tsig.Key key,
             byte[] mac,
             long now,
             int maxRecords) {
         this.id = id;
-        this.before = before;
+        this.currentZone = currentZone;
         this.incremental = incremental;
         this.key = key;
         this.mac = mac;
@@ -75,194 +80,221 @@
         this.maxRecords = maxRecords;
     }
 
-    /** Takes a message of the stream. */
+    /** Processes the next message of the stream. */
     public State take(byte[] bytes) {
         Message message;
         try {
             message = Message.parse(bytes);
         } catch (Message.Malformed e) {
-            return failed("not a message: " + e.getMessage());
+            return fail("not a message: " + e.getMessage());
         }
         if (message.id != id || !message.response || message.opcode != Message.QUERY) {
-            return failed("not an answer to the question asked");
+            return fail("not a response to the transfer request");
         }
         if (!message.questions.isEmpty()
-                && !message.questions.get(0).name().equals(before.origin)) {
-            return failed("an answer about " + message.questions.get(0).name());
+                && !message.questions.get(0).name().equals(currentZone.origin)) {
+            return fail(
+                    "expected a response about the requested zone, found "
+                            + message.questions.get(0).name());
         }
-        if (key != null && !signed(message)) {
+        if (key != null && !verifySignature(message)) {
             return State.FAILED;
         }
         if (message.rcode() != Rcode.NOERROR) {
-            return failed(Rcode.name(message.rcode()));
+            return fail(Rcode.name(message.rcode()));
         }
         for (Rr rr : message.answers()) {
-            if (++records > maxRecords) {
-                return failed("more than " + maxRecords + " records");
+            if (++recordCount > maxRecords) {
+                return fail("more than " + maxRecords + " records");
             }
-            if (!record(rr)) {
+            if (!acceptRecord(rr)) {
                 return State.FAILED;
             }
         }
-        return end(message);
+        return finishMessage(message);
     }
 
-    private State end(Message message) {
+    private State finishMessage(Message message) {
         firstMessage = false;
-        if (expect == Expect.NOTHING) {
+        if (expected == Expect.NOTHING) {
             if (unsignedCount > 0) {
-                return failed("the last message is not signed");
+                return fail("the last message of a signed transfer is unsigned");
             }
             return diffs.isEmpty() ? State.WHOLE : State.CHANGES;
         }
-        if (expect == Expect.SECOND && message.answers().size() == 1) {
-            // One SOA and no more: up to date, or (over UDP only) a hint to ask again whole.
-            return !Zone.later(Zone.serial(soa.data()), before.serial()) && !before.isEmpty()
+        if (expected == Expect.SECOND && message.answers().size() == 1) {
+            // A single SOA: the zone is up to date, or (over UDP only) a full transfer is needed.
+            return !Zone.later(Zone.serial(targetSoa.data()), currentZone.serial())
+                            && !currentZone.isEmpty()
                     ? State.UP_TO_DATE
                     : State.MORE;
         }
-        return message.answers().isEmpty() ? failed("an answer without records") : State.MORE;
+        return message.answers().isEmpty()
+                ? fail("a message without records before the transfer was complete")
+                : State.MORE;
     }
 
-    private boolean signed(Message message) {
+    private boolean verifySignature(Message message) {
         if (!Tsig.isSigned(message)) {
             if (firstMessage || ++unsignedCount > MAX_UNSIGNED) {
-                return no("a message that is not signed");
+                return reject("an unsigned message in a signed transfer");
             }
-            byte[] more =
-                    java.util.Arrays.copyOf(unsigned, unsigned.length + message.bytes().length);
-            System.arraycopy(message.bytes(), 0, more, unsigned.length, message.bytes().length);
-            unsigned = more;
+            byte[] extended =
+                    java.util.Arrays.copyOf(
+                            unsignedBytes, unsignedBytes.length + message.bytes().length);
+            System.arraycopy(
+                    message.bytes(), 0, extended, unsignedBytes.length, message.bytes().length);
+            unsignedBytes = extended;
             return true;
         }
         Tsig.Checked checked =
-                Tsig.check(message, Map.of(key.name(), key), now, mac, unsigned, !firstMessage);
+                Tsig.check(
+                        message, Map.of(key.name(), key), now, mac, unsignedBytes, !firstMessage);
         if (checked == null || !checked.good()) {
-            return no(
+            return reject(
                     "a bad signature: "
                             + (checked == null ? "malformed" : Rcode.name(checked.error())));
         }
         mac = checked.mac();
-        unsigned = new byte[0];
+        unsignedBytes = new byte[0];
         unsignedCount = 0;
         return true;
     }
 
-    private boolean record(Rr rr) {
+    private boolean acceptRecord(Rr rr) {
         if (rr.recordClass() != Rr.IN
                 || Rr.isMeta(rr.type())
-                || !Names.within(rr.name(), before.origin)
+                || !Names.within(rr.name(), currentZone.origin)
                 || (rr.data().length == 0 && Types.fields(rr.type()) != null)) {
-            return no("a record that belongs to no zone " + before.origin + ": " + rr.name());
+            return reject(
+                    "a record that is not valid in zone " + currentZone.origin + ": " + rr.name());
         }
-        boolean isSoa = rr.type() == Rr.SOA && rr.name().equals(before.origin);
+        boolean isSoa = rr.type() == Rr.SOA && rr.name().equals(currentZone.origin);
         if (rr.type() == Rr.SOA && !isSoa) {
-            return no("a SOA record at " + rr.name());
+            return reject("a SOA record below the origin, at " + rr.name());
         }
-        switch (expect) {
+        switch (expected) {
             case FIRST -> {
-                return first(rr, isSoa);
+                return acceptFirst(rr, isSoa);
             }
             case SECOND -> {
-                return second(rr, isSoa);
+                return acceptSecond(rr, isSoa);
             }
             case WHOLE -> {
-                return whole(rr, isSoa);
+                return acceptZoneRecord(rr, isSoa);
             }
             case REMOVED -> {
-                return removed(rr, isSoa);
+                return acceptRemoved(rr, isSoa);
             }
             case ADDED -> {
-                return added(rr, isSoa);
+                return acceptAdded(rr, isSoa);
             }
             default -> {
-                return no("records after the last SOA");
+                return reject("records after the final SOA");
             }
         }
     }
 
-    private boolean first(Rr rr, boolean isSoa) {
-        soa = rr;
-        expect = Expect.SECOND;
-        return isSoa || no("it does not begin with a SOA record");
+    private boolean acceptFirst(Rr rr, boolean isSoa) {
+        targetSoa = rr;
+        expected = Expect.SECOND;
+        return isSoa || reject("the transfer does not begin with a SOA record");
     }
 
-    /** Whether the second record is a SOA tells changes from a whole zone (RFC 1995, section 4). */
-    private boolean second(Rr rr, boolean isSoa) {
-        boolean changes =
+    /**
+     * Processes the second record: if it is a SOA with another serial, the transfer is incremental,
+     * otherwise full (RFC 1995, section 4).
+     */
+    private boolean acceptSecond(Rr rr, boolean isSoa) {
+        boolean isIncremental =
                 isSoa
                         && incremental
-                        && !before.isEmpty()
-                        && Zone.serial(rr.data()) != Zone.serial(soa.data());
-        if (changes) {
-            zone = before;
+                        && !currentZone.isEmpty()
+                        && Zone.serial(rr.data()) != Zone.serial(targetSoa.data());
+        if (isIncremental) {
+            zone = currentZone;
             return beginDiff(rr);
         }
-        RrSet soaSet = new RrSet(soa.ttl(), List.of(soa.data()));
-        zone = Zone.empty(before.origin).with(soa.name(), Rr.SOA, soaSet);
-        expect = Expect.WHOLE;
-        return whole(rr, isSoa);
+        RrSet soaSet = new RrSet(targetSoa.ttl(), List.of(targetSoa.data()));
+        zone = Zone.empty(currentZone.origin).with(targetSoa.name(), Rr.SOA, soaSet);
+        expected = Expect.WHOLE;
+        return acceptZoneRecord(rr, isSoa);
     }
 
-    private boolean removed(Rr rr, boolean isSoa) {
+    private boolean acceptRemoved(Rr rr, boolean isSoa) {
         if (isSoa) {
             newSoa = rr;
-            expect = Expect.ADDED;
+            expected = Expect.ADDED;
             long from = Zone.serial(oldSoa.data());
             long to = Zone.serial(rr.data());
             return Zone.later(to, from)
-                    || no("a change from serial " + from + " to " + to + " goes back");
+                    || reject(
+                            "a change from serial "
+                                    + from
+                                    + " to "
+                                    + to
+                                    + " does not increase the serial");
         }
         RrSet set = zone.get(rr.name(), rr.type());
-        if (set == null || !set.holds(rr.data())) {
-            return no(
-                    "it takes away what is not there: " + rr.name() + " " + Types.name(rr.type()));
+        if (set == null || !set.contains(rr.data())) {
+            return reject(
+                    "the transfer removes a record that does not exist: "
+                            + rr.name()
+                            + " "
+                            + Types.name(rr.type()));
         }
         zone = zone.minus(rr.name(), rr.type(), rr.data());
         removed.add(new Rr(rr.name(), rr.type(), Rr.IN, set.ttl(), rr.data()));
         return true;
     }
 
-    private boolean added(Rr rr, boolean isSoa) {
+    private boolean acceptAdded(Rr rr, boolean isSoa) {
         if (!isSoa) {
             zone = zone.plus(rr);
             added.add(rr);
             return true;
         }
         endDiff();
-        if (Zone.serial(newSoa.data()) == Zone.serial(soa.data())) {
-            expect = Expect.NOTHING;
-            return Zone.serial(rr.data()) == Zone.serial(soa.data())
-                    || no("it ends with another serial");
+        if (Zone.serial(newSoa.data()) == Zone.serial(targetSoa.data())) {
+            expected = Expect.NOTHING;
+            return Zone.serial(rr.data()) == Zone.serial(targetSoa.data())
+                    || reject("the final SOA has a different serial than the first");
         }
         return beginDiff(rr);
     }
 
-    private boolean whole(Rr rr, boolean isSoa) {
+    private boolean acceptZoneRecord(Rr rr, boolean isSoa) {
         if (isSoa) {
-            expect = Expect.NOTHING;
-            return Zone.serial(rr.data()) == Zone.serial(soa.data())
-                    || no("it ends with another serial");
+            expected = Expect.NOTHING;
+            return Zone.serial(rr.data()) == Zone.serial(targetSoa.data())
+                    || reject("the final SOA has a different serial than the first");
         }
         zone = zone.plus(rr);
-        return zone.get(rr.name(), rr.type()).size() <= RrSet.MAX_BYTES
-                || no("too much data at " + rr.name() + " " + Types.name(rr.type()));
+        return zone.get(rr.name(), rr.type()).messageBytes() <= RrSet.MAX_BYTES
+                || reject(
+                        "the record set is too large for a message: "
+                                + rr.name()
+                                + " "
+                                + Types.name(rr.type()));
     }
 
-    /** Each change must go on from the serial that the one before reached (RFC 1995, section 4). */
-    private boolean beginDiff(Rr from) {
-        if (Zone.serial(from.data()) != zone.serial()) {
-            return no(
+    /**
+     * Starts the next change, which must begin at the serial that the previous one reached (RFC
+     * 1995, section 4).
+     */
+    private boolean beginDiff(Rr startSoa) {
+        if (Zone.serial(startSoa.data()) != zone.serial()) {
+            return reject(
                     "a change from serial "
-                            + Zone.serial(from.data())
+                            + Zone.serial(startSoa.data())
                             + " where "
                             + zone.serial()
                             + " was reached");
         }
-        oldSoa = from;
+        oldSoa = startSoa;
         removed = new ArrayList<>();
         added = new ArrayList<>();
-        expect = Expect.REMOVED;
+        expected = Expect.REMOVED;
         return true;
     }
 
@@ -271,28 +303,28 @@
         diffs.add(new Diff(oldSoa, newSoa, List.copyOf(removed), List.copyOf(added)));
     }
 
-    private boolean no(String reason) {
-        why = reason;
+    private boolean reject(String reason) {
+        failureReason = reason;
         return false;
     }
 
-    private State failed(String reason) {
-        why = reason;
+    private State fail(String reason) {
+        failureReason = reason;
         return State.FAILED;
     }
 
-    /** The zone, once the transfer ended well. */
+    /** Returns the new zone once the transfer is complete. */
     public Zone zone() {
         return zone;
     }
 
-    /** The changes that led to it; empty where it came whole. */
+    /** Returns the changes that led to the new zone, empty after a full transfer. */
     public List<Diff> diffs() {
         return diffs;
     }
 
-    /** Why it failed. */
+    /** Returns why the transfer failed, or null. */
     public String why() {
-        return why;
+        return failureReason;
     }
 }
--- a/src/main/java/reeldeal/dns/Tsig.java
+++ b/src/main/java/reeldeal/dns/Tsig.java
@@ -10,11 +10,11 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Signatures of messages by a shared key (RFC 8945). Time is given by the caller, in seconds of
- * Unix time.
+ * Signs messages and checks their signatures with a shared key (RFC 8945). The caller supplies the
+ * Unix time in seconds.
  */
 public final class Tsig {
-    /** Seconds by which the clocks may differ (RFC 8945, section 10, recommends 300). */
+    /** The allowed clock difference in seconds (RFC 8945, section 10, recommends 300). */
     public static final int FUDGE_S = 300;
 
     private static final int MIN_MAC = 10;
@@ -25,7 +25,7 @@
      * A shared key: its name and its algorithm, both absolute and in lower case, and its secret.
      */
     public record Key(String name, String algorithm, byte[] secret) {
-        /** Throws IllegalArgumentException where the algorithm is not supported. */
+        /** Creates a key; throws IllegalArgumentException if the algorithm is not supported. */
         public Key {
             if (!ALGORITHMS.containsKey(algorithm)) {
                 throw new IllegalArgumentException(
@@ -39,12 +39,12 @@
                 mac.init(new SecretKeySpec(secret, mac.getAlgorithm()));
                 return mac;
             } catch (GeneralSecurityException e) {
-                throw new IllegalStateException(e); // every Java has both
+                throw new IllegalStateException(e); // every JDK supports both algorithms
             }
         }
 
-        /** Bytes that a signature by this key adds to a message. */
-        int room() {
+        /** Returns the number of bytes that a signature with this key adds to a message. */
+        int signatureBytes() {
             return Names.wire(name).length
                     + 10
                     + Names.wire(algorithm).length
@@ -54,9 +54,12 @@
         }
     }
 
-    /** What a check came to: 0 or a TSIG error; the key is null where it is not known. */
+    /**
+     * The result of a check: {@code error} is 0 or a TSIG error code; the key is null if it is
+     * unknown.
+     */
     public record Checked(int error, Key key, byte[] mac, long time) {
-        /** Whether a known key has signed the message, and the signature fits. */
+        /** Returns whether the message has a valid signature by a known key. */
         public boolean good() {
             return error == 0 && key != null;
         }
@@ -69,138 +72,154 @@
             byte[] mac,
             int originalId,
             int error,
-            byte[] other) {}
+            byte[] otherData) {}
 
     private Tsig() {}
 
     private static Fields fields(byte[] data) {
         try {
-            int at = 0;
-            while (data[at] > 0) {
-                at += 1 + data[at];
+            int offset = 0;
+            while (data[offset] > 0) {
+                offset += 1 + data[offset];
             }
             String algorithm = Names.text(data, 0);
-            ByteBuffer in = ByteBuffer.wrap(data, at + 1, data.length - at - 1);
-            long time = (long) (in.getShort() & 0xffff) << 32 | (in.getInt() & 0xffffffffL);
-            int fudge = in.getShort() & 0xffff;
-            byte[] mac = new byte[in.getShort() & 0xffff];
-            in.get(mac);
-            int id = in.getShort() & 0xffff;
-            int error = in.getShort() & 0xffff;
-            byte[] other = new byte[in.getShort() & 0xffff];
-            in.get(other);
-            return in.hasRemaining()
+            ByteBuffer buffer = ByteBuffer.wrap(data, offset + 1, data.length - offset - 1);
+            long time = (long) (buffer.getShort() & 0xffff) << 32 | (buffer.getInt() & 0xffffffffL);
+            int fudge = buffer.getShort() & 0xffff;
+            byte[] mac = new byte[buffer.getShort() & 0xffff];
+            buffer.get(mac);
+            int id = buffer.getShort() & 0xffff;
+            int error = buffer.getShort() & 0xffff;
+            byte[] otherData = new byte[buffer.getShort() & 0xffff];
+            buffer.get(otherData);
+            return buffer.hasRemaining()
                     ? null
-                    : new Fields(algorithm, time, fudge, mac, id, error, other);
+                    : new Fields(algorithm, time, fudge, mac, id, error, otherData);
         } catch (RuntimeException e) {
-            return null; // too short
+            return null; // the data is truncated
         }
     }
 
     /**
-     * Checks a signed message. {@code prior} is the request's MAC where this is its answer, or
-     * null; {@code between} holds what came unsigned since, and {@code later} says whether this is
-     * a further message of a stream (section 5.3.1). Returns null where the record itself is
-     * malformed: that is FORMERR.
+     * Checks a signed message. {@code priorMac} is the MAC of the request or of the previous signed
+     * message if this is a response, or null; {@code unsignedBytes} holds the unsigned messages
+     * received since then; {@code continuation} says whether this is a further message of a stream
+     * (section 5.3.1). Returns null if the TSIG record itself is malformed, which calls for
+     * FORMERR.
      */
     public static Checked check(
             Message message,
             Map<String, Key> keys,
             long now,
-            byte[] prior,
-            byte[] between,
-            boolean later) {
+            byte[] priorMac,
+            byte[] unsignedBytes,
+            boolean continuation) {
         Rr record = message.tsig();
-        Fields f = fields(record.data());
-        if (f == null) {
+        Fields fields = fields(record.data());
+        if (fields == null) {
             return null;
         }
         Key key = keys.get(record.name());
-        if (key == null || !key.algorithm().equals(f.algorithm())) {
-            return new Checked(Rcode.BADKEY, null, f.mac(), f.time());
+        if (key == null || !key.algorithm().equals(fields.algorithm())) {
+            return new Checked(Rcode.BADKEY, null, fields.mac(), fields.time());
         }
         Mac mac = key.mac();
-        int full = mac.getMacLength();
-        // RFC 8945, section 5.2.2.1: shorter than this, or longer than the hash, is malformed.
-        if (f.mac().length > full || f.mac().length < Math.max(MIN_MAC, full / 2)) {
+        int macLength = mac.getMacLength();
+        // RFC 8945, section 5.2.2.1: a MAC shorter than this or longer than the hash is malformed.
+        if (fields.mac().length > macLength
+                || fields.mac().length < Math.max(MIN_MAC, macLength / 2)) {
             return null;
         }
-        digestPrior(mac, prior);
-        mac.update(between);
-        byte[] bytes = Arrays.copyOf(message.bytes(), message.tsigAt());
-        bytes[0] = (byte) (f.originalId() >> 8);
-        bytes[1] = (byte) f.originalId();
+        digestPrior(mac, priorMac);
+        mac.update(unsignedBytes);
+        byte[] bytes = Arrays.copyOf(message.bytes(), message.tsigOffset());
+        bytes[0] = (byte) (fields.originalId() >> 8);
+        bytes[1] = (byte) fields.originalId();
         int additional = ((bytes[10] & 0xff) << 8 | (bytes[11] & 0xff)) - 1;
         bytes[10] = (byte) (additional >> 8);
         bytes[11] = (byte) additional;
         mac.update(bytes);
         mac.update(
-                later
-                        ? timers(f.time(), f.fudge())
-                        : variables(key, f.time(), f.fudge(), f.error(), f.other()));
+                continuation
+                        ? timers(fields.time(), fields.fudge())
+                        : variables(
+                                key,
+                                fields.time(),
+                                fields.fudge(),
+                                fields.error(),
+                                fields.otherData()));
         byte[] expected = mac.doFinal();
-        if (!MessageDigest.isEqual(Arrays.copyOf(expected, f.mac().length), f.mac())) {
-            return new Checked(Rcode.BADSIG, key, f.mac(), f.time());
+        if (!MessageDigest.isEqual(Arrays.copyOf(expected, fields.mac().length), fields.mac())) {
+            return new Checked(Rcode.BADSIG, key, fields.mac(), fields.time());
         }
-        // Section 5.2.3: the time counts only once the MAC is good.
-        if (Math.abs(now - f.time()) > f.fudge()) {
-            return new Checked(Rcode.BADTIME, key, f.mac(), f.time());
+        // Section 5.2.3: the time is checked only after the MAC.
+        if (Math.abs(now - fields.time()) > fields.fudge()) {
+            return new Checked(Rcode.BADTIME, key, fields.mac(), fields.time());
         }
-        // Section 5.2.4: a MAC cut short is against this server's policy.
-        if (f.mac().length < full) {
-            return new Checked(Rcode.BADTRUNC, key, f.mac(), f.time());
+        // Section 5.2.4: by the policy of this server, truncated MACs are rejected.
+        if (fields.mac().length < macLength) {
+            return new Checked(Rcode.BADTRUNC, key, fields.mac(), fields.time());
         }
-        return new Checked(f.error(), key, f.mac(), f.time());
+        return new Checked(fields.error(), key, fields.mac(), fields.time());
     }
 
-    /** Whether a message bears a signature. */
+    /** Returns whether a message has a TSIG record. */
     public static boolean isSigned(Message message) {
         return message.tsig() != null;
     }
 
-    /** A message with its signature, and the MAC that the next of its stream builds on. */
+    /**
+     * A signed message and its MAC, which the signature of the next message of the stream covers.
+     */
     public record Signed(byte[] bytes, byte[] mac) {}
 
-    /** Signs a message; {@code prior} and {@code later} as in {@link #check}. */
-    public static Signed sign(byte[] message, Key key, long now, byte[] prior, boolean later) {
-        return sign(message, key, now, prior, later, 0, new byte[0]);
+    /** Signs a message; {@code priorMac} and {@code continuation} are as in {@link #check}. */
+    public static Signed sign(
+            byte[] message, Key key, long now, byte[] priorMac, boolean continuation) {
+        return sign(message, key, now, priorMac, continuation, 0, new byte[0]);
     }
 
     private static Signed sign(
             byte[] message,
             Key key,
             long time,
-            byte[] prior,
-            boolean later,
+            byte[] priorMac,
+            boolean continuation,
             int error,
-            byte[] other) {
+            byte[] otherData) {
         Mac mac = key.mac();
-        digestPrior(mac, prior);
+        digestPrior(mac, priorMac);
         mac.update(message);
-        mac.update(later ? timers(time, FUDGE_S) : variables(key, time, FUDGE_S, error, other));
-        byte[] sum = mac.doFinal();
+        mac.update(
+                continuation
+                        ? timers(time, FUDGE_S)
+                        : variables(key, time, FUDGE_S, error, otherData));
+        byte[] computedMac = mac.doFinal();
         return new Signed(
-                append(message, key.name(), key.algorithm(), time, sum, error, other), sum);
+                appendRecord(
+                        message, key.name(), key.algorithm(), time, computedMac, error, otherData),
+                computedMac);
     }
 
     /**
-     * An answer to a request whose check failed (section 5.3.2): unsigned for an unknown key or a
-     * bad MAC.
+     * Completes the error response to a request whose check failed (section 5.3.2). Its TSIG record
+     * has an empty MAC if the key is unknown or the MAC of the request is bad.
      */
     static byte[] refuse(byte[] answer, Message request, Checked failed, long now) {
         if (failed.error() == Rcode.BADKEY || failed.error() == Rcode.BADSIG) {
-            Fields f = fields(request.tsig().data());
-            return append(
+            Fields fields = fields(request.tsig().data());
+            return appendRecord(
                     answer,
                     request.tsig().name(),
-                    f.algorithm(),
-                    f.time(),
+                    fields.algorithm(),
+                    fields.time(),
                     new byte[0],
                     failed.error(),
                     new byte[0]);
         }
-        // BADTIME tells the server's time; the request's own time is signed again (section 5.2.3).
-        byte[] other =
+        // A BADTIME response carries the server's time and is signed with the time of the request
+        // (section 5.2.3).
+        byte[] otherData =
                 failed.error() != Rcode.BADTIME
                         ? new byte[0]
                         : ByteBuffer.allocate(6)
@@ -214,15 +233,15 @@
                         failed.mac(),
                         false,
                         failed.error(),
-                        other)
+                        otherData)
                 .bytes();
     }
 
-    private static void digestPrior(Mac mac, byte[] prior) {
-        if (prior != null) {
-            mac.update((byte) (prior.length >> 8));
-            mac.update((byte) prior.length);
-            mac.update(prior);
+    private static void digestPrior(Mac mac, byte[] priorMac) {
+        if (priorMac != null) {
+            mac.update((byte) (priorMac.length >> 8));
+            mac.update((byte) priorMac.length);
+            mac.update(priorMac);
         }
     }
 
@@ -234,7 +253,7 @@
                 .array();
     }
 
-    private static byte[] variables(Key key, long time, int fudge, int error, byte[] other) {
+    private static byte[] variables(Key key, long time, int fudge, int error, byte[] otherData) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(Names.wire(key.name()));
         out.writeBytes(new byte[] {0, (byte) Rr.ANY, 0, 0, 0, 0});
@@ -243,25 +262,25 @@
         out.writeBytes(
                 ByteBuffer.allocate(4)
                         .putShort((short) error)
-                        .putShort((short) other.length)
+                        .putShort((short) otherData.length)
                         .array());
-        out.writeBytes(other);
+        out.writeBytes(otherData);
         return out.toByteArray();
     }
 
-    private static byte[] append(
+    private static byte[] appendRecord(
             byte[] message,
             String keyName,
             String algorithm,
             long time,
             byte[] mac,
             int error,
-            byte[] other) {
+            byte[] otherData) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(message.length + 160);
         out.writeBytes(message);
         out.writeBytes(Names.wire(keyName));
-        byte[] alg = Names.wire(algorithm);
-        int length = alg.length + 16 + mac.length + other.length;
+        byte[] algorithmWire = Names.wire(algorithm);
+        int length = algorithmWire.length + 16 + mac.length + otherData.length;
         out.writeBytes(
                 ByteBuffer.allocate(10)
                         .putShort((short) Rr.TSIG)
@@ -269,7 +288,7 @@
                         .putInt(0)
                         .putShort((short) length)
                         .array());
-        out.writeBytes(alg);
+        out.writeBytes(algorithmWire);
         out.writeBytes(timers(time, FUDGE_S));
         out.writeBytes(ByteBuffer.allocate(2).putShort((short) mac.length).array());
         out.writeBytes(mac);
@@ -277,9 +296,9 @@
         out.writeBytes(
                 ByteBuffer.allocate(4)
                         .putShort((short) error)
-                        .putShort((short) other.length)
+                        .putShort((short) otherData.length)
                         .array());
-        out.writeBytes(other);
+        out.writeBytes(otherData);
         byte[] signed = out.toByteArray();
         int additional = ((signed[10] & 0xff) << 8 | (signed[11] & 0xff)) + 1;
         signed[10] = (byte) (additional >> 8);
--- a/src/main/java/reeldeal/dns/Types.java
+++ b/src/main/java/reeldeal/dns/Types.java
@@ -5,37 +5,37 @@
 import java.util.Map;
 
 /**
- * Record types: their numbers, their names, and of what fields their data consist. A type that is
- * not here is opaque (RFC 3597).
+ * The known record types with their numbers, names and data fields. The data of any other type is
+ * opaque (RFC 3597).
  */
 public final class Types {
-    /** What a record's data consist of, field by field. */
+    /** The kinds of fields that record data consists of. */
     enum Field {
         /**
-         * A name that may be compressed on the wire (RFC 3597, section 4: only in types of RFC
+         * A name that may be compressed in wire form (RFC 3597, section 4: only in types of RFC
          * 1035).
          */
         NAME,
-        /** A name that is never compressed when it is written. */
+        /** A name that is always written uncompressed. */
         PLAIN_NAME,
         U8,
         U16,
         U32,
-        /** Seconds, in 32 bits. */
+        /** A 32-bit number of seconds. */
         TIME,
         IPV4,
         IPV6,
         /** One string of up to 255 bytes. */
         STRING,
-        /** One or more strings, to the end. */
+        /** One or more strings, up to the end of the data. */
         STRINGS,
-        /** Hexadecimal digits, to the end. */
+        /** Bytes up to the end of the data, in hexadecimal as text. */
         HEX,
-        /** Base64, to the end. */
+        /** Bytes up to the end of the data, in Base64 as text. */
         BASE64,
-        /** CAA's value: text to the end, without a length. */
+        /** The value of a CAA record: text up to the end of the data, without a length byte. */
         TEXT,
-        /** WKS's protocol and its bit map of ports. */
+        /** The protocol and the port bitmap of a WKS record. */
         SERVICES
     }
 
@@ -104,7 +104,10 @@
         FIELDS.put(number, fields);
     }
 
-    /** The number of a type by its name, {@code TYPE123} included, or -1. */
+    /**
+     * Returns the number of a type by its name or in the form {@code TYPE123}, or -1 if the name is
+     * unknown.
+     */
     public static int number(String name) {
         String upper = name.toUpperCase(Locale.ROOT);
         Integer number = NUMBERS.get(upper);
@@ -117,12 +120,12 @@
         return -1;
     }
 
-    /** The name of a type, {@code TYPE123} where it has none (RFC 3597, section 5). */
+    /** Returns the name of a type, or {@code TYPE123} if it has none (RFC 3597, section 5). */
     public static String name(int number) {
         return NAMES.getOrDefault(number, "TYPE" + number);
     }
 
-    /** The fields of a type's data, or null where they are opaque. */
+    /** Returns the data fields of a type, or null if its data is opaque. */
     static Field[] fields(int type) {
         return FIELDS.get(type);
     }
--- a/src/main/java/reeldeal/dns/Update.java
+++ b/src/main/java/reeldeal/dns/Update.java
@@ -7,54 +7,58 @@
 import java.util.Map;
 import reeldeal.dns.Journal.Diff;
 
-/** A dynamic update (RFC 2136, section 3): what it comes to for a zone, without doing it. */
+/** Computes the result of a dynamic update on a zone value (RFC 2136, section 3). */
 public final class Update {
 
     /**
-     * A code, the zone as it is to be, and what changed; the zone is the old one where nothing
-     * does.
+     * The response code, the resulting zone and the change. If nothing changes, the zone is the old
+     * one and the change is null.
      */
     public record Outcome(int rcode, Zone zone, Diff diff) {}
 
     private Update() {}
 
-    /** Judges an update alone against a zone; its cost grows with the update, not with the zone. */
+    /**
+     * Evaluates an update against a zone. The cost grows with the update size, and only with the
+     * logarithm of the zone size.
+     */
     public static Outcome apply(Message message, Zone zone) {
-        int rcode = prerequisites(message.sections.get(0), zone);
+        int rcode = checkPrerequisites(message.sections.get(0), zone);
         if (rcode == Rcode.NOERROR) {
             rcode = prescan(message.sections.get(1), zone);
         }
         if (rcode != Rcode.NOERROR) {
             return new Outcome(rcode, zone, null);
         }
-        Zone fresh = zone;
-        Map<String, String[]> touched = new LinkedHashMap<>();
+        Zone updated = zone;
+        Map<String, String[]> touchedSets = new LinkedHashMap<>();
         for (Rr record : message.sections.get(1)) {
-            fresh = update(record, fresh, touched);
+            updated = applyRecord(record, updated, touchedSets);
         }
-        Diff diff = Diff.between(zone, fresh, touched.values());
+        Diff diff = Diff.between(zone, updated, touchedSets.values());
         if (diff.removed().isEmpty()
                 && diff.added().isEmpty()
-                && fresh.soa().sameData(zone.soa().data())) {
+                && updated.soa().sameData(zone.soa().data())) {
             return new Outcome(Rcode.NOERROR, zone, null);
         }
-        for (String[] place : touched.values()) {
-            RrSet set = fresh.get(place[0], Integer.parseInt(place[1]));
-            if (set != null && set.size() > RrSet.MAX_BYTES) {
-                return new Outcome(Rcode.REFUSED, zone, null); // no message could carry the set
+        for (String[] nameAndType : touchedSets.values()) {
+            RrSet set = updated.get(nameAndType[0], Integer.parseInt(nameAndType[1]));
+            if (set != null && set.messageBytes() > RrSet.MAX_BYTES) {
+                // A message might not have room for the set.
+                return new Outcome(Rcode.REFUSED, zone, null);
             }
         }
-        if (fresh.serial() == zone.serial()) {
-            fresh = fresh.countUp(); // RFC 2136, section 3.6
+        if (updated.serial() == zone.serial()) {
+            updated = updated.incrementSerial(); // RFC 2136, section 3.6
         }
         return new Outcome(
                 Rcode.NOERROR,
-                fresh,
-                new Diff(zone.soa(), fresh.soa(), diff.removed(), diff.added()));
+                updated,
+                new Diff(zone.soa(), updated.soa(), diff.removed(), diff.added()));
     }
 
-    private static int prerequisites(List<Rr> records, Zone zone) {
-        Map<String, List<Rr>> values = new HashMap<>();
+    private static int checkPrerequisites(List<Rr> records, Zone zone) {
+        Map<String, List<Rr>> requiredSets = new HashMap<>();
         for (Rr rr : records) {
             if (rr.ttl() != 0) {
                 return Rcode.FORMERR;
@@ -68,25 +72,27 @@
                 if (rr.data().length > 0) {
                     return Rcode.FORMERR;
                 }
-                boolean wanted = rr.recordClass() == Rr.ANY;
-                if (rr.type() == Rr.ANY && inUse != wanted) {
-                    return wanted ? Rcode.NXDOMAIN : Rcode.YXDOMAIN;
+                boolean mustExist = rr.recordClass() == Rr.ANY;
+                if (rr.type() == Rr.ANY && inUse != mustExist) {
+                    return mustExist ? Rcode.NXDOMAIN : Rcode.YXDOMAIN;
                 }
-                if (rr.type() != Rr.ANY && exists != wanted) {
-                    return wanted ? Rcode.NXRRSET : Rcode.YXRRSET;
+                if (rr.type() != Rr.ANY && exists != mustExist) {
+                    return mustExist ? Rcode.NXRRSET : Rcode.YXRRSET;
                 }
             } else if (rr.recordClass() == Rr.IN && !Rr.isMeta(rr.type())) {
-                values.computeIfAbsent(rr.name() + "/" + rr.type(), k -> new ArrayList<>()).add(rr);
+                requiredSets
+                        .computeIfAbsent(rr.name() + "/" + rr.type(), k -> new ArrayList<>())
+                        .add(rr);
             } else {
                 return Rcode.FORMERR;
             }
         }
-        for (List<Rr> wanted : values.values()) {
-            RrSet set = zone.get(wanted.get(0).name(), wanted.get(0).type());
+        for (List<Rr> required : requiredSets.values()) {
+            RrSet set = zone.get(required.get(0).name(), required.get(0).type());
             if (set == null
-                    || !wanted.stream().allMatch(rr -> set.holds(rr.data()))
+                    || !required.stream().allMatch(rr -> set.contains(rr.data()))
                     || !set.data().stream()
-                            .allMatch(d -> wanted.stream().anyMatch(rr -> rr.sameData(d)))) {
+                            .allMatch(d -> required.stream().anyMatch(rr -> rr.sameData(d)))) {
                 return Rcode.NXRRSET;
             }
         }
@@ -98,7 +104,7 @@
             if (!Names.within(rr.name(), zone.origin)) {
                 return Rcode.NOTZONE;
             }
-            boolean fits =
+            boolean wellFormed =
                     switch (rr.recordClass()) {
                         case Rr.IN ->
                                 !Rr.isMeta(rr.type())
@@ -111,44 +117,44 @@
                         case Rr.NONE -> rr.ttl() == 0 && !Rr.isMeta(rr.type());
                         default -> false;
                     };
-            if (!fits) {
+            if (!wellFormed) {
                 return Rcode.FORMERR;
             }
         }
         return Rcode.NOERROR;
     }
 
-    private static Zone update(Rr rr, Zone zone, Map<String, String[]> touched) {
+    private static Zone applyRecord(Rr rr, Zone zone, Map<String, String[]> touchedSets) {
         boolean apex = rr.name().equals(zone.origin);
         if (rr.recordClass() == Rr.IN) {
-            touch(rr.name(), rr.type(), touched);
-            return add(rr, zone);
+            touch(rr.name(), rr.type(), touchedSets);
+            return addRecord(rr, zone);
         } else if (rr.recordClass() == Rr.ANY) {
-            Zone fresh = zone;
+            Zone updated = zone;
             for (int type : zone.types(rr.name())) {
-                // The zone itself stays: its SOA and name servers are not deleted whole.
+                // The SOA and NS sets at the apex cannot be deleted as a whole.
                 if ((rr.type() == Rr.ANY || rr.type() == type)
                         && !(apex && (type == Rr.SOA || type == Rr.NS))) {
-                    touch(rr.name(), type, touched);
-                    fresh = fresh.with(rr.name(), type, null);
+                    touch(rr.name(), type, touchedSets);
+                    updated = updated.with(rr.name(), type, null);
                 }
             }
-            return fresh;
+            return updated;
         }
         RrSet set = zone.get(rr.name(), rr.type());
-        boolean last = set != null && set.data().size() == 1;
-        if (rr.type() == Rr.SOA || (apex && rr.type() == Rr.NS && last)) {
+        boolean onlyRecord = set != null && set.data().size() == 1;
+        if (rr.type() == Rr.SOA || (apex && rr.type() == Rr.NS && onlyRecord)) {
             return zone;
         }
-        touch(rr.name(), rr.type(), touched);
+        touch(rr.name(), rr.type(), touchedSets);
         return zone.minus(rr.name(), rr.type(), rr.data());
     }
 
-    private static void touch(String name, int type, Map<String, String[]> touched) {
-        touched.putIfAbsent(name + "/" + type, new String[] {name, String.valueOf(type)});
+    private static void touch(String name, int type, Map<String, String[]> touchedSets) {
+        touchedSets.putIfAbsent(name + "/" + type, new String[] {name, String.valueOf(type)});
     }
 
-    private static Zone add(Rr rr, Zone zone) {
+    private static Zone addRecord(Rr rr, Zone zone) {
         boolean hasCname = zone.get(rr.name(), Rr.CNAME) != null;
         if (rr.type() == Rr.SOA) {
             boolean newer =
--- a/src/main/java/reeldeal/dns/Zone.java
+++ b/src/main/java/reeldeal/dns/Zone.java
@@ -9,12 +9,12 @@
 import org.pcollections.TreePMap;
 
 /**
- * A zone's record sets by name and type. A zone is a value: a change gives another one that shares
- * all but a path of the tree, so that its cost grows with the logarithm of the zone's size, and a
- * transfer reads on from the zone that it began with.
+ * The record sets of a zone by name and type. A zone is an immutable value: a change returns a new
+ * zone that shares all but one path of the tree. A change therefore costs time logarithmic in the
+ * zone size, and a running transfer keeps reading the version that it began with.
  */
 public final class Zone {
-    /** What stands at one name, by type in ascending order. */
+    /** The record sets at one name, by type in ascending order. */
     private record Node(int[] types, RrSet[] sets) {
         RrSet get(int type) {
             int i = Arrays.binarySearch(types, type);
@@ -28,62 +28,62 @@
                 changed[i] = set;
                 return new Node(types, changed);
             }
-            int to = -i - 1;
-            int[] moreTypes = new int[types.length + 1];
-            RrSet[] moreSets = new RrSet[types.length + 1];
-            System.arraycopy(types, 0, moreTypes, 0, to);
-            System.arraycopy(sets, 0, moreSets, 0, to);
-            moreTypes[to] = type;
-            moreSets[to] = set;
-            System.arraycopy(types, to, moreTypes, to + 1, types.length - to);
-            System.arraycopy(sets, to, moreSets, to + 1, types.length - to);
-            return new Node(moreTypes, moreSets);
+            int insertAt = -i - 1;
+            int[] newTypes = new int[types.length + 1];
+            RrSet[] newSets = new RrSet[types.length + 1];
+            System.arraycopy(types, 0, newTypes, 0, insertAt);
+            System.arraycopy(sets, 0, newSets, 0, insertAt);
+            newTypes[insertAt] = type;
+            newSets[insertAt] = set;
+            System.arraycopy(types, insertAt, newTypes, insertAt + 1, types.length - insertAt);
+            System.arraycopy(sets, insertAt, newSets, insertAt + 1, types.length - insertAt);
+            return new Node(newTypes, newSets);
         }
 
         Node without(int type) {
-            Node less = new Node(new int[0], new RrSet[0]);
+            Node remaining = new Node(new int[0], new RrSet[0]);
             for (int i = 0; i < types.length; i++) {
-                less = types[i] == type ? less : less.with(types[i], sets[i]);
+                remaining = types[i] == type ? remaining : remaining.with(types[i], sets[i]);
             }
-            return less;
+            return remaining;
         }
     }
 
-    /** One record set with its place. */
+    /** A record set with its owner name and type. */
     public record Placed(String name, int type, RrSet set) {}
 
     public final String origin;
     private final TreePMap<String, Node> names;
-    private final int records;
+    private final int recordCount;
 
-    private Zone(String origin, TreePMap<String, Node> names, int records) {
+    private Zone(String origin, TreePMap<String, Node> names, int recordCount) {
         this.origin = origin;
         this.names = names;
-        this.records = records;
+        this.recordCount = recordCount;
     }
 
-    /** A zone that holds nothing yet; the origin is absolute and in lower case. */
+    /** Returns an empty zone; the origin is absolute and in lower case. */
     public static Zone empty(String origin) {
         return new Zone(origin, TreePMap.empty(), 0);
     }
 
-    /** The set of a name and type, or null. */
+    /** Returns the record set of a name and type, or null. */
     public RrSet get(String name, int type) {
-        Node node = names.get(Names.key(name));
+        Node node = names.get(Names.sortKey(name));
         return node == null ? null : node.get(type);
     }
 
-    /** The types that stand at a name, in ascending order. */
+    /** Returns the types of the record sets at a name, in ascending order. */
     public int[] types(String name) {
-        Node node = names.get(Names.key(name));
+        Node node = names.get(Names.sortKey(name));
         return node == null ? new int[0] : node.types().clone();
     }
 
     /**
-     * Whether a name exists: it holds records, or a name below it does (RFC 4592, section 2.2.2).
+     * Returns whether a name exists: it or a name below it has records (RFC 4592, section 2.2.2).
      */
     public boolean exists(String name) {
-        String key = Names.key(name);
+        String key = Names.sortKey(name);
         Map.Entry<String, ?> next = names.ceilingEntry(key);
         return next != null && next.getKey().startsWith(key);
     }
@@ -92,33 +92,40 @@
         return names.isEmpty();
     }
 
-    /** How many records the zone holds. */
+    /** Returns the number of records in the zone. */
     public int size() {
-        return records;
+        return recordCount;
     }
 
-    /** The zone with this set in place of what was there; null or an empty one takes it away. */
+    /**
+     * Returns the zone with this record set in place of the previous one; null or an empty set
+     * removes it.
+     */
     public Zone with(String name, int type, RrSet set) {
-        String key = Names.key(name);
+        String key = Names.sortKey(name);
         Node node = names.get(key);
         RrSet before = node == null ? null : node.get(type);
-        int change =
+        int recordChange =
                 (set == null ? 0 : set.data().size()) - (before == null ? 0 : before.data().size());
         if (set != null && !set.data().isEmpty()) {
             Node base = node == null ? new Node(new int[0], new RrSet[0]) : node;
-            return new Zone(origin, names.plus(key, base.with(type, set)), records + change);
+            return new Zone(
+                    origin, names.plus(key, base.with(type, set)), recordCount + recordChange);
         }
         if (before == null) {
             return this;
         }
-        Node less = node.without(type);
+        Node remaining = node.without(type);
         return new Zone(
                 origin,
-                less.types().length == 0 ? names.minus(key) : names.plus(key, less),
-                records + change);
+                remaining.types().length == 0 ? names.minus(key) : names.plus(key, remaining),
+                recordCount + recordChange);
     }
 
-    /** The zone with a record more; one with the same data takes its time to live. */
+    /**
+     * Returns the zone with this record added. The whole record set takes its TTL, and equal data
+     * is not duplicated.
+     */
     public Zone plus(Rr rr) {
         RrSet old = get(rr.name(), rr.type());
         return with(
@@ -129,19 +136,19 @@
                         : old.with(rr.ttl(), rr.data()));
     }
 
-    /** The zone without a record. */
+    /** Returns the zone without this record. */
     public Zone minus(String name, int type, byte[] data) {
         RrSet old = get(name, type);
         return old == null ? this : with(name, type, old.without(data));
     }
 
-    /** The zone's SOA as a record, or null where it has none. */
+    /** Returns the zone's SOA record, or null if it has none. */
     public Rr soa() {
         RrSet soa = get(origin, Rr.SOA);
         return soa == null ? null : new Rr(origin, Rr.SOA, Rr.IN, soa.ttl(), soa.data().get(0));
     }
 
-    /** The serial number of the zone's SOA, 0 to 2^32 - 1, or -1 where it has none. */
+    /** Returns the serial number of the zone's SOA, 0 to 2^32 - 1, or -1 if it has none. */
     public long serial() {
         Rr soa = soa();
         return soa == null ? -1 : serial(soa.data());
@@ -152,25 +159,25 @@
     }
 
     /**
-     * A number of a SOA's data: 0 serial, 1 refresh, 2 retry, 3 expire, 4 minimum; all but the
-     * first in s.
+     * Returns a numeric field of SOA data by its index: 0 serial, 1 refresh, 2 retry, 3 expire, 4
+     * minimum; all but the serial are in seconds.
      */
-    public static long soaNumber(byte[] soa, int which) {
-        return ByteBuffer.wrap(soa).getInt(soa.length - 20 + 4 * which) & 0xffffffffL;
+    public static long soaNumber(byte[] soa, int index) {
+        return ByteBuffer.wrap(soa).getInt(soa.length - 20 + 4 * index) & 0xffffffffL;
     }
 
-    /** Whether a serial number is later than another (RFC 1982, section 3.2). */
-    public static boolean later(long one, long other) {
-        return one != other && (one - other & 0xffffffffL) < 0x80000000L;
+    /** Returns whether a serial number is later than another (RFC 1982, section 3.2). */
+    public static boolean later(long serial, long otherSerial) {
+        return serial != otherSerial && (serial - otherSerial & 0xffffffffL) < 0x80000000L;
     }
 
-    /** The zone with its serial number counted up; 0 is passed over (RFC 2136, section 3.6). */
-    Zone countUp() {
+    /** Returns the zone with its serial number incremented, skipping 0 (RFC 2136, section 3.6). */
+    Zone incrementSerial() {
         long next = serial() + 1 & 0xffffffffL;
         return withSerial(next == 0 ? 1 : next);
     }
 
-    /** The zone under this serial number. */
+    /** Returns the zone with this serial number. */
     public Zone withSerial(long serial) {
         RrSet soa = get(origin, Rr.SOA);
         byte[] data = soa.data().get(0).clone();
@@ -179,7 +186,8 @@
     }
 
     /**
-     * All sets, the origin's first, each name before those below it. Reading takes nothing at once.
+     * Iterates over all record sets, those of the origin first and those of each name before the
+     * names below it. The sets are not copied up front.
      */
     public Iterator<Placed> sets() {
         Iterator<Map.Entry<String, Node>> nodes = names.entrySet().iterator();
@@ -220,10 +228,11 @@
     }
 
     /**
-     * All sets at names whose first labels below the origin are these, as {@code _searcher._tcp}.
+     * Returns all record sets at or below a name, such as {@code _searcher._tcp} followed by the
+     * origin.
      */
     public List<Placed> under(String name) {
-        String key = Names.key(name);
+        String key = Names.sortKey(name);
         List<Placed> found = new ArrayList<>();
         for (Map.Entry<String, Node> entry = names.ceilingEntry(key);
                 entry != null && entry.getKey().startsWith(key);
--- a/src/main/java/reeldeal/dns/ZoneFile.java
+++ b/src/main/java/reeldeal/dns/ZoneFile.java
@@ -7,24 +7,25 @@
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import reeldeal.dns.Rdata.Token;
 import reeldeal.dns.Rdata.Unreadable;
-import reeldeal.dns.Rdata.Word;
 
 /**
- * Reads zone files: RFC 1035, section 5, with {@code $INCLUDE}; {@code $TTL} by RFC 2308, section
- * 4; opaque types by RFC 3597; {@code $GENERATE} as it is commonly understood. What other files an
- * include may reach is the caller's to decide.
+ * Reads and writes zone files (RFC 1035, section 5) with {@code $INCLUDE}, {@code $TTL} (RFC 2308,
+ * section 4), opaque types (RFC 3597) and {@code $GENERATE} in its common form. The caller decides
+ * which files may be included.
  */
 public final class ZoneFile {
     private static final int MAX_INCLUDES = 8;
     private static final long MAX_GENERATED = 1_000_000;
     private static final Pattern RANGE =
             Pattern.compile("([0-9]{1,9})-([0-9]{1,9})(?:/([0-9]{1,9}))?");
-    private static final Pattern HOLE = Pattern.compile("\\\\\\$|\\$\\$|\\$(?:\\{([^}]*)\\})?");
+    private static final Pattern PLACEHOLDER =
+            Pattern.compile("\\\\\\$|\\$\\$|\\$(?:\\{([^}]*)\\})?");
 
     /**
-     * What is wrong with a zone file: the file, the line and the column, and what was expected
-     * there.
+     * Thrown for an invalid zone file. The message has the form {@code file:line:column: expected
+     * ...}.
      */
     public static final class Malformed extends Exception {
         private static final long serialVersionUID = 1L;
@@ -34,17 +35,17 @@
         }
     }
 
-    /** Finds the text of an included file; throws with a reason where it may not be read. */
+    /** Reads included files; throws with a reason if a file may not be read. */
     public interface Includes {
-        /** The text of a file named in a zone file. */
+        /** Returns the text of a file by the name given in {@code $INCLUDE}. */
         String read(String name) throws java.io.IOException;
     }
 
-    /** What all files of one zone share. */
+    /** The state shared by a zone file and its included files. */
     private static final class Shared {
         final String zoneOrigin;
         final Includes includes;
-        final Set<String> open = new HashSet<>();
+        final Set<String> openFiles = new HashSet<>();
         Zone zone;
         long defaultTtl = -1;
         long lastTtl = -1;
@@ -61,9 +62,9 @@
     private final Shared shared;
     private String origin;
     private String owner;
-    private int at;
+    private int position;
     private int line = 1;
-    private int lineBegan;
+    private int lineStart;
     private int entryLine = 1;
     private int entryColumn = 1;
 
@@ -75,354 +76,368 @@
     }
 
     /**
-     * Reads a zone; {@code file} is the name that errors give. The origin is absolute and in lower
-     * case.
+     * Parses a zone; {@code file} is the file name for error messages. The origin is absolute and
+     * in lower case.
      */
     public static Zone parse(String file, String text, String origin, Includes includes)
             throws Malformed {
         Shared shared = new Shared(origin, includes);
-        shared.open.add(file);
+        shared.openFiles.add(file);
         ZoneFile reader = new ZoneFile(file, text, origin, shared);
         reader.read();
         if (shared.zone.get(origin, Rr.SOA) == null) {
-            throw reader.bad(
+            throw reader.malformed(
                     null, "expected a SOA record at " + origin + ", found none in the file");
         }
         if (shared.zone.get(origin, Rr.NS) == null) {
-            throw reader.bad(
+            throw reader.malformed(
                     null, "expected an NS record at " + origin + ", found none in the file");
         }
         return shared.zone;
     }
 
-    /** The words of one entry. */
-    static List<Word> words(String entry) throws Malformed {
-        return new ZoneFile("record", entry, ".", null).words();
+    /** Returns the tokens of a single entry. */
+    static List<Token> tokens(String entry) throws Malformed {
+        return new ZoneFile("record", entry, ".", null).tokens();
     }
 
-    private Malformed bad(Word word, String expected) {
-        return word == null
+    private Malformed malformed(Token token, String expected) {
+        return token == null
                 ? new Malformed(file, entryLine, entryColumn, expected)
-                : new Malformed(file, word.line(), word.column(), expected);
+                : new Malformed(file, token.line(), token.column(), expected);
     }
 
-    private Malformed badHere(String expected) {
-        return new Malformed(file, line, at - lineBegan + 1, expected);
+    private Malformed malformedHere(String expected) {
+        return new Malformed(file, line, position - lineStart + 1, expected);
     }
 
     private void read() throws Malformed {
-        while (at < text.length()) {
-            boolean blankOwner = text.charAt(at) == ' ' || text.charAt(at) == '\t';
+        while (position < text.length()) {
+            boolean blankOwner = text.charAt(position) == ' ' || text.charAt(position) == '\t';
             entryLine = line;
-            entryColumn = at - lineBegan + 1;
-            List<Word> words = words();
-            if (!words.isEmpty()) {
-                entry(words, blankOwner);
+            entryColumn = position - lineStart + 1;
+            List<Token> tokens = tokens();
+            if (!tokens.isEmpty()) {
+                entry(tokens, blankOwner);
             }
         }
     }
 
-    /** The words up to the end of the line, or of the lines that parentheses join. */
-    private List<Word> words() throws Malformed {
-        List<Word> words = new ArrayList<>();
-        boolean open = false;
-        while (at < text.length()) {
-            char c = text.charAt(at);
+    /** Reads the tokens up to the end of the line, or of several lines joined by parentheses. */
+    private List<Token> tokens() throws Malformed {
+        List<Token> tokens = new ArrayList<>();
+        boolean inParentheses = false;
+        while (position < text.length()) {
+            char c = text.charAt(position);
             if (c == '\n') {
-                at++;
+                position++;
                 line++;
-                lineBegan = at;
-                if (!open) {
-                    return words;
+                lineStart = position;
+                if (!inParentheses) {
+                    return tokens;
                 }
             } else if (c == ' ' || c == '\t' || c == '\r') {
-                at++;
+                position++;
             } else if (c == ';') {
-                int end = text.indexOf('\n', at);
-                at = end < 0 ? text.length() : end;
+                int end = text.indexOf('\n', position);
+                position = end < 0 ? text.length() : end;
             } else if (c == '(' || c == ')') {
-                if (open == (c == '(')) {
-                    throw badHere(
-                            open
-                                    ? "expected a record's end before another parenthesis opens"
-                                    : "expected no closing parenthesis, since none is open");
+                if (inParentheses == (c == '(')) {
+                    throw malformedHere(
+                            inParentheses
+                                    ? "expected no nested opening parenthesis"
+                                    : "expected no closing parenthesis, as none is open");
                 }
-                open = c == '(';
-                at++;
+                inParentheses = c == '(';
+                position++;
             } else {
-                words.add(word(c == '"'));
+                tokens.add(token(c == '"'));
             }
         }
-        if (open) {
-            throw bad(null, "expected a closing parenthesis for this record");
+        if (inParentheses) {
+            throw malformed(null, "expected a closing parenthesis for this record");
         }
-        return words;
+        return tokens;
     }
 
-    private Word word(boolean quoted) throws Malformed {
-        int column = at - lineBegan + 1;
-        StringBuilder word = new StringBuilder();
-        at += quoted ? 1 : 0;
-        while (at < text.length()) {
-            char c = text.charAt(at);
+    private Token token(boolean quoted) throws Malformed {
+        int column = position - lineStart + 1;
+        StringBuilder token = new StringBuilder();
+        position += quoted ? 1 : 0;
+        while (position < text.length()) {
+            char c = text.charAt(position);
             if (quoted ? c == '"' : " \t\r\n;()\"".indexOf(c) >= 0) {
-                at += quoted ? 1 : 0;
-                return new Word(word.toString(), quoted, line, column);
+                position += quoted ? 1 : 0;
+                return new Token(token.toString(), quoted, line, column);
             }
             if (quoted && c == '\n') {
                 break;
             }
-            word.append(c);
-            at++;
-            if (c == '\\' && at < text.length() && text.charAt(at) != '\n') {
-                word.append(text.charAt(at++));
+            token.append(c);
+            position++;
+            if (c == '\\' && position < text.length() && text.charAt(position) != '\n') {
+                token.append(text.charAt(position++));
             }
         }
         if (quoted) {
             throw new Malformed(
                     file, line, column, "expected a closing quotation mark in this line");
         }
-        return new Word(word.toString(), false, line, column);
+        return new Token(token.toString(), false, line, column);
     }
 
-    private void entry(List<Word> words, boolean blankOwner) throws Malformed {
-        Word first = words.get(0);
+    private void entry(List<Token> tokens, boolean blankOwner) throws Malformed {
+        Token first = tokens.get(0);
         if (first.text().startsWith("$") && !first.quoted() && !blankOwner) {
-            directive(words);
+            directive(tokens);
             return;
         }
         if (!blankOwner) {
             owner = name(first);
         }
         if (owner == null) {
-            throw bad(first, "expected an owner's name, since no record stands before this one");
+            throw malformed(
+                    first, "expected an owner name, as there is no earlier record to take it from");
         }
-        record(owner, words, blankOwner ? 0 : 1);
+        record(owner, tokens, blankOwner ? 0 : 1);
     }
 
-    private void directive(List<Word> words) throws Malformed {
-        Word first = words.get(0);
+    private void directive(List<Token> tokens) throws Malformed {
+        Token first = tokens.get(0);
         switch (first.text().toUpperCase(Locale.ROOT)) {
-            case "$ORIGIN" -> origin = name(argument(words, 2, "a domain name"));
+            case "$ORIGIN" -> origin = name(argument(tokens, 2, "a domain name"));
             case "$TTL" -> {
                 try {
-                    shared.defaultTtl = Rdata.time(argument(words, 2, "a time"));
+                    shared.defaultTtl = Rdata.parseTime(argument(tokens, 2, "a time"));
                 } catch (Unreadable e) {
-                    throw bad(e.word, e.getMessage());
+                    throw malformed(e.token, e.getMessage());
                 }
             }
-            case "$INCLUDE" -> include(words);
-            case "$GENERATE" -> generate(words);
+            case "$INCLUDE" -> include(tokens);
+            case "$GENERATE" -> generate(tokens);
             default ->
-                    throw bad(
+                    throw malformed(
                             first,
                             "expected $ORIGIN, $TTL, $INCLUDE or $GENERATE, found " + first.text());
         }
     }
 
-    private Word argument(List<Word> words, int most, String what) throws Malformed {
-        if (words.size() < 2) {
-            throw bad(words.get(0), "expected " + what + " after " + words.get(0).text());
+    private Token argument(List<Token> tokens, int max, String expected) throws Malformed {
+        if (tokens.size() < 2) {
+            throw malformed(
+                    tokens.get(0), "expected " + expected + " after " + tokens.get(0).text());
         }
-        if (words.size() > most) {
-            throw bad(words.get(most), "expected the end of " + words.get(0).text());
+        if (tokens.size() > max) {
+            throw malformed(tokens.get(max), "expected the end of " + tokens.get(0).text());
         }
-        return words.get(1);
+        return tokens.get(1);
     }
 
     /**
-     * An included file has its own origin and owner; neither comes back from it (RFC 1035, section
-     * 5.1).
+     * Reads an included file. Changes to the origin and owner inside it do not affect the including
+     * file (RFC 1035, section 5.1).
      */
-    private void include(List<Word> words) throws Malformed {
-        Word named = argument(words, 3, "a file name");
-        if (shared.open.size() > MAX_INCLUDES || !shared.open.add(named.text())) {
-            throw bad(
-                    named,
-                    "expected no include that leads back to itself, or through over "
-                            + MAX_INCLUDES
-                            + " files");
-        }
-        String included;
+    private void include(List<Token> tokens) throws Malformed {
+        Token fileToken = argument(tokens, 3, "a file name");
+        if (shared.openFiles.size() > MAX_INCLUDES || !shared.openFiles.add(fileToken.text())) {
+            throw malformed(
+                    fileToken,
+                    "expected no include cycle and at most " + MAX_INCLUDES + " nested includes");
+        }
+        String includedText;
         try {
-            included = shared.includes.read(named.text());
+            includedText = shared.includes.read(fileToken.text());
         } catch (java.io.IOException e) {
-            throw bad(named, "expected a file that can be included: " + e.getMessage());
+            throw malformed(fileToken, "expected a file that can be included: " + e.getMessage());
         }
-        ZoneFile other =
+        ZoneFile includedFile =
                 new ZoneFile(
-                        named.text(),
-                        included,
-                        words.size() > 2 ? name(words.get(2)) : origin,
+                        fileToken.text(),
+                        includedText,
+                        tokens.size() > 2 ? name(tokens.get(2)) : origin,
                         shared);
-        other.owner = owner;
-        other.read();
-        shared.open.remove(named.text());
+        includedFile.owner = owner;
+        includedFile.read();
+        shared.openFiles.remove(fileToken.text());
     }
 
     /**
-     * {@code $GENERATE 1-9/2 host-$ [ttl] [class] A 10.0.0.$}; holes may say {@code
-     * ${offset,width,base}}.
+     * Adds the records of {@code $GENERATE 1-9/2 host-$ [ttl] [class] A 10.0.0.$}; a placeholder
+     * may have the form {@code ${offset,width,base}}.
      */
-    private void generate(List<Word> words) throws Malformed {
-        if (words.size() < 5) {
-            throw bad(words.get(0), "expected a range, an owner, a type and data after $GENERATE");
+    private void generate(List<Token> tokens) throws Malformed {
+        if (tokens.size() < 5) {
+            throw malformed(
+                    tokens.get(0), "expected a range, an owner, a type and data after $GENERATE");
         }
-        Matcher range = RANGE.matcher(words.get(1).text());
+        Matcher range = RANGE.matcher(tokens.get(1).text());
         if (!range.matches()) {
-            throw bad(
-                    words.get(1), "expected a range as 1-9 or 1-9/2, found " + words.get(1).text());
+            throw malformed(
+                    tokens.get(1),
+                    "expected a range such as 1-9 or 1-9/2, found " + tokens.get(1).text());
         }
         long from = Long.parseLong(range.group(1));
         long to = Long.parseLong(range.group(2));
         long step = range.group(3) == null ? 1 : Long.parseLong(range.group(3));
         if (to < from || step < 1 || (to - from) / step >= MAX_GENERATED) {
-            throw bad(
-                    words.get(1),
-                    "expected a range that goes up, of at most " + MAX_GENERATED + " steps");
+            throw malformed(
+                    tokens.get(1),
+                    "expected an ascending range of at most " + MAX_GENERATED + " steps");
         }
         for (long iteration = from; iteration <= to; iteration += step) {
-            List<Word> filled = new ArrayList<>();
-            for (Word word : words.subList(2, words.size())) {
+            List<Token> filled = new ArrayList<>();
+            for (Token token : tokens.subList(2, tokens.size())) {
                 filled.add(
-                        new Word(fill(word, iteration), word.quoted(), word.line(), word.column()));
+                        new Token(
+                                fill(token, iteration),
+                                token.quoted(),
+                                token.line(),
+                                token.column()));
             }
             record(name(filled.get(0)), filled, 1);
         }
     }
 
-    private String fill(Word word, long iteration) throws Malformed {
+    private String fill(Token token, long iteration) throws Malformed {
         StringBuilder filled = new StringBuilder();
-        Matcher hole = HOLE.matcher(word.text());
+        Matcher placeholder = PLACEHOLDER.matcher(token.text());
         int from = 0;
-        while (hole.find()) {
-            filled.append(word.text(), from, hole.start());
-            from = hole.end();
-            if (hole.group().equals("\\$") || hole.group().equals("$$")) {
+        while (placeholder.find()) {
+            filled.append(token.text(), from, placeholder.start());
+            from = placeholder.end();
+            if (placeholder.group().equals("\\$") || placeholder.group().equals("$$")) {
                 filled.append('$');
                 continue;
             }
-            String[] form = (hole.group(1) == null ? "0" : hole.group(1)).split(",", -1);
-            if (form.length > 3
-                    || !form[0].matches("[+-]?[0-9]{1,9}")
-                    || (form.length > 1 && !form[1].matches("[0-9]{1,3}"))
-                    || (form.length > 2 && !form[2].matches("[doxX]"))) {
-                throw bad(word, "expected ${offset,width,d|o|x|X}, found " + hole.group());
+            String[] format =
+                    (placeholder.group(1) == null ? "0" : placeholder.group(1)).split(",", -1);
+            if (format.length > 3
+                    || !format[0].matches("[+-]?[0-9]{1,9}")
+                    || (format.length > 1 && !format[1].matches("[0-9]{1,3}"))
+                    || (format.length > 2 && !format[2].matches("[doxX]"))) {
+                throw malformed(
+                        token, "expected ${offset,width,d|o|x|X}, found " + placeholder.group());
             }
-            long value = iteration + Long.parseLong(form[0].replace("+", ""));
+            long value = iteration + Long.parseLong(format[0].replace("+", ""));
             if (value < 0) {
-                throw bad(word, "expected an offset that leaves no number below 0");
+                throw malformed(token, "expected an offset that yields no negative number");
             }
             String digits =
-                    switch (form.length > 2 ? form[2] : "d") {
+                    switch (format.length > 2 ? format[2] : "d") {
                         case "o" -> Long.toOctalString(value);
                         case "x" -> Long.toHexString(value);
                         case "X" -> Long.toHexString(value).toUpperCase(Locale.ROOT);
                         default -> Long.toString(value);
                     };
-            int width = form.length > 1 ? Integer.parseInt(form[1]) : 0;
+            int width = format.length > 1 ? Integer.parseInt(format[1]) : 0;
             filled.append("0".repeat(Math.max(0, width - digits.length()))).append(digits);
         }
-        return filled.append(word.text().substring(from)).toString();
+        return filled.append(token.text().substring(from)).toString();
     }
 
-    /** A record: time to live and class in either order, type, data (RFC 1035, section 5.1). */
-    private void record(String name, List<Word> words, int from) throws Malformed {
+    /**
+     * Parses a record after its owner: TTL and class in either order, type, data (RFC 1035, section
+     * 5.1).
+     */
+    private void record(String name, List<Token> tokens, int from) throws Malformed {
         long ttl = -1;
-        boolean classed = false;
-        int iteration = from;
-        for (; iteration < words.size(); iteration++) {
-            String word = words.get(iteration).text().toUpperCase(Locale.ROOT);
-            if (word.equals("IN") && !classed) {
-                classed = true;
-            } else if (List.of("CH", "HS", "CS").contains(word) && !classed) {
-                throw bad(words.get(iteration), "expected class IN, found " + word);
-            } else if (ttl < 0 && word.matches("[0-9]+([WDHMS][0-9WDHMS]*)?")) {
+        boolean classSeen = false;
+        int index = from;
+        for (; index < tokens.size(); index++) {
+            String token = tokens.get(index).text().toUpperCase(Locale.ROOT);
+            if (token.equals("IN") && !classSeen) {
+                classSeen = true;
+            } else if (List.of("CH", "HS", "CS").contains(token) && !classSeen) {
+                throw malformed(tokens.get(index), "expected class IN, found " + token);
+            } else if (ttl < 0 && token.matches("[0-9]+([WDHMS][0-9WDHMS]*)?")) {
                 try {
-                    ttl = Rdata.time(words.get(iteration));
+                    ttl = Rdata.parseTime(tokens.get(index));
                 } catch (Unreadable e) {
-                    throw bad(e.word, e.getMessage());
+                    throw malformed(e.token, e.getMessage());
                 }
             } else {
                 break;
             }
         }
-        if (iteration == words.size()) {
-            throw bad(null, "expected a record type");
+        if (index == tokens.size()) {
+            throw malformed(null, "expected a record type");
         }
-        int type = Types.number(words.get(iteration).text());
+        int type = Types.number(tokens.get(index).text());
         if (type < 0 || Rr.isMeta(type)) {
-            throw bad(
-                    words.get(iteration),
-                    "expected a record type, found " + words.get(iteration).text());
+            throw malformed(
+                    tokens.get(index), "expected a record type, found " + tokens.get(index).text());
         }
         if (!Names.within(name, shared.zoneOrigin)) {
-            throw bad(
-                    words.get(0),
+            throw malformed(
+                    tokens.get(0),
                     "expected a name within " + shared.zoneOrigin + ", found " + name);
         }
         byte[] data;
         try {
-            data = Rdata.parse(type, words.subList(iteration + 1, words.size()), origin);
+            data = Rdata.parse(type, tokens.subList(index + 1, tokens.size()), origin);
         } catch (Unreadable e) {
-            throw bad(e.word, e.getMessage());
+            throw malformed(e.token, e.getMessage());
         }
-        add(name, type, ttl, data, words.get(iteration));
+        add(name, type, ttl, data, tokens.get(index));
     }
 
-    private void add(String name, int type, long given, byte[] data, Word typed) throws Malformed {
-        long ttl = given >= 0 ? given : shared.defaultTtl >= 0 ? shared.defaultTtl : shared.lastTtl;
+    private void add(String name, int type, long explicitTtl, byte[] data, Token typeToken)
+            throws Malformed {
+        long ttl =
+                explicitTtl >= 0
+                        ? explicitTtl
+                        : shared.defaultTtl >= 0 ? shared.defaultTtl : shared.lastTtl;
         if (ttl < 0 && type == Rr.SOA) {
-            ttl = Zone.soaNumber(data, 4); // RFC 2308, section 4: without $TTL
+            ttl = Zone.soaNumber(data, 4); // RFC 2308, section 4: the default if there is no $TTL
         }
         if (ttl < 0) {
-            throw bad(typed, "expected a time to live, or $TTL before this record");
+            throw malformed(typeToken, "expected a time to live, or $TTL before this record");
         }
         shared.lastTtl = ttl;
         boolean hasCname = shared.zone.get(name, Rr.CNAME) != null;
         if (type == Rr.CNAME ? shared.zone.types(name).length > 0 : hasCname) {
-            throw bad(typed, "expected no other data beside a CNAME at " + name);
+            throw malformed(typeToken, "expected no other data beside a CNAME at " + name);
         }
         if (type == Rr.SOA
                 && (!name.equals(shared.zoneOrigin) || shared.zone.get(name, Rr.SOA) != null)) {
-            throw bad(typed, "expected one SOA record, at " + shared.zoneOrigin);
+            throw malformed(typeToken, "expected one SOA record, at " + shared.zoneOrigin);
         }
         shared.zone = shared.zone.plus(new Rr(name, type, Rr.IN, ttl, data));
-        if (shared.zone.get(name, type).size() > RrSet.MAX_BYTES) {
-            throw bad(
-                    typed,
-                    "expected at most " + RrSet.MAX_BYTES + " bytes of data of one name and type");
+        if (shared.zone.get(name, type).messageBytes() > RrSet.MAX_BYTES) {
+            throw malformed(
+                    typeToken,
+                    "expected at most " + RrSet.MAX_BYTES + " bytes of data for one name and type");
         }
     }
 
-    private String name(Word word) throws Malformed {
-        String name = word.quoted() ? null : Names.parse(word.text(), origin);
+    private String name(Token token) throws Malformed {
+        String name = token.quoted() ? null : Names.parse(token.text(), origin);
         if (name == null) {
-            throw bad(word, "expected a domain name, found " + word.text());
+            throw malformed(token, "expected a domain name, found " + token.text());
         }
         return name;
     }
 
     // ---- writing ----
 
-    /** The zone as a file that gives the same zone when it is read. */
+    /** Writes a zone as a zone file that parses to the same zone. */
     public static void write(Zone zone, Appendable out) throws java.io.IOException {
         out.append("$ORIGIN ").append(zone.origin).append('\n');
         Rr soa = zone.soa();
         if (soa != null) {
-            line(zone.origin, Rr.SOA, soa.ttl(), soa.data(), out);
+            writeRecord(zone.origin, Rr.SOA, soa.ttl(), soa.data(), out);
         }
         for (var sets = zone.sets(); sets.hasNext(); ) {
             Zone.Placed placed = sets.next();
             if (placed.type() != Rr.SOA || !placed.name().equals(zone.origin)) {
                 for (byte[] data : placed.set().data()) {
-                    line(placed.name(), placed.type(), placed.set().ttl(), data, out);
+                    writeRecord(placed.name(), placed.type(), placed.set().ttl(), data, out);
                 }
             }
         }
     }
 
-    private static void line(String name, int type, long ttl, byte[] data, Appendable out)
+    private static void writeRecord(String name, int type, long ttl, byte[] data, Appendable out)
             throws java.io.IOException {
         out.append(name)
                 .append(' ')
--- a/src/test/java/reeldeal/dns/MessageFuzzTest.java
+++ b/src/test/java/reeldeal/dns/MessageFuzzTest.java
@@ -12,12 +12,15 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.Test;
 
-/** Bytes and text from anywhere: what reads them ends, and says what is wrong. */
+/**
+ * Feeds random bytes and text to the parsers: each must terminate with a result or a described
+ * error.
+ */
 public class MessageFuzzTest {
-    /** Seeds at which a reader once failed are kept here, and played with the others. */
-    private static final List<Long> KEPT = List.of();
+    /** Seeds on which a parser once failed; they run in addition to the others. */
+    private static final List<Long> REGRESSION_SEEDS = List.of();
 
-    private static final int SEEDS = 400;
+    private static final int SEED_COUNT = 400;
 
     private static byte[] sample() {
         MessageWriter writer =
@@ -30,7 +33,7 @@
                         Rr.MX,
                         Rr.IN,
                         60,
-                        Message.wholeData(
+                        Message.canonicalData(
                                 Rr.MX,
                                 concat(new byte[] {0, 1}, Names.wire("mail.example.test.")))));
         writer.add(2, new Rr("example.test.", Rr.TXT, Rr.IN, 60, new byte[] {1, 'x'}));
@@ -45,8 +48,8 @@
     }
 
     /**
-     * Reads, and where it is a message checks its signature and answers: nothing but Malformed
-     * comes out.
+     * Parses the bytes and, if they are a message, checks its signature and builds a response. Only
+     * Malformed may be thrown. Returns whether the bytes were a message.
      */
     private static boolean read(byte[] bytes) {
         try {
@@ -63,7 +66,7 @@
         }
     }
 
-    private static void play(long seed) {
+    private static void readMutated(long seed) {
         java.util.Random random = new java.util.Random(seed);
         byte[] bytes = seed % 3 == 0 ? new byte[random.nextInt(65_536)] : sample();
         int changes = seed % 3 == 0 ? bytes.length : 1 + random.nextInt(6);
@@ -74,16 +77,16 @@
     }
 
     @Test
-    public void noiseNeverGetsFurtherThanAMalformedMessage() {
-        KEPT.forEach(MessageFuzzTest::play);
-        for (long seed = 0; seed < SEEDS; seed++) {
-            play(seed);
+    public void randomBytesAreReadOrRejectedAsMalformed() {
+        REGRESSION_SEEDS.forEach(MessageFuzzTest::readMutated);
+        for (long seed = 0; seed < SEED_COUNT; seed++) {
+            readMutated(seed);
         }
         assertTrue(read(sample()));
     }
 
     @Test
-    public void pointersLeadOnlyBackAndCountsAreHeldAgainstTheBytes() {
+    public void rejectsForwardPointersAndCountsBeyondTheBytes() {
         byte[] loop = sample();
         loop[12] = (byte) 0xc0;
         loop[13] = 12;
@@ -92,7 +95,7 @@
         counts[6] = (byte) 0xff;
         counts[7] = (byte) 0xff;
         assertTrue(!read(counts));
-        // A chain of pointers, each to the one before it: allowed, and its end is reached.
+        // A chain of pointers, each to the one before it, followed by bytes beyond the message.
         byte[] chain = new byte[12 + 1 + 2 * 3_000 + 4];
         chain[5] = 1;
         for (int i = 0; i < 3_000; i++) {
@@ -100,43 +103,50 @@
             chain[13 + 2 * i] = (byte) (0xc0 | target >> 8);
             chain[14 + 2 * i] = (byte) target;
         }
-        assertTrue("a root name with bytes behind it", !read(chain));
-        byte[] two = {0, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 1, 'a', (byte) 0xc0, 12, 0, 1, 0, 1};
-        assertTrue("a pointer into the name itself", !read(two));
+        assertTrue("a root name followed by unexpected bytes", !read(chain));
+        byte[] selfReference = {
+            0, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 1, 'a', (byte) 0xc0, 12, 0, 1, 0, 1
+        };
+        assertTrue("a pointer into the name itself", !read(selfReference));
     }
 
     @Property(tries = 300, seed = "11")
-    void anyBytesAreReadToTheirEnd(@ForAll @Size(max = 600) byte[] bytes) {
+    void anyBytesAreReadOrRejectedAsMalformed(@ForAll @Size(max = 600) byte[] bytes) {
         read(bytes);
     }
 
     @Property(tries = 300, seed = "12")
-    void opaqueDataComeBackFromTheirText(
+    void recordDataSurvivesARoundTripThroughText(
             @ForAll @Size(max = 200) byte[] data, @ForAll @IntRange(min = 1, max = 65_279) int type)
             throws Exception {
-        int t = Rr.isMeta(type) || type == Rr.SOA ? 65_400 : type;
-        String text = Rdata.format(t, data);
-        byte[] whole = Types.fields(t) == null ? data : Message.wholeData(t, data);
-        if (whole == null) {
+        int usedType = Rr.isMeta(type) || type == Rr.SOA ? 65_400 : type;
+        String text = Rdata.format(usedType, data);
+        byte[] canonical =
+                Types.fields(usedType) == null ? data : Message.canonicalData(usedType, data);
+        if (canonical == null) {
             assertTrue(
-                    "the form of RFC 3597 for what does not fit",
+                    "data that is not valid for its type has the form of RFC 3597",
                     text.startsWith("\\# " + data.length));
             return;
         }
         Zone zone =
                 ZoneFile.parse(
                         "p",
-                        "@ 1 SOA a b 1 2 3 4 5\n@ 1 NS a\nx 1 " + Types.name(t) + " " + text + "\n",
+                        "@ 1 SOA a b 1 2 3 4 5\n@ 1 NS a\nx 1 "
+                                + Types.name(usedType)
+                                + " "
+                                + text
+                                + "\n",
                         "z.",
                         null);
-        assertTrue(text, zone.get("x.z.", t).holds(whole));
+        assertTrue(text, zone.get("x.z.", usedType).contains(canonical));
     }
 
     @Test
-    public void anyTextIsAZoneOrNamesThePlaceOfItsFault() {
+    public void anyTextParsesAsAZoneOrReportsTheErrorPosition() {
         String alphabet = " \t\n\r;()\"\\$@.0123456789aAxIN*-SOATXTMX#{},";
         int faults = 0;
-        for (long seed = 0; seed < SEEDS; seed++) {
+        for (long seed = 0; seed < SEED_COUNT; seed++) {
             java.util.Random random = new java.util.Random(seed);
             StringBuilder text =
                     new StringBuilder(
@@ -149,10 +159,10 @@
                             $GENERATE 1-3 g$ A 10.0.0.$
                             """);
             for (int i = 0; i < 1 + random.nextInt(3); i++) {
-                int at = random.nextInt(text.length());
+                int offset = random.nextInt(text.length());
                 text.replace(
-                        at,
-                        Math.min(text.length(), at + random.nextInt(3)),
+                        offset,
+                        Math.min(text.length(), offset + random.nextInt(3)),
                         String.valueOf(alphabet.charAt(random.nextInt(alphabet.length()))));
             }
             try {
@@ -171,6 +181,8 @@
                         e.getMessage(), e.getMessage().matches("(?s)f:[0-9]+:[0-9]+: expected .*"));
             }
         }
-        assertTrue("both came up", faults > 20 && faults < SEEDS - 20);
+        assertTrue(
+                "both valid and invalid texts occur: " + faults,
+                faults > 20 && faults < SEED_COUNT - 20);
     }
 }
--- a/src/test/java/reeldeal/dns/ZoneFileTest.java
+++ b/src/test/java/reeldeal/dns/ZoneFileTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.Test;
 
-/** Zone files, good and bad. */
+/** Tests parsing and writing zone files, and the errors for invalid ones. */
 public class ZoneFileTest {
     private static final String HEAD =
             "$TTL 300\n@ SOA ns.example. ops 1 2 3 4 5\n@ NS ns.example.\n";
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void recordsAreReadAsTheyStandOnTheWire() throws Exception {
+    public void parsesRecordsIntoTheirWireForm() throws Exception {
         Zone zone =
                 parse(
                         """
@@ -74,7 +74,7 @@
     }
 
     @Test
-    public void includesAndGeneratedRecordsTakeTheirPlace() throws Exception {
+    public void expandsIncludeAndGenerate() throws Exception {
         Zone zone =
                 parse(
                         """
@@ -85,7 +85,10 @@
                         """);
         assertEquals("300 0a000007", hex(zone, "inner.in.z.test.", Rr.A));
         assertEquals("300 0a000008", hex(zone, "x.deep.in.z.test.", Rr.A));
-        assertEquals("the origin comes back", "300 0a000009", hex(zone, "after.z.test.", Rr.A));
+        assertEquals(
+                "the origin is restored after an include",
+                "300 0a000009",
+                hex(zone, "after.z.test.", Rr.A));
         assertEquals("300 0a010008", hex(zone, "s008.z.test.", Rr.A));
         assertEquals("300 0a01000c", hex(zone, "s012.z.test.", Rr.A));
         assertEquals(
@@ -95,41 +98,45 @@
     }
 
     @Test
-    public void whatIsMalformedIsNamedWithItsPlace() {
-        Map<String, String> bad = new LinkedHashMap<>();
-        bad.put("h A 1.2.3\n", "z:4:5: expected an IPv4 address, found 1.2.3");
-        bad.put("h A 1.2.3.256\n", "z:4:5: expected an IPv4 address");
-        bad.put("h NOSUCH 1\n", "z:4:3: expected a record type, found NOSUCH");
-        bad.put("h TXT \"open\n", "z:4:7: expected a closing quotation mark");
-        bad.put("h TXT ( a\n", "z:4:1: expected a closing parenthesis");
-        bad.put("x.other. A 1.2.3.4\n", "z:4:1: expected a name within z.test.");
-        bad.put("h CNAME a\nh A 1.2.3.4\n", "z:5:3: expected no other data beside a CNAME");
-        bad.put(
+    public void reportsErrorsWithTheirPosition() {
+        Map<String, String> expectedErrors = new LinkedHashMap<>();
+        expectedErrors.put("h A 1.2.3\n", "z:4:5: expected an IPv4 address, found 1.2.3");
+        expectedErrors.put("h A 1.2.3.256\n", "z:4:5: expected an IPv4 address");
+        expectedErrors.put("h NOSUCH 1\n", "z:4:3: expected a record type, found NOSUCH");
+        expectedErrors.put("h TXT \"open\n", "z:4:7: expected a closing quotation mark");
+        expectedErrors.put("h TXT ( a\n", "z:4:1: expected a closing parenthesis");
+        expectedErrors.put("x.other. A 1.2.3.4\n", "z:4:1: expected a name within z.test.");
+        expectedErrors.put(
+                "h CNAME a\nh A 1.2.3.4\n", "z:5:3: expected no other data beside a CNAME");
+        expectedErrors.put(
                 "$INCLUDE ../f\n",
                 "z:4:10: expected a file that can be included: ../f is not in the zone");
-        bad.put("$INCLUDE loop\n", "loop:1:10: expected no include that leads back");
-        bad.put("$INCLUDE bad\n", "bad:2:5: expected an IPv4 address");
-        bad.put("l" + "o".repeat(63) + "ng A 1.2.3.4\n", "z:4:1: expected a domain name");
-        bad.put("h AAAA 1::2::3\n", "z:4:8: expected an IPv6 address");
-        bad.put("h MX 5\n", "z:4:1: expected a domain name (field 2 of MX)");
-        bad.put("h MX 5 a b\n", "z:4:10: expected the end of the MX record");
-        bad.put("h A \\# 3 010203\n", "z:4:8: expected data that fit type A");
-        bad.put("h TYPE700 x\n", "z:4:11: expected \\#");
-        bad.put("$GENERATE 5-1 a$ A 1.2.3.$\n", "z:4:11: expected a range that goes up");
-        bad.put("h 99999999999 A 1.2.3.4\n", "z:4:3: expected a time");
-        bad.put("h CH A 1.2.3.4\n", "z:4:3: expected class IN");
-        bad.put("@ SOA a b 1 2 3 4 5\n", "z:4:3: expected one SOA record");
-        bad.forEach(
-                (text, why) -> {
-                    String said =
+        expectedErrors.put(
+                "$INCLUDE loop\n", "loop:1:10: expected no include cycle and at most 8 nested");
+        expectedErrors.put("$INCLUDE bad\n", "bad:2:5: expected an IPv4 address");
+        expectedErrors.put(
+                "l" + "o".repeat(63) + "ng A 1.2.3.4\n", "z:4:1: expected a domain name");
+        expectedErrors.put("h AAAA 1::2::3\n", "z:4:8: expected an IPv6 address");
+        expectedErrors.put("h MX 5\n", "z:4:1: expected a domain name (field 2 of MX)");
+        expectedErrors.put("h MX 5 a b\n", "z:4:10: expected the end of the MX record");
+        expectedErrors.put("h A \\# 3 010203\n", "z:4:8: expected data that is valid for type A");
+        expectedErrors.put("h TYPE700 x\n", "z:4:11: expected \\#");
+        expectedErrors.put(
+                "$GENERATE 5-1 a$ A 1.2.3.$\n", "z:4:11: expected an ascending range of at most");
+        expectedErrors.put("h 99999999999 A 1.2.3.4\n", "z:4:3: expected a time");
+        expectedErrors.put("h CH A 1.2.3.4\n", "z:4:3: expected class IN");
+        expectedErrors.put("@ SOA a b 1 2 3 4 5\n", "z:4:3: expected one SOA record");
+        expectedErrors.forEach(
+                (text, expected) -> {
+                    String message =
                             assertThrows(text, ZoneFile.Malformed.class, () -> parse(text))
                                     .getMessage();
-                    assertTrue(said + " for " + why, said.startsWith(why));
+                    assertTrue(message + ", expected " + expected, message.startsWith(expected));
                 });
     }
 
     @Test
-    public void whatIsWrittenGivesTheSameZone() throws Exception {
+    public void writtenZoneParsesToTheSameZone() throws Exception {
         Zone zone =
                 parse(
                         """
@@ -148,22 +155,25 @@
                         """);
         StringBuilder text = new StringBuilder();
         ZoneFile.write(zone, text);
-        Zone again = ZoneFile.parse("again", text.toString(), "z.test.", null);
-        StringBuilder twice = new StringBuilder();
-        ZoneFile.write(again, twice);
-        assertEquals(text.toString(), twice.toString());
-        assertEquals(zone.size(), again.size());
+        Zone reparsed = ZoneFile.parse("again", text.toString(), "z.test.", null);
+        StringBuilder rewritten = new StringBuilder();
+        ZoneFile.write(reparsed, rewritten);
+        assertEquals(text.toString(), rewritten.toString());
+        assertEquals(zone.size(), reparsed.size());
         zone.sets()
                 .forEachRemaining(
-                        p -> assertTrue(p.toString(), p.set().same(again.get(p.name(), p.type()))));
+                        p ->
+                                assertTrue(
+                                        p.toString(),
+                                        p.set().sameRecords(reparsed.get(p.name(), p.type()))));
     }
 
     @Test
-    public void serialNumbersGoRound() throws Exception {
+    public void serialNumbersWrapAround() throws Exception {
         Zone zone = parse("");
-        assertEquals(2, zone.countUp().serial());
-        assertEquals(1, zone.withSerial(0xffffffffL).countUp().serial());
-        assertEquals("a zone is a value", 1, zone.serial());
+        assertEquals(2, zone.incrementSerial().serial());
+        assertEquals(1, zone.withSerial(0xffffffffL).incrementSerial().serial());
+        assertEquals("a zone is immutable", 1, zone.serial());
         assertTrue(Zone.later(0, 0xffffffffL) && !Zone.later(0xffffffffL, 0) && !Zone.later(5, 5));
         assertArrayEquals(zone.soa().data(), parse("").soa().data());
     }
