--- a/src/main/java/reeldeal/faultinjection/AnswerChecker.java
+++ b/src/main/java/reeldeal/faultinjection/AnswerChecker.java
@@ -9,7 +9,7 @@
 /** Each query has one answer; only a broker that was killed or paused meanwhile may owe one. */
 final class AnswerChecker {
     /** A process' last line may be read after its clients' connections have ended, ms. */
-    private static final long LAST_LINE_MS = 500;
+    private static final long LAST_LINE_DELAY_MS = 500;
 
     /** A time in which a broker was down or paused; {@code until} is Long.MAX_VALUE while it is. */
     private record Outage(long from, long until) {
@@ -17,20 +17,20 @@
             return from <= end && until >= start;
         }
 
-        Outage endedAt(long at) {
-            return new Outage(from, Math.min(until, at));
+        Outage endedAt(long end) {
+            return new Outage(from, Math.min(until, end));
         }
     }
 
     private final List<History.Event> events;
     private final Findings findings;
     private final Map<String, List<Outage>> outages = new HashMap<>();
-    private final Map<String, History.Event> open = new HashMap<>();
+    private final Map<String, History.Event> unanswered = new HashMap<>();
     private int asked;
     private int complete;
     private int rejected;
     private int lost;
-    private long longestMs;
+    private long longestAnswerMs;
 
     AnswerChecker(List<History.Event> events, Findings findings) {
         this.events = events;
@@ -41,42 +41,42 @@
         events.forEach(this::recordOutage);
         for (History.Event event : events) {
             if (event.is("ask")) {
-                ask(event);
+                recordQuery(event);
             } else if (event.is("answer") || event.is("noanswer")) {
-                answer(event);
+                recordAnswer(event);
             }
         }
-        open.values().forEach(ask -> findings.violation("never answered: " + ask.rest()));
+        unanswered.values().forEach(ask -> findings.addViolation("never answered: " + ask.rest()));
         addFigures();
     }
 
     private void recordOutage(History.Event event) {
         boolean endedAtFailpoint = event.logs("work: ends at ");
         if (event.is("kill") || event.is("pause") || endedAtFailpoint) {
-            long from = endedAtFailpoint ? event.at() - LAST_LINE_MS : event.at();
+            long from = endedAtFailpoint ? event.at() - LAST_LINE_DELAY_MS : event.at();
             outages.computeIfAbsent(event.who(), broker -> new ArrayList<>())
                     .add(new Outage(from, Long.MAX_VALUE));
         } else if (event.is("wake") || event.logs("serving as ")) {
             outages.computeIfPresent(
                     event.who(),
-                    (broker, known) -> {
-                        known.replaceAll(outage -> outage.endedAt(event.at()));
-                        return known;
+                    (broker, brokerOutages) -> {
+                        brokerOutages.replaceAll(outage -> outage.endedAt(event.at()));
+                        return brokerOutages;
                     });
         }
     }
 
-    private void ask(History.Event event) {
+    private void recordQuery(History.Event event) {
         asked++;
-        if (open.put(event.attribute("id"), event) != null) {
-            findings.violation("asked twice: " + event.rest());
+        if (unanswered.put(event.attribute("id"), event) != null) {
+            findings.addViolation("asked twice: " + event.rest());
         }
     }
 
-    private void answer(History.Event event) {
-        History.Event ask = open.remove(event.attribute("id"));
+    private void recordAnswer(History.Event event) {
+        History.Event ask = unanswered.remove(event.attribute("id"));
         if (ask == null) {
-            findings.violation("a second answer: " + event.rest());
+            findings.addViolation("a second answer: " + event.rest());
             return;
         }
         boolean excused =
@@ -85,7 +85,7 @@
         if (event.is("noanswer")) {
             lost++;
             if (!excused) {
-                findings.violation(
+                findings.addViolation(
                         "no answer from a broker that was neither killed nor paused, asked at "
                                 + ask.at()
                                 + ": "
@@ -95,18 +95,18 @@
         }
         complete += event.rest().contains("whole=true") ? 1 : 0;
         rejected += event.rest().contains("status=429") ? 1 : 0;
-        longestMs = excused ? longestMs : Math.max(longestMs, event.at() - ask.at());
+        longestAnswerMs = excused ? longestAnswerMs : Math.max(longestAnswerMs, event.at() - ask.at());
     }
 
     private void addFigures() {
-        long nobody = events.stream().filter(event -> event.is("nobody")).count();
-        double share = (double) complete / Math.max(1, asked + nobody);
-        findings.figure(
+        long withoutBroker = events.stream().filter(event -> event.is("nobody")).count();
+        double share = (double) complete / Math.max(1, asked + withoutBroker);
+        findings.addFigure(
                 "share of all that clients wanted to ask that was served whole",
                 String.format(Locale.ROOT, "%.4f", share));
-        findings.figure(
+        findings.addFigure(
                 "queries",
-                nobody
+                withoutBroker
                         + " found no broker, "
                         + asked
                         + " asked, "
@@ -116,6 +116,6 @@
                         + " refused, "
                         + lost
                         + " lost with a broker that was killed or paused");
-        findings.figure("longest answer of a broker that was neither", longestMs + " ms");
+        findings.addFigure("longest answer of a broker that was neither", longestAnswerMs + " ms");
     }
 }
--- a/src/main/java/reeldeal/faultinjection/CommitChecker.java
+++ b/src/main/java/reeldeal/faultinjection/CommitChecker.java
@@ -18,8 +18,8 @@
 final class CommitChecker {
     private final List<History.Event> events;
     private final Findings findings;
-    private final RequestRecordChecker requestRecords;
-    private final RecoveryChecker recovery;
+    private final RequestRecordChecker requestRecordChecker;
+    private final RecoveryChecker recoveryChecker;
     private final Map<String, FleetView.Value> values = new TreeMap<>();
     private int commits;
     private int grants;
@@ -27,30 +27,30 @@
     CommitChecker(List<History.Event> events, Findings findings) {
         this.events = events;
         this.findings = findings;
-        requestRecords = new RequestRecordChecker(events, findings);
-        recovery = new RecoveryChecker(events, findings);
+        requestRecordChecker = new RequestRecordChecker(events, findings);
+        recoveryChecker = new RecoveryChecker(events, findings);
     }
 
     void check() {
         FleetView before = new FleetView(Map.of());
         for (History.Event event : events) {
             if (event.is("commit")) {
-                before = commit(before, FormAttributes.of(event.rest()));
+                before = applyCommit(before, FormAttributes.of(event.rest()));
             }
         }
-        findings.figure(
+        findings.addFigure(
                 "commits of the fleet's and of work's",
                 commits + ", " + grants + " of them grants");
-        requestRecords.check();
-        recovery.check();
+        requestRecordChecker.check();
+        recoveryChecker.check();
     }
 
     /** The fleet after a commit. */
-    private FleetView commit(FleetView before, FormAttributes commit) {
+    private FleetView applyCommit(FleetView before, FormAttributes applyCommit) {
         commits++;
-        Map<String, String> changes = commit.all();
-        long version = commit.number("version", 0);
-        requestRecords.commit(changes, version, before);
+        Map<String, String> changes = applyCommit.all();
+        long version = applyCommit.number("version", 0);
+        requestRecordChecker.applyCommit(changes, version, before);
         if (changes.keySet().stream().noneMatch(key -> key.startsWith(FleetView.ROOT))) {
             return before;
         }
@@ -58,10 +58,10 @@
         FleetView after = new FleetView(new TreeMap<>(values));
         for (Kind kind : Kind.values()) {
             checkGrants(before, after, kind, version);
-            checkReturns(before, after, kind, version);
+            checkFreedSlots(before, after, kind, version);
         }
         checkSteps(before, after, version);
-        recovery.commit(after, version);
+        recoveryChecker.checkCommit(after, version);
         return after;
     }
 
@@ -77,8 +77,8 @@
         }
     }
 
-    private void violation(long version, String what) {
-        findings.violation("version " + version + ": " + what);
+    private void addViolation(long version, String description) {
+        findings.addViolation("version " + version + ": " + description);
     }
 
     private void checkGrants(FleetView before, FleetView after, Kind kind, long version) {
@@ -88,9 +88,9 @@
             }
             grants++;
             long planned = after.permits(kind).values().stream().filter(Permit::planned).count();
-            long allowed = allowed(after, kind);
+            long allowed = allowedOut(after, kind);
             if (planned > allowed) {
-                violation(
+                addViolation(
                         version,
                         planned
                                 + " "
@@ -102,14 +102,14 @@
         }
     }
 
-    private static long allowed(FleetView fleet, Kind kind) {
+    private static long allowedOut(FleetView fleet, Kind kind) {
         DisruptionPolicy policy = fleet.policy();
         return kind == Kind.BROKER
                 ? DisruptionPolicy.parse(policy.brokersOut(), fleet.members().size())
                 : DisruptionPolicy.parse(policy.searchersOut(), fleet.searchers().size());
     }
 
-    private void checkReturns(FleetView before, FleetView after, Kind kind, long version) {
+    private void checkFreedSlots(FleetView before, FleetView after, Kind kind, long version) {
         for (Permit permit : before.permits(kind).values()) {
             boolean freed = !after.permits(kind).containsKey(permit.name());
             FleetView.Member member = after.members().get(permit.name());
@@ -119,7 +119,7 @@
             boolean sameProcess = member.boot().equals(permit.processMark());
             boolean undrained = sameProcess && after.drainMark(kind, permit.name()) == null;
             if (member.state() != State.SERVING || (sameProcess && !undrained)) {
-                violation(
+                addViolation(
                         version,
                         "the slot of "
                                 + permit.name()
@@ -131,15 +131,15 @@
 
     private void checkSteps(FleetView before, FleetView after, long version) {
         for (FleetView.Step step : after.steps().values()) {
-            FleetView.Step was = before.steps().get(step.name());
-            if (was == null) {
+            FleetView.Step previous = before.steps().get(step.name());
+            if (previous == null) {
                 continue;
             }
             boolean disrupts =
                     step.stage() == Stage.DRAIN
-                            || (step.stage() == Stage.RESTART && was.stage() != Stage.RESTART);
-            if (was.stage() != step.stage() && disrupts && !before.release().isRunning()) {
-                violation(
+                            || (step.stage() == Stage.RESTART && previous.stage() != Stage.RESTART);
+            if (previous.stage() != step.stage() && disrupts && !before.release().isRunning()) {
+                addViolation(
                         version,
                         step.name()
                                 + " goes to "
@@ -147,9 +147,9 @@
                                 + " while the release is "
                                 + before.release().progress());
             }
-            boolean fromDrain = was.stage() == Stage.DRAIN || was.stage() == Stage.RESTART;
+            boolean fromDrain = previous.stage() == Stage.DRAIN || previous.stage() == Stage.RESTART;
             if (step.stage() == Stage.RESTART && !fromDrain) {
-                violation(version, step.name() + " restarts from " + was.stage());
+                addViolation(version, step.name() + " restarts from " + previous.stage());
             }
         }
     }
--- a/src/main/java/reeldeal/faultinjection/CommitLogReader.java
+++ b/src/main/java/reeldeal/faultinjection/CommitLogReader.java
@@ -27,27 +27,27 @@
      */
     static List<String> commits(Path folder, String identity, String node) throws IOException {
         List<String> commits = new ArrayList<>();
-        try (DataDirectory open =
+        try (DataDirectory directory =
                 DataDirectory.open(folder, identity, GroupConfiguration.of(node), 4 << 20)) {
-            RaftNode.PersistentState disk = open.opened().state();
-            KeyValueState state = KeyValueState.fromBytes(disk.snapshot().data());
-            for (Entry e : disk.entries()) {
+            RaftNode.PersistentState persisted = directory.opened().state();
+            KeyValueState state = KeyValueState.fromBytes(persisted.snapshot().data());
+            for (Entry entry : persisted.entries()) {
                 List<Change> changed = new ArrayList<>();
-                state.apply(e.index(), e.data(), changed);
-                FormAttributes words = new FormAttributes().with("version", e.index());
+                state.apply(entry.index(), entry.data(), changed);
+                FormAttributes attributes = new FormAttributes().with("version", entry.index());
                 changed.stream()
                         .filter(
-                                c ->
-                                        (c.key().startsWith(FleetView.ROOT)
-                                                        || c.key().startsWith(RequestRecord.ROOT))
-                                                && !c.key().startsWith(FleetView.CONFIG))
+                                change ->
+                                        (change.key().startsWith(FleetView.ROOT)
+                                                        || change.key().startsWith(RequestRecord.ROOT))
+                                                && !change.key().startsWith(FleetView.CONFIG))
                         .forEach(
-                                c ->
-                                        words.with(
-                                                c.key(),
-                                                c.value() == null ? "-" : "+" + c.value()));
-                if (words.all().size() > 1) {
-                    commits.add(words.toString());
+                                change ->
+                                        attributes.with(
+                                                change.key(),
+                                                change.value() == null ? "-" : "+" + change.value()));
+                if (attributes.all().size() > 1) {
+                    commits.add(attributes.toString());
                 }
             }
         }
--- a/src/main/java/reeldeal/faultinjection/DisruptionChecker.java
+++ b/src/main/java/reeldeal/faultinjection/DisruptionChecker.java
@@ -13,11 +13,11 @@
 final class DisruptionChecker {
     private final List<History.Event> events;
     private final Findings findings;
-    private final Set<String> out = new HashSet<>();
-    private final Set<String> unplanned = new HashSet<>();
+    private final Set<String> outByOrder = new HashSet<>();
+    private final Set<String> unplannedExits = new HashSet<>();
     private final Map<String, Integer> restarts = new TreeMap<>();
     private long allowed;
-    private int mostOut;
+    private int mostOutAtOnce;
 
     DisruptionChecker(List<History.Event> events, Findings findings) {
         this.events = events;
@@ -26,45 +26,45 @@
 
     void check() {
         for (History.Event event : events) {
-            follow(event);
+            track(event);
             checkBudget(event.at());
         }
         checkRestarts();
-        findings.figure(
+        findings.addFigure(
                 "brokers out by an order at once",
-                mostOut + " at the most, " + allowed + " allowed");
+                mostOutAtOnce + " at the most, " + allowed + " allowed");
         int total = restarts.values().stream().mapToInt(Integer::intValue).sum();
-        findings.figure("restarts by the release", String.valueOf(total));
+        findings.addFigure("restarts by the release", String.valueOf(total));
     }
 
-    private void follow(History.Event event) {
+    private void track(History.Event event) {
         if (event.is("policy")) {
             allowed = Math.max(allowed, Long.parseLong(event.rest()));
         } else if (event.logs("fleet: drains")) {
-            out.add(event.who());
+            outByOrder.add(event.who());
         } else if (event.is("log") && event.rest().contains("ending unplanned")) {
-            unplanned.add(event.who());
+            unplannedExits.add(event.who());
         } else if (event.logs("fleet: ends: release")) {
             restarts.merge(event.who(), 1, Integer::sum);
         } else if (event.logs("serving as ") || event.logs("fleet: serves again")) {
-            out.remove(event.who());
-            unplanned.remove(event.who());
+            outByOrder.remove(event.who());
+            unplannedExits.remove(event.who());
         }
     }
 
-    private void checkBudget(long at) {
-        Set<String> planned = new HashSet<>(out);
-        planned.removeAll(unplanned);
-        if (planned.size() <= mostOut) {
+    private void checkBudget(long atMs) {
+        Set<String> planned = new HashSet<>(outByOrder);
+        planned.removeAll(unplannedExits);
+        if (planned.size() <= mostOutAtOnce) {
             return;
         }
-        mostOut = planned.size();
-        if (allowed > 0 && mostOut > allowed) {
-            findings.violation(
+        mostOutAtOnce = planned.size();
+        if (allowed > 0 && mostOutAtOnce > allowed) {
+            findings.addViolation(
                     "at "
-                            + at
+                            + atMs
                             + " ms "
-                            + mostOut
+                            + mostOutAtOnce
                             + " brokers are out by an order, "
                             + allowed
                             + " allowed: "
@@ -74,12 +74,12 @@
 
     private void checkRestarts() {
         boolean rolledBack =
-                events.stream().anyMatch(e -> e.is("progress") && e.rest().contains("way=back"));
-        int most = rolledBack ? 2 : 1;
+                events.stream().anyMatch(event -> event.is("progress") && event.rest().contains("way=back"));
+        int allowedRestarts = rolledBack ? 2 : 1;
         restarts.forEach(
                 (broker, times) -> {
-                    if (times > most) {
-                        findings.violation(
+                    if (times > allowedRestarts) {
+                        findings.addViolation(
                                 broker + " was restarted " + times + " times by the release");
                     }
                 });
--- a/src/main/java/reeldeal/faultinjection/DrainChecker.java
+++ b/src/main/java/reeldeal/faultinjection/DrainChecker.java
@@ -22,18 +22,18 @@
 
     void check() {
         Map<String, Long> drainedAt = new HashMap<>();
-        Map<String, Long> lastAfterMs = new TreeMap<>();
+        Map<String, Long> lastRequestAfterMs = new TreeMap<>();
         for (History.Event event : events) {
             if (event.is("drained")) {
                 drainedAt.put(event.who(), event.at());
-                lastAfterMs.put(event.who(), -1L);
+                lastRequestAfterMs.put(event.who(), -1L);
             } else if (event.is("undrained") || event.is("listing")) {
                 drainedAt.remove(event.who());
             } else if (event.is("part") && drainedAt.containsKey(event.who())) {
                 long afterMs = event.at() - drainedAt.get(event.who());
-                lastAfterMs.merge(event.who(), afterMs, Math::max);
+                lastRequestAfterMs.merge(event.who(), afterMs, Math::max);
                 if (afterMs > GRACE_MS) {
-                    findings.violation(
+                    findings.addViolation(
                             "a part came to "
                                     + event.who()
                                     + " "
@@ -42,9 +42,9 @@
                 }
             }
         }
-        if (!lastAfterMs.isEmpty()) {
-            findings.figure(
-                    "last part after a searcher's drain, ms (-1 for none)", lastAfterMs.toString());
+        if (!lastRequestAfterMs.isEmpty()) {
+            findings.addFigure(
+                    "last part after a searcher's drain, ms (-1 for none)", lastRequestAfterMs.toString());
         }
     }
 }
--- a/src/main/java/reeldeal/faultinjection/Findings.java
+++ b/src/main/java/reeldeal/faultinjection/Findings.java
@@ -13,11 +13,11 @@
     private final List<String> violations = new ArrayList<>();
     private final Map<String, String> figures = new LinkedHashMap<>();
 
-    void violation(String what) {
-        violations.add(what);
+    void addViolation(String description) {
+        violations.add(description);
     }
 
-    void figure(String name, String value) {
+    void addFigure(String name, String value) {
         figures.put(name, value);
     }
 
--- a/src/main/java/reeldeal/faultinjection/History.java
+++ b/src/main/java/reeldeal/faultinjection/History.java
@@ -17,8 +17,8 @@
     /** One event. */
     record Event(long at, String who, String what, String rest) {
         /** Whether it is of this kind. */
-        boolean is(String kind) {
-            return what.equals(kind);
+        boolean is(String expected) {
+            return what.equals(expected);
         }
 
         /** Whether it is a log line that begins so. */
@@ -32,7 +32,7 @@
         }
     }
 
-    private final long began = System.nanoTime();
+    private final long startedAtNanos = System.nanoTime();
     private final PrintWriter out;
 
     History(Path file) throws IOException {
@@ -41,18 +41,18 @@
 
     /** Ms since the drill began. */
     long now() {
-        return (System.nanoTime() - began) / 1_000_000;
+        return (System.nanoTime() - startedAtNanos) / 1_000_000;
     }
 
     /** Adds an event as happening now. */
-    void add(String who, String what, String rest) {
-        add(now(), who, what, rest);
+    void add(String source, String kind, String detail) {
+        add(now(), source, kind, detail);
     }
 
     /** Adds an event that happened then. */
-    synchronized void add(long at, String who, String what, String rest) {
-        out.println(at + " " + who + " " + what + " " + rest.replace('\n', ' '));
-        if (!what.equals("part")) {
+    synchronized void add(long atMs, String source, String kind, String detail) {
+        out.println(atMs + " " + source + " " + kind + " " + detail.replace('\n', ' '));
+        if (!kind.equals("part")) {
             out.flush();
         }
     }
@@ -67,13 +67,13 @@
         List<Event> events = new ArrayList<>();
         try {
             for (String line : Files.readAllLines(file)) {
-                String[] words = line.split(" ", 4);
+                String[] fields = line.split(" ", 4);
                 events.add(
                         new Event(
-                                Long.parseLong(words[0]),
-                                words[1],
-                                words[2],
-                                words.length > 3 ? words[3] : ""));
+                                Long.parseLong(fields[0]),
+                                fields[1],
+                                fields[2],
+                                fields.length > 3 ? fields[3] : ""));
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/main/java/reeldeal/faultinjection/InFlightAtLossCounter.java
+++ b/src/main/java/reeldeal/faultinjection/InFlightAtLossCounter.java
@@ -28,8 +28,8 @@
     private final Set<String> counted = new HashSet<>();
     private final List<Long> takenOverAfterMs = new ArrayList<>();
     private int losses;
-    private int inTime;
-    private int later;
+    private int knownInTime;
+    private int knownLater;
 
     InFlightAtLossCounter(List<History.Event> events, Findings findings) {
         this.events = events;
@@ -42,7 +42,7 @@
                 outcomeKnownAt.putIfAbsent(event.who(), event.at());
             }
         }
-        events.forEach(this::follow);
+        events.forEach(this::track);
         addFigures();
     }
 
@@ -50,15 +50,15 @@
         return event.rest().contains(" key=");
     }
 
-    private void follow(History.Event event) {
+    private void track(History.Event event) {
         if (event.is("ask") && isKeyed(event)) {
-            attempts(event.attribute("to")).put(event.attribute("id"), event.who());
+            inFlightAt(event.attribute("to")).put(event.attribute("id"), event.who());
             firstAskedAt.putIfAbsent(event.who(), event.at());
         } else if (event.is("answer") && isKeyed(event)) {
-            attempts(event.attribute("to")).remove(event.attribute("id"));
+            inFlightAt(event.attribute("to")).remove(event.attribute("id"));
         } else if (event.is("kill") || event.logs("work: ends at ")) {
             losses++;
-            new HashSet<>(attempts(event.who()).values()).forEach(key -> lose(key, event.at()));
+            new HashSet<>(inFlightAt(event.who()).values()).forEach(key -> countLost(key, event.at()));
             inFlight.remove(event.who());
         } else if (event.is("part") && event.rest().contains("~")) {
             Long lostAt = ownerLostAt.remove(event.rest().split("-")[0]);
@@ -68,44 +68,44 @@
         }
     }
 
-    private Map<String, String> attempts(String broker) {
+    private Map<String, String> inFlightAt(String broker) {
         return inFlight.computeIfAbsent(broker, name -> new HashMap<>());
     }
 
-    private void lose(String key, long at) {
+    private void countLost(String key, long lostAt) {
         if (!counted.add(key)) {
             return;
         }
-        ownerLostAt.put(key, at);
-        Long known = outcomeKnownAt.get(key);
-        if (known == null) {
+        ownerLostAt.put(key, lostAt);
+        Long knownAt = outcomeKnownAt.get(key);
+        if (knownAt == null) {
             return;
         }
-        if (known - firstAskedAt.get(key) <= IN_TIME_MS) {
-            inTime++;
+        if (knownAt - firstAskedAt.get(key) <= IN_TIME_MS) {
+            knownInTime++;
         } else {
-            later++;
+            knownLater++;
         }
     }
 
     private void addFigures() {
         int total = counted.size();
-        findings.figure(
+        findings.addFigure(
                 "in hand when their broker was lost",
                 total
                         + " in "
                         + losses
                         + " losses: "
-                        + inTime
+                        + knownInTime
                         + " knew their outcome in their time, "
-                        + later
+                        + knownLater
                         + " later, "
-                        + (total - inTime - later)
+                        + (total - knownInTime - knownLater)
                         + " never or as unknown");
         if (!takenOverAfterMs.isEmpty()) {
             takenOverAfterMs.sort(null);
             int last = takenOverAfterMs.size() - 1;
-            findings.figure(
+            findings.addFigure(
                     "from a broker's death to the first part sent for it by another",
                     String.format(
                             Locale.ROOT,
@@ -117,6 +117,6 @@
         }
         events.stream()
                 .filter(event -> event.is("work"))
-                .forEach(event -> findings.figure("work at " + event.who(), event.rest()));
+                .forEach(event -> findings.addFigure("work at " + event.who(), event.rest()));
     }
 }
--- a/src/main/java/reeldeal/faultinjection/OutcomeChecker.java
+++ b/src/main/java/reeldeal/faultinjection/OutcomeChecker.java
@@ -42,22 +42,22 @@
             if (event.is("ask")) {
                 firstBroker.putIfAbsent(event.who(), event.attribute("to"));
             } else if (event.is("answer")) {
-                answer(event);
+                recordAnswer(event);
             }
         }
         addFigures();
     }
 
-    private void answer(History.Event event) {
+    private void recordAnswer(History.Event event) {
         String client = event.who();
         String outcome = outcome(event);
         if (outcome == null) {
             return;
         }
-        String before = outcomes.put(client, outcome);
-        if (before != null) {
-            if (!before.equals(outcome) && required) {
-                findings.violation(client + " was told " + before + " and " + outcome);
+        String previous = outcomes.put(client, outcome);
+        if (previous != null) {
+            if (!previous.equals(outcome) && required) {
+                findings.addViolation(client + " was told " + previous + " and " + outcome);
             }
             return;
         }
@@ -79,7 +79,7 @@
     }
 
     private void addFigures() {
-        findings.figure(
+        findings.addFigure(
                 "keyed requests",
                 startedAt.size()
                         + " wanted, "
@@ -95,7 +95,7 @@
             return;
         }
         tookMs.sort(null);
-        findings.figure(
+        findings.addFigure(
                 "from wanting to knowing",
                 String.format(
                         Locale.ROOT,
--- a/src/main/java/reeldeal/faultinjection/RecoveryChecker.java
+++ b/src/main/java/reeldeal/faultinjection/RecoveryChecker.java
@@ -14,16 +14,16 @@
 final class RecoveryChecker {
     private static final Map<String, Integer> PRIORITY_WEIGHTS =
             Map.of("audit-report", 3, "bid-mark", 2, "notice-search", 1);
-    private static final long BEFORE_MS = 5_000;
-    private static final long MINUTE_MS = 60_000;
-    private static final long FIRST_MS = 10_000;
+    private static final long BASELINE_MS = 5_000;
+    private static final long OBSERVED_MS = 60_000;
+    private static final long CONNECTIONS_MS = 10_000;
     private static final int SLOT_MS = 500;
 
     private final List<History.Event> events;
     private final Findings findings;
-    private Epoch epoch = Epoch.of(new FleetView(Map.of()));
+    private Epoch previous = Epoch.of(new FleetView(Map.of()));
     private int epochs;
-    private int back;
+    private int stepsBack;
 
     RecoveryChecker(List<History.Event> events, Findings findings) {
         this.events = events;
@@ -31,29 +31,29 @@
     }
 
     /** The fleet after a commit. */
-    void commit(FleetView after, long version) {
-        Epoch fresh = Epoch.of(after);
-        if (fresh.version() == epoch.version()) {
+    void checkCommit(FleetView after, long version) {
+        Epoch current = Epoch.of(after);
+        if (current.version() == previous.version()) {
             return;
         }
-        if (fresh.number() != epoch.number()) {
+        if (current.number() != previous.number()) {
             epochs++;
-            if (fresh.number() != epoch.number() + 1 || fresh.step() != 1 || fresh.ended()) {
-                findings.violation("version " + version + ": epoch " + epoch + " then " + fresh);
+            if (current.number() != previous.number() + 1 || current.step() != 1 || current.ended()) {
+                findings.addViolation("version " + version + ": epoch " + previous + " then " + current);
             }
             if (after.release() != null && after.release().isRunning()) {
-                findings.violation(
+                findings.addViolation(
                         "version "
                                 + version
                                 + ": a release runs on into recovery "
-                                + fresh.number());
+                                + current.number());
             }
-        } else if ((!fresh.ended() && Math.abs(fresh.step() - epoch.step()) > 1)
-                || (fresh.ended() && (epoch.ended() || epoch.step() < 2))) {
-            findings.violation("version " + version + ": recovery " + epoch + " then " + fresh);
+        } else if ((!current.ended() && Math.abs(current.step() - previous.step()) > 1)
+                || (current.ended() && (previous.ended() || previous.step() < 2))) {
+            findings.addViolation("version " + version + ": recovery " + previous + " then " + current);
         }
-        back += fresh.number() == epoch.number() && fresh.step() < epoch.step() ? 1 : 0;
-        epoch = fresh;
+        stepsBack += current.number() == previous.number() && current.step() < previous.step() ? 1 : 0;
+        previous = current;
     }
 
     /** All that the clients and the searchers saw. */
@@ -62,80 +62,80 @@
         if (losses.isEmpty()) {
             return;
         }
-        boolean steps =
+        boolean rampEnabled =
                 events.stream().anyMatch(event -> event.is("steps") && !event.rest().equals("off"));
-        long fell = events.stream().filter(event -> event.is("fell")).count();
-        if (steps && fell > 0) {
-            findings.violation(fell + " searchers were pushed over while they were cold");
+        long overloaded = events.stream().filter(event -> event.is("fell")).count();
+        if (rampEnabled && overloaded > 0) {
+            findings.addViolation(overloaded + " searchers were pushed over while they were cold");
         }
-        if (!epoch.ended()) {
-            findings.violation("recovery " + epoch + " has no end");
+        if (!previous.ended()) {
+            findings.addViolation("recovery " + previous + " has no end");
         }
-        long whole = losses.stream().filter(loss -> loss.attribute("zone").isEmpty()).count();
-        findings.figure(
+        long fleetWide = losses.stream().filter(loss -> loss.attribute("zone").isEmpty()).count();
+        findings.addFigure(
                 "losses of power",
-                whole
+                fleetWide
                         + " of everything, "
-                        + (losses.size() - whole)
+                        + (losses.size() - fleetWide)
                         + " of a zone; "
                         + epochs
                         + " recoveries, "
-                        + back
+                        + stepsBack
                         + " steps taken back; searchers pushed over: "
-                        + fell);
+                        + overloaded);
         long first = losses.get(0).at();
-        double usual =
+        double usualWorthPerMs =
                 (double)
                                 events.stream()
                                         .filter(
                                                 event ->
-                                                        served(event)
-                                                                && event.at() >= first - BEFORE_MS
+                                                        isServedComplete(event)
+                                                                && event.at() >= first - BASELINE_MS
                                                                 && event.at() < first)
                                         .mapToInt(RecoveryChecker::priorityWeight)
                                         .sum()
-                        / BEFORE_MS;
+                        / BASELINE_MS;
         List<String> rows = new ArrayList<>();
         for (int i = 0; i < losses.size(); i++) {
             History.Event loss = losses.get(i);
             long end =
                     Math.min(
-                            loss.at() + MINUTE_MS,
+                            loss.at() + OBSERVED_MS,
                             i + 1 < losses.size() ? losses.get(i + 1).at() : Long.MAX_VALUE);
-            rows.add(row(loss, end, usual));
+            rows.add(describeRecovery(loss, end, usualWorthPerMs));
         }
         for (int i = 0; i < rows.size(); i++) {
-            findings.figure("loss " + (i + 1), rows.get(i));
+            findings.addFigure("loss " + (i + 1), rows.get(i));
         }
     }
 
-    private String row(History.Event loss, long end, double usual) {
-        long at = loss.at();
-        long answer =
+    private String describeRecovery(History.Event loss, long end, double usualWorthPerMs) {
+        long lossAt = loss.at();
+        long firstAnswerAt =
                 events.stream()
-                        .filter(event -> served(event) && event.at() > at && event.at() < end)
+                        .filter(event -> isServedComplete(event) && event.at() > lossAt && event.at() < end)
                         .mapToLong(History.Event::at)
                         .findFirst()
                         .orElse(-1);
-        long[] reached = {-1, -1};
-        Map<Long, Integer> slots = new TreeMap<>();
-        Map<String, Integer> byClass = new TreeMap<>();
-        long conns = 0;
+        long[] reachedAfterMs = {-1, -1};
+        Map<Long, Integer> worthBySlot = new TreeMap<>();
+        Map<String, Integer> worthByClass = new TreeMap<>();
+        long connections = 0;
         for (History.Event event : events) {
-            if (event.at() <= at || event.at() >= end) {
+            if (event.at() <= lossAt || event.at() >= end) {
                 continue;
             }
-            conns += event.is("conn") && event.at() < at + FIRST_MS ? 1 : 0;
-            if (served(event)) {
-                slots.merge((event.at() - at) / SLOT_MS, priorityWeight(event), Integer::sum);
-                byClass.merge(event.attribute("class"), priorityWeight(event), Integer::sum);
+            connections += event.is("conn") && event.at() < lossAt + CONNECTIONS_MS ? 1 : 0;
+            if (isServedComplete(event)) {
+                worthBySlot.merge((event.at() - lossAt) / SLOT_MS, priorityWeight(event), Integer::sum);
+                worthByClass.merge(event.attribute("class"), priorityWeight(event), Integer::sum);
             }
         }
         double[] shares = {0.5, 0.9};
-        for (int s = 0; s < shares.length; s++) {
-            for (long slot = 0; slot * SLOT_MS + at < end && reached[s] < 0; slot++) {
-                int two = slots.getOrDefault(slot, 0) + slots.getOrDefault(slot + 1, 0);
-                reached[s] = two >= shares[s] * usual * 2 * SLOT_MS ? slot * SLOT_MS : -1;
+        for (int i = 0; i < shares.length; i++) {
+            for (long slot = 0; slot * SLOT_MS + lossAt < end && reachedAfterMs[i] < 0; slot++) {
+                int worthOfTwoSlots = worthBySlot.getOrDefault(slot, 0) + worthBySlot.getOrDefault(slot + 1, 0);
+                reachedAfterMs[i] = worthOfTwoSlots >= shares[i] * usualWorthPerMs * 2 * SLOT_MS ? slot * SLOT_MS : -1;
             }
         }
         return String.format(
@@ -143,20 +143,20 @@
                 "%s: first answer after %s, half of the worth before after %s, nine tenths after %s; worth served in %d s by class %s"
                         + " (%.0f a second before); %d connections to searchers in the first ten seconds",
                 loss.attribute("zone").isEmpty() ? "everything" : "zone " + loss.attribute("zone"),
-                ms(answer < 0 ? -1 : answer - at),
-                ms(reached[0]),
-                ms(reached[1]),
-                (Math.min(end, at + MINUTE_MS) - at) / 1_000,
-                byClass,
-                usual * 1_000,
-                conns);
+                millisOrNever(firstAnswerAt < 0 ? -1 : firstAnswerAt - lossAt),
+                millisOrNever(reachedAfterMs[0]),
+                millisOrNever(reachedAfterMs[1]),
+                (Math.min(end, lossAt + OBSERVED_MS) - lossAt) / 1_000,
+                worthByClass,
+                usualWorthPerMs * 1_000,
+                connections);
     }
 
-    private static String ms(long ms) {
-        return ms < 0 ? "never" : ms + " ms";
+    private static String millisOrNever(long millisOrNever) {
+        return millisOrNever < 0 ? "never" : millisOrNever + " ms";
     }
 
-    private static boolean served(History.Event event) {
+    private static boolean isServedComplete(History.Event event) {
         return event.is("answer")
                 && event.rest().contains("class=")
                 && event.rest().contains("whole=true");
--- a/src/main/java/reeldeal/faultinjection/RequestRecordChecker.java
+++ b/src/main/java/reeldeal/faultinjection/RequestRecordChecker.java
@@ -22,56 +22,56 @@
     RequestRecordChecker(List<History.Event> events, Findings findings) {
         this.events = events;
         this.findings = findings;
-        required = events.stream().anyMatch(e -> e.is("mode") && e.rest().contains("required"));
+        required = events.stream().anyMatch(event -> event.is("mode") && event.rest().contains("required"));
     }
 
     /** A commit: what it changed, by store keys, and the fleet before it. */
-    void commit(Map<String, String> changes, long version, FleetView before) {
+    void applyCommit(Map<String, String> changes, long version, FleetView before) {
         changes.forEach(
                 (storeKey, change) -> {
                     if (storeKey.startsWith(RequestRecord.ROOT)) {
-                        commit(storeKey, change, version, before);
+                        applyChange(storeKey, change, version, before);
                     }
                 });
     }
 
-    private void commit(String storeKey, String change, long version, FleetView fleet) {
+    private void applyChange(String storeKey, String change, long version, FleetView fleet) {
         String clientKey = RequestRecord.clientKey(storeKey);
         if (change.equals("-")) {
             records.remove(clientKey);
             return;
         }
         RequestRecord record = RequestRecord.parse(storeKey, change.substring(1), version);
-        RequestRecord was = records.put(clientKey, record);
-        if (was != null) {
-            checkChange(was, record, version, fleet);
+        RequestRecord previous = records.put(clientKey, record);
+        if (previous != null) {
+            checkChange(previous, record, version, fleet);
         }
     }
 
-    private void checkChange(RequestRecord was, RequestRecord is, long version, FleetView fleet) {
-        String prefix = "version " + version + ": " + is.key();
-        if (was.state() == State.DONE || was.state() == State.UNKNOWN) {
-            findings.violation(prefix + " had ended as " + was.state() + " and is " + is.state());
+    private void checkChange(RequestRecord previous, RequestRecord current, long version, FleetView fleet) {
+        String prefix = "version " + version + ": " + current.key();
+        if (previous.state() == State.DONE || previous.state() == State.UNKNOWN) {
+            findings.addViolation(prefix + " had ended as " + previous.state() + " and is " + current.state());
         }
-        if (was.firstSentAtMs() != is.firstSentAtMs()) {
-            findings.violation(prefix + " forgot when it began");
+        if (previous.firstSentAtMs() != current.firstSentAtMs()) {
+            findings.addViolation(prefix + " forgot when it began");
         }
-        boolean sameOwner = was.owner().equals(is.owner()) && was.incarnation() == is.incarnation();
-        if (was.isOpen() && !sameOwner) {
+        boolean sameOwner = previous.owner().equals(current.owner()) && previous.incarnation() == current.incarnation();
+        if (previous.isOpen() && !sameOwner) {
             claims++;
-            FleetView.Member owner = fleet.members().get(was.owner());
-            boolean leaseStood =
-                    owner != null && owner.hasLease() && owner.incarnation() == was.incarnation();
-            if (leaseStood) {
-                findings.violation(
-                        prefix + " was taken from " + was.owner() + ", whose lease stood");
+            FleetView.Member owner = fleet.members().get(previous.owner());
+            boolean leaseValid =
+                    owner != null && owner.hasLease() && owner.incarnation() == previous.incarnation();
+            if (leaseValid) {
+                findings.addViolation(
+                        prefix + " was taken from " + previous.owner() + ", whose lease stood");
             }
         }
     }
 
     /** All that the clients and the searchers saw. */
     void check() {
-        List<History.Event> requests = events.stream().filter(e -> e.is("want")).toList();
+        List<History.Event> requests = events.stream().filter(event -> event.is("want")).toList();
         if (requests.isEmpty()) {
             return;
         }
@@ -79,7 +79,7 @@
         new OutcomeChecker(events, requests, required, findings).check();
         new InFlightAtLossCounter(events, findings).count();
         countOverlaps();
-        findings.figure("claims in the log", String.valueOf(claims));
+        findings.addFigure("claims in the log", String.valueOf(claims));
     }
 
     /** No shard request under a key runs twice, but where its searcher has forgotten the key. */
@@ -98,21 +98,21 @@
             }
             runs++;
             String shardRequest = event.attribute("part");
-            History.Event before = lastRun.put(shardRequest, event);
-            if (before == null) {
+            History.Event previousRun = lastRun.put(shardRequest, event);
+            if (previousRun == null) {
                 continue;
             }
-            if (forgotAt.getOrDefault(before.who(), -1L) >= before.at()) {
+            if (forgotAt.getOrDefault(previousRun.who(), -1L) >= previousRun.at()) {
                 excused++;
                 continue;
             }
             repeated++;
             if (required) {
-                findings.violation(
-                        shardRequest + " ran again after " + (event.at() - before.at()) + " ms");
+                findings.addViolation(
+                        shardRequest + " ran again after " + (event.at() - previousRun.at()) + " ms");
             }
         }
-        findings.figure(
+        findings.addFigure(
                 "keyed parts",
                 runs
                         + " run, "
@@ -137,22 +137,22 @@
             if (!event.is("part") || !event.rest().startsWith("key")) {
                 continue;
             }
-            String name = event.rest().substring(0, event.rest().indexOf('.'));
-            int mark = name.indexOf('~');
-            int number = mark < 0 ? 1 : Integer.parseInt(name.substring(mark + 1));
-            String key = name.split("-")[0];
-            LatestRun before = latest.putIfAbsent(key, new LatestRun(number, event.at()));
-            if (before == null) {
+            String requestName = event.rest().substring(0, event.rest().indexOf('.'));
+            int tilde = requestName.indexOf('~');
+            int run = tilde < 0 ? 1 : Integer.parseInt(requestName.substring(tilde + 1));
+            String key = requestName.split("-")[0];
+            LatestRun previousLatest = latest.putIfAbsent(key, new LatestRun(run, event.at()));
+            if (previousLatest == null) {
                 continue;
             }
-            if (number > before.number()) {
-                latest.put(key, new LatestRun(number, event.at()));
-            } else if (number < before.number()) {
+            if (run > previousLatest.number()) {
+                latest.put(key, new LatestRun(run, event.at()));
+            } else if (run < previousLatest.number()) {
                 overlaps++;
-                longestMs = Math.max(longestMs, event.at() - before.at());
+                longestMs = Math.max(longestMs, event.at() - previousLatest.at());
             }
         }
-        findings.figure(
+        findings.addFigure(
                 "parts of an owner of before that came after its successor's",
                 overlaps + (overlaps > 0 ? ", " + longestMs + " ms at the most" : ""));
     }
--- a/src/main/java/reeldeal/faultinjection/RolloutChecker.java
+++ b/src/main/java/reeldeal/faultinjection/RolloutChecker.java
@@ -17,26 +17,26 @@
     }
 
     void check() {
-        events.stream().filter(e -> e.is("broken")).forEach(e -> findings.violation(e.rest()));
+        events.stream().filter(event -> event.is("broken")).forEach(event -> findings.addViolation(event.rest()));
         lastProgress("").ifPresent(this::checkMembers);
         addTimeToHalt();
         addDuration();
         events.stream()
-                .filter(e -> e.is("cost"))
-                .forEach(e -> findings.figure("cost of " + e.who(), e.rest()));
+                .filter(event -> event.is("cost"))
+                .forEach(event -> findings.addFigure("cost of " + event.who(), event.rest()));
         events.stream()
-                .filter(e -> e.is("frames"))
-                .forEach(e -> findings.figure("frames between nodes", e.rest()));
+                .filter(event -> event.is("frames"))
+                .forEach(event -> findings.addFigure("frames between nodes", event.rest()));
     }
 
     private Optional<History.Event> lastProgress(String containing) {
         return events.stream()
-                .filter(e -> e.is("progress") && e.rest().contains(containing))
+                .filter(event -> event.is("progress") && event.rest().contains(containing))
                 .reduce((earlier, later) -> later);
     }
 
     private void checkMembers(History.Event end) {
-        findings.figure("the release's end", end.rest());
+        findings.addFigure("the release's end", end.rest());
         if (!end.rest().contains("progress=done")) {
             return;
         }
@@ -46,7 +46,7 @@
                     event.attribute("state").equals("serving")
                             && event.attribute("is").equals(expected);
             if (event.is("final") && !asExpected) {
-                findings.violation(
+                findings.addViolation(
                         "at the end "
                                 + event.who()
                                 + " is "
@@ -68,7 +68,7 @@
             if (event.is("kill")) {
                 killedAt = event.at();
             } else if (halted && killedAt >= 0) {
-                findings.figure(
+                findings.addFigure(
                         "from a broker's death to the halt", (event.at() - killedAt) + " ms");
                 killedAt = -1;
             }
@@ -76,14 +76,14 @@
     }
 
     private void addDuration() {
-        Optional<History.Event> begin =
+        Optional<History.Event> firstRunning =
                 events.stream()
-                        .filter(e -> e.is("progress") && e.rest().contains("progress=running"))
+                        .filter(event -> event.is("progress") && event.rest().contains("progress=running"))
                         .findFirst();
-        Optional<History.Event> end = lastProgress("progress=done");
-        if (begin.isPresent() && end.isPresent()) {
-            long tookMs = end.get().at() - begin.get().at();
-            findings.figure("the release took", tookMs + " ms");
+        Optional<History.Event> lastDone = lastProgress("progress=done");
+        if (firstRunning.isPresent() && lastDone.isPresent()) {
+            long tookMs = lastDone.get().at() - firstRunning.get().at();
+            findings.addFigure("the release took", tookMs + " ms");
         }
     }
 }
--- a/src/main/java/reeldeal/faultinjection/ScenarioReader.java
+++ b/src/main/java/reeldeal/faultinjection/ScenarioReader.java
@@ -20,12 +20,12 @@
 
 /** Reads scenario files, as in {@code deploy/drill}. */
 public final class ScenarioReader {
-    private static final String POLICY = "policy.";
-    private static final String TAKEOVER = "keyed.handover.";
-    private static final String ACTIONS = "actions.";
-    private static final int LONGEST_MS = 600_000;
+    private static final String POLICY_PREFIX = "policy.";
+    private static final String TAKEOVER_PREFIX = "keyed.handover.";
+    private static final String ACTIONS_PREFIX = "actions.";
+    private static final int MAX_DURATION_MS = 600_000;
 
-    private static final Set<String> KNOWN =
+    private static final Set<String> KNOWN_KEYS =
             Set.of(
                     "name",
                     "voters",
@@ -74,7 +74,7 @@
                 reader.text("name", file.getFileName().toString()),
                 reader.fleet(),
                 new Scenario.Load(reader.number("per_second", 40, 1, 2_000), reader.keyed()),
-                reader.under(POLICY),
+                reader.withPrefix(POLICY_PREFIX),
                 reader.rollout(),
                 reader.faults(),
                 reader.power());
@@ -97,10 +97,10 @@
     private void checkKeys() throws InvalidConfigException {
         for (String key : values.keySet()) {
             boolean known =
-                    KNOWN.contains(key)
-                            || key.startsWith(POLICY)
-                            || key.startsWith(TAKEOVER)
-                            || key.startsWith(ACTIONS);
+                    KNOWN_KEYS.contains(key)
+                            || key.startsWith(POLICY_PREFIX)
+                            || key.startsWith(TAKEOVER_PREFIX)
+                            || key.startsWith(ACTIONS_PREFIX);
             if (!known) {
                 throw new InvalidConfigException(file + ": no such setting: " + key);
             }
@@ -118,10 +118,10 @@
     private Scenario.KeyedRequests keyed() throws InvalidConfigException {
         return new Scenario.KeyedRequests(
                 number("keyed.per_second", 0, 0, 1_000),
-                number("keyed.window_ms", 2_500, 0, LONGEST_MS),
+                number("keyed.window_ms", 2_500, 0, MAX_DURATION_MS),
                 number("keyed.service_ms", 0, 0, 10_000),
                 number("keyed.term_ms", 3_000, 600, 60_000),
-                under(TAKEOVER),
+                withPrefix(TAKEOVER_PREFIX),
                 text("keyed.die", ""));
     }
 
@@ -136,14 +136,14 @@
                 text("find", "\"MostHeld\": 400"),
                 text("replace", "\"MostHeld\": 390"),
                 text("waves", "1,2,4"),
-                number("settle_ms", 1_000, 0, LONGEST_MS),
-                number("step_ms", 30_000, 1_000, LONGEST_MS),
+                number("settle_ms", 1_000, 0, MAX_DURATION_MS),
+                number("step_ms", 30_000, 1_000, MAX_DURATION_MS),
                 onHalt.equals("back") ? Scenario.OnHalt.ROLL_BACK : Scenario.OnHalt.RESUME);
     }
 
     private Scenario.Faults faults() throws InvalidConfigException {
         return new Scenario.Faults(
-                number("faults_ms", 30_000, 0, LONGEST_MS),
+                number("faults_ms", 30_000, 0, MAX_DURATION_MS),
                 new Scenario.FrameFaults(
                         number("drop_pct", 0, 0, 90),
                         number("delay_pct", 0, 0, 90),
@@ -159,7 +159,7 @@
         List<Scenario.Action> actions = new ArrayList<>();
         int count = number("actions.count", 0, 0, 100);
         for (int i = 0; i < count; i++) {
-            actions.add(action(ACTIONS + i + "."));
+            actions.add(action(ACTIONS_PREFIX + i + "."));
         }
         return List.copyOf(actions);
     }
@@ -175,18 +175,18 @@
                                                         + ": "
                                                         + prefix
                                                         + "verb: expected one of "
-                                                        + kinds()
+                                                        + kindKeys()
                                                         + ", found "
                                                         + key));
         return new Scenario.Action(
-                number(prefix + "at_ms", 0, 0, LONGEST_MS),
+                number(prefix + "at_ms", 0, 0, MAX_DURATION_MS),
                 kind,
                 text(prefix + "who", "any"),
-                number(prefix + "for_ms", 3_000, 0, LONGEST_MS),
-                number(prefix + "late_ms", 0, 0, LONGEST_MS));
+                number(prefix + "for_ms", 3_000, 0, MAX_DURATION_MS),
+                number(prefix + "late_ms", 0, 0, MAX_DURATION_MS));
     }
 
-    private static Set<String> kinds() {
+    private static Set<String> kindKeys() {
         return Arrays.stream(FaultKind.values())
                 .map(FaultKind::key)
                 .collect(Collectors.toCollection(TreeSet::new));
@@ -201,7 +201,7 @@
                 text("power.steps", "off"));
     }
 
-    private Map<String, String> under(String prefix) {
+    private Map<String, String> withPrefix(String prefix) {
         Map<String, String> found = new TreeMap<>();
         values.forEach(
                 (key, value) -> {
@@ -212,24 +212,24 @@
         return found;
     }
 
-    private String text(String key, String otherwise) {
-        return values.getOrDefault(key, otherwise);
+    private String text(String key, String defaultValue) {
+        return values.getOrDefault(key, defaultValue);
     }
 
-    private int number(String key, int otherwise, int least, int most)
+    private int number(String key, int defaultValue, int min, int max)
             throws InvalidConfigException {
-        String text = values.getOrDefault(key, String.valueOf(otherwise));
+        String text = values.getOrDefault(key, String.valueOf(defaultValue));
         if (!text.matches("[0-9]{1,9}")
-                || Integer.parseInt(text) < least
-                || Integer.parseInt(text) > most) {
+                || Integer.parseInt(text) < min
+                || Integer.parseInt(text) > max) {
             throw new InvalidConfigException(
                     file
                             + ": "
                             + key
                             + ": expected a whole number from "
-                            + least
+                            + min
                             + " to "
-                            + most
+                            + max
                             + ", found "
                             + text);
         }
--- a/src/main/java/reeldeal/faultinjection/ScenarioReport.java
+++ b/src/main/java/reeldeal/faultinjection/ScenarioReport.java
@@ -11,8 +11,8 @@
  * A drill's report: verdict, figures and time line as Markdown, and a chart of who was out when.
  */
 final class ScenarioReport {
-    private static final int MOST_VIOLATIONS = 50;
-    private static final Set<String> SHOWN =
+    private static final int MAX_VIOLATIONS_SHOWN = 50;
+    private static final Set<String> SHOWN_KINDS =
             Set.of(
                     "kill",
                     "pause",
@@ -43,16 +43,16 @@
                                         : verdict.violations().size() + " rules broken:")
                                 + "\n\n");
         verdict.violations().stream()
-                .limit(MOST_VIOLATIONS)
-                .forEach(b -> text.append("- ").append(b).append('\n'));
+                .limit(MAX_VIOLATIONS_SHOWN)
+                .forEach(violation -> text.append("- ").append(violation).append('\n'));
         text.append("\n| figure | |\n| --- | --- |\n");
-        for (Map.Entry<String, String> f : verdict.figures().entrySet()) {
-            text.append("| ").append(f.getKey()).append(" | ").append(f.getValue()).append(" |\n");
+        for (Map.Entry<String, String> figure : verdict.figures().entrySet()) {
+            text.append("| ").append(figure.getKey()).append(" | ").append(figure.getValue()).append(" |\n");
         }
         text.append(
                 "\n![Who was out when](chart.svg)\n\n## Time line\n\n| ms | who | what |\n| --- | --- | --- |\n");
         for (History.Event event : events) {
-            boolean shown = SHOWN.contains(event.what()) || event.logs("fleet: ");
+            boolean shown = SHOWN_KINDS.contains(event.what()) || event.logs("fleet: ");
             if (shown) {
                 text.append("| ")
                         .append(event.at())
--- a/src/main/java/reeldeal/faultinjection/SlowStartCapacity.java
+++ b/src/main/java/reeldeal/faultinjection/SlowStartCapacity.java
@@ -41,12 +41,12 @@
             recent.poll();
         }
         double sum = recent.stream().mapToInt(Call::shardRequests).sum();
-        double most = overload(nowMs - startedAtMs);
+        double limit = overloadLimit(nowMs - startedAtMs);
         boolean isWarm = nowMs - startedAtMs >= model.slowStartMs();
-        return isWarm || sum <= most + 3 * Math.sqrt(most) + 3;
+        return isWarm || sum <= limit + 3 * Math.sqrt(limit) + 3;
     }
 
-    private double overload(long ageMs) {
+    private double overloadLimit(long ageMs) {
         double ramp =
                 Math.min(
                         1,
--- a/src/main/java/reeldeal/faultinjection/StoreBenchmark.java
+++ b/src/main/java/reeldeal/faultinjection/StoreBenchmark.java
@@ -56,7 +56,7 @@
                                         folder.resolve(node),
                                         null,
                                         1),
-                                l -> {});
+                                leader -> {});
                 store.groupCommit(groupCommit);
                 stores.put(node, store);
                 loops.put(node, loop);
@@ -64,7 +64,7 @@
             }
         }
 
-        String writer() throws Exception {
+        String awaitWritableNode() throws Exception {
             while (true) {
                 for (String node : stores.keySet()) {
                     if (loops.get(node).next().submit(stores.get(node)::acceptsWrites).get()) {
@@ -92,10 +92,10 @@
             for (String node : List.copyOf(stores.keySet())) {
                 kill(node);
             }
-            loops.values().forEach(l -> l.shutdownGracefully(0, 50, TimeUnit.MILLISECONDS));
+            loops.values().forEach(loop -> loop.shutdownGracefully(0, 50, TimeUnit.MILLISECONDS));
             try (Stream<Path> files = Files.walk(folder)) {
-                for (Path f : files.sorted(Comparator.reverseOrder()).toList()) {
-                    Files.delete(f);
+                for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+                    Files.delete(file);
                 }
             }
         }
@@ -106,59 +106,59 @@
     /** Commits a second by writers, with and without one flush for many. */
     public static void commits() throws Exception {
         for (int size : new int[] {3, 5}) {
-            for (boolean together : new boolean[] {true, false}) {
+            for (boolean groupCommit : new boolean[] {true, false}) {
                 for (int writers : new int[] {1, 16, 256}) {
-                    commits(size, together, writers);
+                    measureCommits(size, groupCommit, writers);
                 }
             }
         }
     }
 
-    private static void commits(int size, boolean together, int writers) throws Exception {
+    private static void measureCommits(int size, boolean groupCommit, int writers) throws Exception {
         try (Group group = new Group(size)) {
-            group.start(together);
-            String node = group.writer();
-            Histogram took = new Histogram(3);
-            long[] done = {0};
-            for (int w = 0; w < writers; w++) {
-                int writer = w;
+            group.start(groupCommit);
+            String node = group.awaitWritableNode();
+            Histogram latency = new Histogram(3);
+            long[] committed = {0};
+            for (int i = 0; i < writers; i++) {
+                int writer = i;
                 group.loops
                         .get(node)
                         .next()
                         .execute(
                                 () ->
-                                        next(
+                                        writeNext(
                                                 group,
                                                 node,
                                                 writer,
                                                 0,
                                                 System.nanoTime() + 4_000_000_000L,
-                                                took,
-                                                done));
+                                                latency,
+                                                committed));
             }
             Thread.sleep(4_500);
             System.out.printf(
                     java.util.Locale.ROOT,
                     "| %d | %s | %d | %d | %.2f | %.2f |%n",
                     size,
-                    together ? "yes" : "no",
+                    groupCommit ? "yes" : "no",
                     writers,
-                    done[0] / 4,
-                    took.getValueAtPercentile(50) / 1e6,
-                    took.getValueAtPercentile(99) / 1e6);
+                    committed[0] / 4,
+                    latency.getValueAtPercentile(50) / 1e6,
+                    latency.getValueAtPercentile(99) / 1e6);
         }
     }
 
-    private static void next(
+    private static void writeNext(
             Group group,
             String node,
             int writer,
             int count,
-            long until,
-            Histogram took,
-            long[] done) {
-        long from = System.nanoTime();
-        if (from >= until) {
+            long endNanos,
+            Histogram latency,
+            long[] committed) {
+        long sentNanos = System.nanoTime();
+        if (sentNanos >= endNanos) {
             return;
         }
         group.stores
@@ -167,32 +167,32 @@
                         List.of(new Change("k/" + writer, "value " + count)),
                         result -> {
                             if (result instanceof StoreNode.Committed) {
-                                took.recordValue(System.nanoTime() - from);
-                                done[0]++;
+                                latency.recordValue(System.nanoTime() - sentNanos);
+                                committed[0]++;
                                 group.loops
                                         .get(node)
                                         .next()
                                         .execute(
                                                 () ->
-                                                        next(
+                                                        writeNext(
                                                                 group, node, writer, count + 1,
-                                                                until, took, done));
+                                                                endNanos, latency, committed));
                             }
                         });
     }
 
     /** From the leader's death to the next commit. */
     public static void death() throws Exception {
-        List<Long> times = new ArrayList<>();
+        List<Long> failoverMs = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             try (Group group = new Group(3)) {
                 group.start(true);
-                String dead = group.writer();
+                String killedLeader = group.awaitWritableNode();
                 Thread.sleep(300);
-                group.kill(dead);
-                long from = System.nanoTime();
-                String node = group.writer();
-                boolean[] done = {false};
+                group.kill(killedLeader);
+                long killedNanos = System.nanoTime();
+                String node = group.awaitWritableNode();
+                boolean[] committed = {false};
                 group.loops
                         .get(node)
                         .next()
@@ -202,29 +202,29 @@
                                                 .get(node)
                                                 .write(
                                                         List.of(new Change("k", "v")),
-                                                        r ->
-                                                                done[0] =
-                                                                        r
+                                                        result ->
+                                                                committed[0] =
+                                                                        result
                                                                                 instanceof
                                                                                 StoreNode
                                                                                         .Committed))
                         .sync();
-                while (!group.loops.get(node).next().submit(() -> done[0]).get()) {
+                while (!group.loops.get(node).next().submit(() -> committed[0]).get()) {
                     Thread.sleep(1);
                 }
-                times.add((System.nanoTime() - from) / 1_000_000);
+                failoverMs.add((System.nanoTime() - killedNanos) / 1_000_000);
             }
         }
-        times.sort(null);
+        failoverMs.sort(null);
         System.out.println(
                 "from the leader's death to the next commit, 10 times: median "
-                        + times.get(5)
+                        + failoverMs.get(5)
                         + ", most "
-                        + times.get(9)
+                        + failoverMs.get(9)
                         + " ms");
     }
 
-    private static long heap() throws Exception {
+    private static long usedHeapKiB() throws Exception {
         System.gc();
         Thread.sleep(300);
         return (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 10;
@@ -233,7 +233,7 @@
     /** A start with so many keys, and writes during a compaction. */
     public static void keys(int count) throws Exception {
         try (Group group = new Group(1)) {
-            long empty = heap();
+            long emptyHeapKiB = usedHeapKiB();
             KeyValueState state = new KeyValueState();
             List<Change> changes = new ArrayList<>();
             for (int i = 0; i < count; i++) {
@@ -249,63 +249,63 @@
                     changes.clear();
                 }
             }
-            Path file = group.folder.resolve("backup");
-            Backup.write(file, state.freeze());
-            Backup.restore(file, group.folder.resolve("n0"), "m", "n0", java.util.Set.of("n0"));
+            Path backup = group.folder.resolve("backup");
+            Backup.write(backup, state.freeze());
+            Backup.restore(backup, group.folder.resolve("n0"), "m", "n0", java.util.Set.of("n0"));
             state = null;
-            long from = System.nanoTime();
+            long startNanos = System.nanoTime();
             group.start(true);
-            group.writer();
+            group.awaitWritableNode();
             System.out.println(
                     count
                             + " keys: started and writing after "
-                            + (System.nanoTime() - from) / 1_000_000
+                            + (System.nanoTime() - startNanos) / 1_000_000
                             + " ms, snapshot "
-                            + Files.size(file) / 1024
+                            + Files.size(backup) / 1024
                             + " KiB, heap "
-                            + (heap() - empty)
+                            + (usedHeapKiB() - emptyHeapKiB)
                             + " KiB");
             EventLoopGroup loop = group.loops.get("n0");
-            Histogram lag = new Histogram(3);
-            long[] due = {System.nanoTime()};
+            Histogram loopDelay = new Histogram(3);
+            long[] dueNanos = {System.nanoTime()};
             loop.next()
                     .execute(
                             new Runnable() {
                                 @Override
                                 public void run() {
                                     long now = System.nanoTime();
-                                    lag.recordValue(Math.max(0, now - due[0]));
-                                    due[0] = now + 1_000_000;
+                                    loopDelay.recordValue(Math.max(0, now - dueNanos[0]));
+                                    dueNanos[0] = now + 1_000_000;
                                     loop.next().schedule(this, 1_000_000, TimeUnit.NANOSECONDS);
                                 }
                             });
             Thread.sleep(1_000);
-            long before = lag.getMaxValue();
-            Histogram took = new Histogram(3);
-            long[] done = {0};
-            loop.next().submit(lag::reset).sync();
+            long maxIdleDelay = loopDelay.getMaxValue();
+            Histogram latency = new Histogram(3);
+            long[] committed = {0};
+            loop.next().submit(loopDelay::reset).sync();
             loop.next()
                     .execute(
                             () ->
-                                    next(
+                                    writeNext(
                                             group,
                                             "n0",
                                             1,
                                             0,
                                             System.nanoTime() + 6_000_000_000L,
-                                            took,
-                                            done));
+                                            latency,
+                                            committed));
             Thread.sleep(500);
             loop.next().submit(group.stores.get("n0")::compactNow).sync();
             Thread.sleep(6_000);
             System.out.printf(
                     java.util.Locale.ROOT,
                     "loop late by at most %.1f ms idle, %.1f ms with a compaction; writes meanwhile p50 %.2f p99 %.2f max %.1f ms%n",
-                    before / 1e6,
-                    lag.getMaxValue() / 1e6,
-                    took.getValueAtPercentile(50) / 1e6,
-                    took.getValueAtPercentile(99) / 1e6,
-                    took.getMaxValue() / 1e6);
+                    maxIdleDelay / 1e6,
+                    loopDelay.getMaxValue() / 1e6,
+                    latency.getValueAtPercentile(50) / 1e6,
+                    latency.getValueAtPercentile(99) / 1e6,
+                    latency.getMaxValue() / 1e6);
         }
     }
 }
--- a/src/main/java/reeldeal/faultinjection/TimelineChart.java
+++ b/src/main/java/reeldeal/faultinjection/TimelineChart.java
@@ -56,7 +56,7 @@
     }
 
     /** A phase that has begun. */
-    private record Begun(Phase phase, long at) {}
+    private record PhaseStart(Phase phase, long at) {}
 
     /** The answers of one second. */
     private static final class Answers {
@@ -117,25 +117,25 @@
     }
 
     private void drawPhases() {
-        Map<String, Begun> current = new HashMap<>();
+        Map<String, PhaseStart> current = new HashMap<>();
         for (History.Event event : events) {
             Phase phase = Phase.of(event);
             if (phase != null && brokers.contains(event.who())) {
                 drawPhase(event.who(), current.get(event.who()), event.at());
-                current.put(event.who(), new Begun(phase, event.at()));
+                current.put(event.who(), new PhaseStart(phase, event.at()));
             }
         }
-        current.forEach((broker, begun) -> drawPhase(broker, begun, endMs));
+        current.forEach((broker, start) -> drawPhase(broker, start, endMs));
     }
 
-    private void drawPhase(String broker, Begun begun, long until) {
-        if (begun == null) {
+    private void drawPhase(String broker, PhaseStart start, long end) {
+        if (start == null) {
             return;
         }
-        double width = Math.max(0.5, (until - begun.at()) * scale);
+        double width = Math.max(0.5, (end - start.at()) * scale);
         int top = brokers.indexOf(broker) * ROW_HEIGHT + 3;
         rectangle(
-                LABEL_WIDTH + begun.at() * scale, top, width, ROW_HEIGHT - 5, begun.phase().colour);
+                LABEL_WIDTH + start.at() * scale, top, width, ROW_HEIGHT - 5, start.phase().colour);
     }
 
     private void drawShares() {
--- a/src/main/java/reeldeal/faultinjection/ZoneBenchmark.java
+++ b/src/main/java/reeldeal/faultinjection/ZoneBenchmark.java
@@ -29,8 +29,8 @@
 public final class ZoneBenchmark implements AutoCloseable {
     private static final String ORIGIN = "big.test.";
     private static final int SEARCHERS = 12;
-    private static final int START_MS = 120_000;
-    private static final long RATE_NS = 5_000_000_000L;
+    private static final int START_TIMEOUT_MS = 120_000;
+    private static final long MEASURED_NS = 5_000_000_000L;
 
     private final Path folder = Files.createTempDirectory("measure");
     private final History history = new History(folder.resolve("history.txt"));
@@ -38,16 +38,16 @@
     private final BrokerProcess broker;
     private final Consumer<String> out;
     private final int hosts;
-    private final int dns;
-    private final Histogram health = new Histogram(3);
-    private volatile boolean stop;
+    private final int dnsPort;
+    private final Histogram healthLatency = new Histogram(3);
+    private volatile boolean stopped;
 
     /** A zone of so many records; lines of results go to {@code out}. */
     public ZoneBenchmark(int records, Path jar, Consumer<String> out) throws Exception {
         this.out = out;
         hosts = Math.max(1, (records - 2 - 3 * SEARCHERS) / 2);
-        dns = ports.free.get(1);
-        Path zone = Files.writeString(folder.resolve("zone"), zone());
+        dnsPort = ports.free.get(1);
+        Path zone = Files.writeString(folder.resolve("zone"), zoneText());
         Path store =
                 Files.writeString(
                         folder.resolve("store.json"),
@@ -56,7 +56,7 @@
                                 + "\",\"nodes\":{\"a\":\"127.0.0.1:"
                                 + ports.free.get(2)
                                 + "\"},\"dns\":{\"listen\":\"127.0.0.1:"
-                                + dns
+                                + dnsPort
                                 + "\",\"idle_ms\":600000,\"members\":{\"flap_limit\":100000},\"origin\":\""
                                 + ORIGIN
                                 + "\",\"zone_file\":\""
@@ -67,13 +67,13 @@
             Files.write(config, in.readAllBytes());
         }
         List<String> program = new ArrayList<>(BrokerProcess.commandFor(jar));
-        program.replaceAll(w -> w.equals("-Xmx96m") ? "-Xmx512m" : w);
+        program.replaceAll(word -> word.equals("-Xmx96m") ? "-Xmx512m" : word);
         broker =
                 new BrokerProcess(
                         "a",
                         ports.free.get(0),
                         ports.free.get(2),
-                        dns,
+                        dnsPort,
                         program,
                         Map.of(
                                 "LB_CONFIG",
@@ -88,7 +88,7 @@
     }
 
     /** Twelve searchers, and hosts with an address and a text each. */
-    private String zone() {
+    private String zoneText() {
         StringBuilder zone =
                 new StringBuilder("$TTL 60\n@ SOA ns ops 1 3600 60 86400 30\n@ NS ns\n");
         for (int i = 1; i <= SEARCHERS; i++) {
@@ -132,9 +132,9 @@
     /** Measures all there is. */
     public void run() throws Exception {
         broker.start();
-        long from = System.nanoTime();
-        while (!answers() || !broker.isServing()) {
-            if ((System.nanoTime() - from) / 1_000_000 > START_MS) {
+        long startNanos = System.nanoTime();
+        while (!answersQueries() || !broker.isServing()) {
+            if ((System.nanoTime() - startNanos) / 1_000_000 > START_TIMEOUT_MS) {
                 throw new IllegalStateException("does not serve; see " + folder);
             }
             Thread.sleep(20);
@@ -143,60 +143,60 @@
                 "zone of "
                         + (2 + 3 * SEARCHERS + 2 * hosts)
                         + " records served after "
-                        + (System.nanoTime() - from) / 1_000_000
+                        + (System.nanoTime() - startNanos) / 1_000_000
                         + " ms, "
                         + broker.resourceUsage());
-        DaemonThreads.start(this::askHealth);
+        DaemonThreads.start(this::pollHealth);
         Thread.sleep(2_000);
-        told("idle, 2 s");
-        try (ZoneClient client = new ZoneClient(dns)) {
-            Histogram alone = new Histogram(3);
+        report("idle, 2 s");
+        try (ZoneClient client = new ZoneClient(dnsPort)) {
+            Histogram updateLatency = new Histogram(3);
             for (int i = 0; i < 400; i++) {
                 byte[] update = update(i);
                 long sent = System.nanoTime();
                 client.send(update);
                 client.read();
                 if (i >= 100) {
-                    alone.recordValue(System.nanoTime() - sent);
+                    updateLatency.recordValue(System.nanoTime() - sent);
                 }
             }
-            told("update alone over TCP: " + ms(alone));
-            told("updates a second, 16 connections, 8 each out: " + rate());
-            told("queries a second over UDP, 4 askers, 16 each out: " + queries());
+            report("update alone over TCP: " + percentiles(updateLatency));
+            report("updates a second, 16 connections, 8 each out: " + updatesPerSecond());
+            report("queries a second over UDP, 4 askers, 16 each out: " + queriesPerSecond());
             long serial = client.serial(ORIGIN);
             for (int i = 0; i < 10; i++) {
                 client.send(update(i));
                 client.read();
             }
             long[] axfr = client.stream(ZoneClient.question(ORIGIN, Rr.AXFR));
-            told("AXFR: " + axfr[0] + " bytes in " + axfr[1] + " ms");
+            report("AXFR: " + axfr[0] + " bytes in " + axfr[1] + " ms");
             var ixfr = ZoneClient.question(ORIGIN, Rr.IXFR);
             ixfr.add(2, ZoneClient.soa(ORIGIN, serial));
             long[] changes = client.stream(ixfr);
-            told("IXFR of 10 updates: " + changes[0] + " bytes in " + changes[1] + " ms");
+            report("IXFR of 10 updates: " + changes[0] + " bytes in " + changes[1] + " ms");
         }
         out.accept("at the end " + broker.resourceUsage());
     }
 
-    private boolean answers() {
-        try (ZoneClient client = new ZoneClient(dns)) {
+    private boolean answersQueries() {
+        try (ZoneClient client = new ZoneClient(dnsPort)) {
             return client.serial(ORIGIN) > 0;
         } catch (java.io.IOException e) {
             return false; // not yet
         }
     }
 
-    private void askHealth() throws Exception {
-        while (!stop) {
+    private void pollHealth() throws Exception {
+        while (!stopped) {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), ports.free.get(0))) {
                 socket.setTcpNoDelay(true);
-                OutputStream to = socket.getOutputStream();
-                while (!stop) {
-                    long from = System.nanoTime();
-                    to.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(UTF_8));
+                OutputStream output = socket.getOutputStream();
+                while (!stopped) {
+                    long sentNanos = System.nanoTime();
+                    output.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(UTF_8));
                     TextCodec.http(socket.getInputStream());
-                    synchronized (health) {
-                        health.recordValue(System.nanoTime() - from);
+                    synchronized (healthLatency) {
+                        healthLatency.recordValue(System.nanoTime() - sentNanos);
                     }
                     Thread.sleep(1);
                 }
@@ -204,7 +204,7 @@
         }
     }
 
-    private static String ms(Histogram histogram) {
+    private static String percentiles(Histogram histogram) {
         return String.format(
                 Locale.ROOT,
                 "p50 %.2f p99 %.2f max %.2f ms",
@@ -213,17 +213,17 @@
                 histogram.getMaxValue() / 1e6);
     }
 
-    private void told(String what) {
-        synchronized (health) {
-            out.accept(what + "; health meanwhile: " + ms(health));
-            health.reset();
+    private void report(String result) {
+        synchronized (healthLatency) {
+            out.accept(result + "; health meanwhile: " + percentiles(healthLatency));
+            healthLatency.reset();
         }
     }
 
-    private static void together(int threads, DaemonThreads.Task work) throws InterruptedException {
-        List<Thread> all = new ArrayList<>();
+    private static void runInParallel(int threads, DaemonThreads.Task work) throws InterruptedException {
+        List<Thread> started = new ArrayList<>();
         for (int i = 0; i < threads; i++) {
-            Thread t =
+            Thread thread =
                     new Thread(
                             () -> {
                                 try {
@@ -232,72 +232,72 @@
                                     throw new IllegalStateException(e);
                                 }
                             });
-            t.start();
-            all.add(t);
+            thread.start();
+            started.add(thread);
         }
-        for (Thread t : all) {
-            t.join();
+        for (Thread thread : started) {
+            thread.join();
         }
     }
 
-    private long rate() throws Exception {
+    private long updatesPerSecond() throws Exception {
         AtomicLong next = new AtomicLong();
         AtomicLong done = new AtomicLong();
-        long from = System.nanoTime();
-        together(
+        long startNanos = System.nanoTime();
+        runInParallel(
                 16,
                 () -> {
-                    try (ZoneClient line = new ZoneClient(dns)) {
-                        int open = 0;
-                        while (System.nanoTime() - from < RATE_NS || open > 0) {
-                            for (; open < 8 && System.nanoTime() - from < RATE_NS; open++) {
-                                line.send(update(next.getAndIncrement()));
+                    try (ZoneClient client = new ZoneClient(dnsPort)) {
+                        int outstanding = 0;
+                        while (System.nanoTime() - startNanos < MEASURED_NS || outstanding > 0) {
+                            for (; outstanding < 8 && System.nanoTime() - startNanos < MEASURED_NS; outstanding++) {
+                                client.send(update(next.getAndIncrement()));
                             }
-                            line.read();
-                            open--;
+                            client.read();
+                            outstanding--;
                             done.incrementAndGet();
                         }
                     }
                 });
-        return done.get() * 1_000_000_000L / (System.nanoTime() - from);
+        return done.get() * 1_000_000_000L / (System.nanoTime() - startNanos);
     }
 
-    private String queries() throws Exception {
+    private String queriesPerSecond() throws Exception {
         AtomicLong done = new AtomicLong();
         AtomicLong lost = new AtomicLong();
-        long from = System.nanoTime();
-        InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), dns);
-        together(
+        long startNanos = System.nanoTime();
+        InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), dnsPort);
+        runInParallel(
                 4,
                 () -> {
                     try (DatagramSocket socket = new DatagramSocket()) {
                         socket.setSoTimeout(1_000);
-                        DatagramPacket got = new DatagramPacket(new byte[1_500], 1_500);
-                        int open = 0;
-                        for (int count = 0; System.nanoTime() - from < RATE_NS; count++) {
-                            for (; open < 16; open++) {
-                                byte[] q =
+                        DatagramPacket response = new DatagramPacket(new byte[1_500], 1_500);
+                        int outstanding = 0;
+                        for (int count = 0; System.nanoTime() - startNanos < MEASURED_NS; count++) {
+                            for (; outstanding < 16; outstanding++) {
+                                byte[] question =
                                         ZoneClient.question(
                                                         "h"
-                                                                + (count + open) * 31L % hosts
+                                                                + (count + outstanding) * 31L % hosts
                                                                 + "."
                                                                 + ORIGIN,
                                                         Rr.A)
                                                 .toBytes();
-                                socket.send(new DatagramPacket(q, q.length, address));
+                                socket.send(new DatagramPacket(question, question.length, address));
                             }
                             try {
-                                socket.receive(got);
-                                open--;
+                                socket.receive(response);
+                                outstanding--;
                                 done.incrementAndGet();
                             } catch (SocketTimeoutException e) {
-                                lost.addAndGet(open);
-                                open = 0;
+                                lost.addAndGet(outstanding);
+                                outstanding = 0;
                             }
                         }
                     }
                 });
-        return done.get() * 1_000_000_000L / (System.nanoTime() - from)
+        return done.get() * 1_000_000_000L / (System.nanoTime() - startNanos)
                 + ", "
                 + lost.get()
                 + " lost";
@@ -305,7 +305,7 @@
 
     @Override
     public void close() throws Exception {
-        stop = true;
+        stopped = true;
         broker.close();
         ports.close();
         history.close();
--- a/src/main/java/reeldeal/faultinjection/ZoneClient.java
+++ b/src/main/java/reeldeal/faultinjection/ZoneClient.java
@@ -19,7 +19,7 @@
  * several out where wanted.
  */
 final class ZoneClient implements AutoCloseable {
-    private static final int MAX_MESSAGE = 65_000;
+    private static final int MAX_MESSAGE_BYTES = 65_000;
     private static final int TIMEOUT_MS = 120_000;
 
     private final Socket socket;
@@ -58,7 +58,7 @@
 
     /** A question. */
     static MessageWriter question(String name, int type) {
-        return new MessageWriter(1, 0, MAX_MESSAGE).question(name, type, Rr.IN);
+        return new MessageWriter(1, 0, MAX_MESSAGE_BYTES).question(name, type, Rr.IN);
     }
 
     /**
@@ -66,7 +66,7 @@
      */
     static byte[] update(String origin, List<String> actions) {
         MessageWriter writer =
-                new MessageWriter(1, Message.UPDATE << 11, MAX_MESSAGE)
+                new MessageWriter(1, Message.UPDATE << 11, MAX_MESSAGE_BYTES)
                         .question(origin, Rr.SOA, Rr.IN);
         try {
             for (String action : actions) {
@@ -93,14 +93,14 @@
         send(question(origin, Rr.SOA).toBytes());
         try {
             byte[] soa = Message.parse(read()).answers().get(0).data();
-            int at =
+            int serialOffset =
                     soa.length
                             - 20; // serial, refresh, retry, expire, minimum come last, four bytes
             // each
-            return (soa[at] & 0xffL) << 24
-                    | (soa[at + 1] & 0xff) << 16
-                    | (soa[at + 2] & 0xff) << 8
-                    | (soa[at + 3] & 0xff);
+            return (soa[serialOffset] & 0xffL) << 24
+                    | (soa[serialOffset + 1] & 0xff) << 16
+                    | (soa[serialOffset + 2] & 0xff) << 8
+                    | (soa[serialOffset + 3] & 0xff);
         } catch (Message.Malformed e) {
             throw new IOException("not a message: " + e.getMessage());
         }
--- a/src/main/java/reeldeal/faultinjection/ZoneScriptReplay.java
+++ b/src/main/java/reeldeal/faultinjection/ZoneScriptReplay.java
@@ -24,23 +24,23 @@
     private static final String ORIGIN = "tartu.example.org.";
     private static final int CELLS = 4;
     private static final int CLIENTS = 16;
-    private static final int PER_SECOND = 240;
+    private static final int QUERIES_PER_SECOND = 240;
     private static final int SERVICE_MS =
             40; // so that several are out at once, and each searcher has its share
-    private static final int START_MS = 60_000;
-    private static final int SERVED_MS = 10_000;
+    private static final int START_TIMEOUT_MS = 60_000;
+    private static final int SERVED_TIMEOUT_MS = 10_000;
 
     private final Path folder;
     private final Path jar;
     private final History history;
     private final PortRange ports = new PortRange(6);
     private final List<FakeSearcher> searchers = new ArrayList<>();
-    private final Map<String, Long> lastPart = new ConcurrentHashMap<>();
+    private final Map<String, Long> lastRequestAt = new ConcurrentHashMap<>();
     private final List<BrokerProcess> processes = new ArrayList<>();
     private ZoneClient client;
     private LoadGenerator load;
     private boolean throughPrimary;
-    private long answeredAt;
+    private long updateAnsweredAt;
 
     /**
      * A replay that leaves its history in a folder; {@code jar} is null for processes of this JVM's
@@ -55,7 +55,7 @@
 
     /** Plays a script to its end. */
     public ScenarioRunner.Result play(List<String> script) throws Exception {
-        steps(script, 0, script.size(), "");
+        playSteps(script, 0, script.size(), "");
         load.close();
         history.close();
         InvariantChecker.Verdict verdict =
@@ -63,34 +63,34 @@
         return new ScenarioRunner.Result(verdict.violations(), verdict.figures(), folder);
     }
 
-    private void steps(List<String> script, int from, int to, String round) throws Exception {
+    private void playSteps(List<String> script, int from, int to, String round) throws Exception {
         for (int i = from; i < to; i++) {
             String[] words = script.get(i).trim().replace("$i", round).split(" ", 2);
             String rest = words.length > 1 ? words[1].trim() : "";
             switch (words[0]) {
                 case "", "#" -> {}
-                case "searchers" -> start(Integer.parseInt(rest));
+                case "searchers" -> startProcesses(Integer.parseInt(rest));
                 case "primary" -> throughPrimary = true;
                 case "repeat" -> {
                     int end = i + 1;
                     while (!script.get(end).trim().equals("end")) {
                         end++;
                     }
-                    for (int n = 1; n <= Integer.parseInt(rest); n++) {
-                        steps(script, i + 1, end, String.valueOf(1 + (n - 1) % searchers.size()));
+                    for (int repetition = 1; repetition <= Integer.parseInt(rest); repetition++) {
+                        playSteps(script, i + 1, end, String.valueOf(1 + (repetition - 1) % searchers.size()));
                     }
                     i = end;
                 }
                 case "update" -> update(rest);
-                case "drained" -> history.add(answeredAt, rest, "drained", "");
+                case "drained" -> history.add(updateAnsweredAt, rest, "drained", "");
                 case "back" -> history.add(rest, "undrained", "");
                 case "wait" -> Thread.sleep(Long.parseLong(rest));
                 case "served" -> {
                     long since = history.now();
-                    until(
-                            SERVED_MS,
+                    await(
+                            SERVED_TIMEOUT_MS,
                             rest + " is served a part",
-                            () -> lastPart.getOrDefault(rest, -1L) >= since);
+                            () -> lastRequestAt.getOrDefault(rest, -1L) >= since);
                 }
                 default ->
                         throw new IllegalArgumentException(
@@ -100,14 +100,14 @@
     }
 
     private interface Condition {
-        boolean now() throws Exception;
+        boolean isMet() throws Exception;
     }
 
-    private void until(long ms, String what, Condition holds) throws Exception {
-        long end = history.now() + ms;
-        while (!holds.now()) {
+    private void await(long timeoutMs, String description, Condition condition) throws Exception {
+        long end = history.now() + timeoutMs;
+        while (!condition.isMet()) {
             if (history.now() > end) {
-                history.add("drill", "broken", "waited " + ms + " ms in vain: " + what);
+                history.add("drill", "broken", "waited " + timeoutMs + " ms in vain: " + description);
                 return;
             }
             Thread.sleep(5);
@@ -115,30 +115,30 @@
     }
 
     private void update(String actions) throws IOException {
-        String filled = actions;
+        String withPorts = actions;
         for (int i = searchers.size(); i > 0; i--) {
-            filled = filled.replace("PORT:" + i + " ", searchers.get(i - 1).port() + " ");
+            withPorts = withPorts.replace("PORT:" + i + " ", searchers.get(i - 1).port() + " ");
         }
-        client.send(ZoneClient.update(ORIGIN, List.of(filled.split(";"))));
+        client.send(ZoneClient.update(ORIGIN, List.of(withPorts.split(";"))));
         client.read();
-        answeredAt = history.now();
+        updateAnsweredAt = history.now();
     }
 
-    private void start(int count) throws Exception {
+    private void startProcesses(int count) throws Exception {
         StringBuilder zone =
                 new StringBuilder("$TTL 60\n@ SOA ns ops 1 3600 1 86400 30\n@ NS ns\n");
         for (int i = 1; i <= count; i++) {
             String name = "s" + i;
-            FakeSearcher s =
+            FakeSearcher searcher =
                     new FakeSearcher(
                             SERVICE_MS,
-                            part -> {
-                                lastPart.put(name, history.now());
-                                history.add(name, "part", part);
+                            shardRequest -> {
+                                lastRequestAt.put(name, history.now());
+                                history.add(name, "part", shardRequest);
                             });
-            searchers.add(s);
+            searchers.add(searcher);
             zone.append("_searcher._tcp SRV 0 0 ")
-                    .append(s.port())
+                    .append(searcher.port())
                     .append(' ')
                     .append(name)
                     .append('\n')
@@ -151,33 +151,33 @@
         }
         String file =
                 "\"file\":\"" + Files.writeString(folder.resolve("zone"), zone.toString()) + "\"";
-        int[] dns = {ports.free.get(0), ports.free.get(1)};
-        String broker =
+        int[] dnsPorts = {ports.free.get(0), ports.free.get(1)};
+        String brokerZone =
                 throughPrimary
-                        ? "\"primaries\":[{\"address\":\"127.0.0.1:" + dns[1] + "\"}]"
+                        ? "\"primaries\":[{\"address\":\"127.0.0.1:" + dnsPorts[1] + "\"}]"
                         : file;
         if (throughPrimary) {
             processes.add(
-                    process(
+                    newProcess(
                             "p",
                             1,
-                            file + ",\"notify\":[{\"address\":\"127.0.0.1:" + dns[0] + "\"}]"));
+                            file + ",\"notify\":[{\"address\":\"127.0.0.1:" + dnsPorts[0] + "\"}]"));
         }
-        processes.add(process("b", 0, broker));
-        for (BrokerProcess b : processes) {
-            b.start();
+        processes.add(newProcess("b", 0, brokerZone));
+        for (BrokerProcess process : processes) {
+            process.start();
         }
-        BrokerProcess asked = processes.get(processes.size() - 1);
-        until(START_MS, "all serve", () -> processes.stream().allMatch(BrokerProcess::isServing));
+        BrokerProcess queriedBroker = processes.get(processes.size() - 1);
+        await(START_TIMEOUT_MS, "all serve", () -> processes.stream().allMatch(BrokerProcess::isServing));
         client = new ZoneClient(processes.get(0).dnsPort);
-        load = new LoadGenerator(List.of(asked), CELLS * 3, PER_SECOND, CLIENTS, history);
-        until(START_MS, "parts come to half of the searchers", () -> lastPart.size() * 2 >= count);
+        load = new LoadGenerator(List.of(queriedBroker), CELLS * 3, QUERIES_PER_SECOND, CLIENTS, history);
+        await(START_TIMEOUT_MS, "parts come to half of the searchers", () -> lastRequestAt.size() * 2 >= count);
     }
 
-    private BrokerProcess process(String name, int at, String zone) throws IOException {
-        int dns = ports.free.get(at);
-        int store = ports.free.get(2 + at);
-        int platform = ports.free.get(4 + at);
+    private BrokerProcess newProcess(String name, int index, String zoneSource) throws IOException {
+        int dnsPort = ports.free.get(index);
+        int storePort = ports.free.get(2 + index);
+        int platformPort = ports.free.get(4 + index);
         Path file =
                 Files.writeString(
                         folder.resolve(name + ".json"),
@@ -188,13 +188,13 @@
                                 + "\",\"nodes\":{\""
                                 + name
                                 + "\":\"127.0.0.1:"
-                                + store
+                                + storePort
                                 + "\"},\"dns\":{\"listen\":\"127.0.0.1:"
-                                + dns
+                                + dnsPort
                                 + "\",\"idle_ms\":600000,\"zones\":[{\"origin\":\""
                                 + ORIGIN
                                 + "\",\"searchers\":true,"
-                                + zone
+                                + zoneSource
                                 + "}],\"members\":{\"flap_limit\":100000}}}");
         Path config = folder.resolve("broker.json");
         try (InputStream in = ZoneScriptReplay.class.getResourceAsStream("broker.json")) {
@@ -206,9 +206,9 @@
         }
         return new BrokerProcess(
                 name,
-                platform,
-                store,
-                dns,
+                platformPort,
+                storePort,
+                dnsPort,
                 BrokerProcess.commandFor(jar),
                 Map.of(
                         "LB_CONFIG",
@@ -216,7 +216,7 @@
                         "LB_NAME",
                         name,
                         "LB_LISTEN",
-                        "127.0.0.1:" + platform,
+                        "127.0.0.1:" + platformPort,
                         "REELDEAL_STORE",
                         file.toString()),
                 history);
@@ -227,11 +227,11 @@
         if (client != null) {
             client.close();
         }
-        for (BrokerProcess b : processes) {
-            b.close();
+        for (BrokerProcess process : processes) {
+            process.close();
         }
-        for (FakeSearcher s : searchers) {
-            s.close();
+        for (FakeSearcher searcher : searchers) {
+            searcher.close();
         }
         ports.close();
         history.close();
--- a/src/test/java/reeldeal/faultinjection/ZoneScriptReplayTest.java
+++ b/src/test/java/reeldeal/faultinjection/ZoneScriptReplayTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void noPartGoesToADrainedSearcherAndEachQueryHasOneAnswer() throws Exception {
+    public void noShardRequestGoesToADrainedSearcherAndEachQueryHasOneAnswer() throws Exception {
         try (ZoneScriptReplay replay =
                 new ZoneScriptReplay(folder.getRoot().toPath().resolve("run"), null)) {
             ScenarioRunner.Result result = replay.play(Files.readAllLines(script));
