--- a/src/main/java/reeldeal/faultinjection/AnswerChecker.java
+++ b/src/main/java/reeldeal/faultinjection/AnswerChecker.java
@@ -6,12 +6,21 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Each query has one answer; only a broker that was killed or paused meanwhile may owe one. */
+/**
+ * Checks that each query has exactly one answer. An answer may be missing only if the broker that
+ * was asked was killed or paused while the query was outstanding.
+ */
 final class AnswerChecker {
-    /** A process' last line may be read after its clients' connections have ended, ms. */
+    /**
+     * How long before its last log line was read a process may have closed its clients'
+     * connections, ms.
+     */
     private static final long LAST_LINE_DELAY_MS = 500;
 
-    /** A time in which a broker was down or paused; {@code until} is Long.MAX_VALUE while it is. */
+    /**
+     * A period in which a broker was down or paused; {@code until} is Long.MAX_VALUE for one that
+     * has not ended.
+     */
     private record Outage(long from, long until) {
         boolean overlaps(long start, long end) {
             return from <= end && until >= start;
@@ -46,7 +55,13 @@
                 recordAnswer(event);
             }
         }
-        unanswered.values().forEach(ask -> findings.addViolation("never answered: " + ask.rest()));
+        unanswered
+                .values()
+                .forEach(
+                        ask ->
+                                findings.addViolation(
+                                        "query without an answer at the end of the history: "
+                                                + ask.rest()));
         addFigures();
     }
 
@@ -69,14 +84,14 @@
     private void recordQuery(History.Event event) {
         asked++;
         if (unanswered.put(event.attribute("id"), event) != null) {
-            findings.addViolation("asked twice: " + event.rest());
+            findings.addViolation("query asked again while it was unanswered: " + event.rest());
         }
     }
 
     private void recordAnswer(History.Event event) {
         History.Event ask = unanswered.remove(event.attribute("id"));
         if (ask == null) {
-            findings.addViolation("a second answer: " + event.rest());
+            findings.addViolation("answer to a query that is not outstanding: " + event.rest());
             return;
         }
         boolean excused =
@@ -86,16 +101,17 @@
             lost++;
             if (!excused) {
                 findings.addViolation(
-                        "no answer from a broker that was neither killed nor paused, asked at "
+                        "no answer from a broker that was neither killed nor paused to the query asked at "
                                 + ask.at()
-                                + ": "
+                                + " ms: "
                                 + event.rest());
             }
             return;
         }
         complete += event.rest().contains("whole=true") ? 1 : 0;
         rejected += event.rest().contains("status=429") ? 1 : 0;
-        longestAnswerMs = excused ? longestAnswerMs : Math.max(longestAnswerMs, event.at() - ask.at());
+        longestAnswerMs =
+                excused ? longestAnswerMs : Math.max(longestAnswerMs, event.at() - ask.at());
     }
 
     private void addFigures() {
--- a/src/main/java/reeldeal/faultinjection/CommitChecker.java
+++ b/src/main/java/reeldeal/faultinjection/CommitChecker.java
@@ -12,8 +12,9 @@
 import reeldeal.fleet.FormAttributes;
 
 /**
- * The rules of the fleet over the store's log: permits within the budget, slots freed by evidence,
- * steps of a running rollout.
+ * Checks the fleet's rules over the commits of the store's log: planned permits stay within the
+ * disruption budget, a broker's permit is released only when the broker is seen to serve again, and
+ * steps of a rollout disrupt members only while it is running.
  */
 final class CommitChecker {
     private final List<History.Event> events;
@@ -45,7 +46,7 @@
         recoveryChecker.check();
     }
 
-    /** The fleet after a commit. */
+    /** Applies a commit, checks what it changed, and returns the fleet after it. */
     private FleetView applyCommit(FleetView before, FormAttributes applyCommit) {
         commits++;
         Map<String, String> changes = applyCommit.all();
@@ -65,7 +66,7 @@
         return after;
     }
 
-    /** A change is {@code +VALUE}, or {@code -} for a key that was removed. */
+    /** Applies the change of one key: {@code +VALUE}, or {@code -} for a key that was removed. */
     private void apply(String key, String change, long version) {
         if (!key.startsWith(FleetView.ROOT)) {
             return;
@@ -95,7 +96,7 @@
                         planned
                                 + " "
                                 + kind.lowerCase()
-                                + "s out by permits, "
+                                + "s hold planned permits, "
                                 + allowed
                                 + " allowed");
             }
@@ -121,10 +122,11 @@
             if (member.state() != State.SERVING || (sameProcess && !undrained)) {
                 addViolation(
                         version,
-                        "the slot of "
+                        "the permit of "
                                 + permit.name()
-                                + " was freed while it is "
-                                + member.state());
+                                + " was released while it is "
+                                + member.state()
+                                + ", expected SERVING, undrained or in a new process");
             }
         }
     }
@@ -141,15 +143,24 @@
             if (previous.stage() != step.stage() && disrupts && !before.release().isRunning()) {
                 addViolation(
                         version,
-                        step.name()
-                                + " goes to "
+                        "step "
+                                + step.name()
+                                + " moved to "
                                 + step.stage()
-                                + " while the release is "
-                                + before.release().progress());
+                                + " while the release was "
+                                + before.release().progress()
+                                + ", expected RUNNING");
             }
-            boolean fromDrain = previous.stage() == Stage.DRAIN || previous.stage() == Stage.RESTART;
+            boolean fromDrain =
+                    previous.stage() == Stage.DRAIN || previous.stage() == Stage.RESTART;
             if (step.stage() == Stage.RESTART && !fromDrain) {
-                addViolation(version, step.name() + " restarts from " + previous.stage());
+                addViolation(
+                        version,
+                        "step "
+                                + step.name()
+                                + " moved to RESTART from "
+                                + previous.stage()
+                                + ", expected DRAIN");
             }
         }
     }
--- a/src/main/java/reeldeal/faultinjection/CommitLogReader.java
+++ b/src/main/java/reeldeal/faultinjection/CommitLogReader.java
@@ -15,15 +15,15 @@
 import reeldeal.store.KeyValueState;
 
 /**
- * What a stopped node's folder says happened to the fleet: each commit that changed one of its
- * keys, in order.
+ * Reads from a stopped node's data directory the commits that changed keys of the fleet or records
+ * of keyed requests, in the order of the log.
  */
 final class CommitLogReader {
     private CommitLogReader() {}
 
     /**
-     * The commits as words: {@code version} and each changed key with its new value, or with {@code
-     * -} where it went.
+     * Returns each commit as form-encoded attributes: {@code version}, and each changed key with
+     * {@code +VALUE}, or with {@code -} if the key was removed. Stored configurations are left out.
      */
     static List<String> commits(Path folder, String identity, String node) throws IOException {
         List<String> commits = new ArrayList<>();
@@ -39,13 +39,16 @@
                         .filter(
                                 change ->
                                         (change.key().startsWith(FleetView.ROOT)
-                                                        || change.key().startsWith(RequestRecord.ROOT))
+                                                        || change.key()
+                                                                .startsWith(RequestRecord.ROOT))
                                                 && !change.key().startsWith(FleetView.CONFIG))
                         .forEach(
                                 change ->
                                         attributes.with(
                                                 change.key(),
-                                                change.value() == null ? "-" : "+" + change.value()));
+                                                change.value() == null
+                                                        ? "-"
+                                                        : "+" + change.value()));
                 if (attributes.all().size() > 1) {
                     commits.add(attributes.toString());
                 }
--- a/src/main/java/reeldeal/faultinjection/DisruptionChecker.java
+++ b/src/main/java/reeldeal/faultinjection/DisruptionChecker.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * How many brokers were out by an order at the same time, and how often each was restarted, by what
- * they themselves log.
+ * Checks from the brokers' own log lines how many of them were out of service by an order at the
+ * same time, and how often the release restarted each.
  */
 final class DisruptionChecker {
     private final List<History.Event> events;
@@ -63,9 +63,9 @@
             findings.addViolation(
                     "at "
                             + atMs
-                            + " ms "
+                            + " ms: "
                             + mostOutAtOnce
-                            + " brokers are out by an order, "
+                            + " brokers are out of service by an order, "
                             + allowed
                             + " allowed: "
                             + planned);
@@ -74,13 +74,19 @@
 
     private void checkRestarts() {
         boolean rolledBack =
-                events.stream().anyMatch(event -> event.is("progress") && event.rest().contains("way=back"));
+                events.stream()
+                        .anyMatch(
+                                event -> event.is("progress") && event.rest().contains("way=back"));
         int allowedRestarts = rolledBack ? 2 : 1;
         restarts.forEach(
                 (broker, times) -> {
                     if (times > allowedRestarts) {
                         findings.addViolation(
-                                broker + " was restarted " + times + " times by the release");
+                                "broker "
+                                        + broker
+                                        + " was restarted "
+                                        + times
+                                        + " times by the release, allowed are 1, or 2 if it rolled back");
                     }
                 });
     }
--- a/src/main/java/reeldeal/faultinjection/DrainChecker.java
+++ b/src/main/java/reeldeal/faultinjection/DrainChecker.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * No shard request comes to a searcher from 500 ms after its drain was answered as done, until the
- * drain was taken back or a newer process was listed.
+ * Checks that no shard request reaches a searcher later than 500 ms after its drain was answered as
+ * done, until the drain is taken back or a newer process of the searcher is listed.
  */
 final class DrainChecker {
     private static final long GRACE_MS = 500;
@@ -34,17 +34,20 @@
                 lastRequestAfterMs.merge(event.who(), afterMs, Math::max);
                 if (afterMs > GRACE_MS) {
                     findings.addViolation(
-                            "a part came to "
+                            "searcher "
                                     + event.who()
-                                    + " "
+                                    + " received a shard request "
                                     + afterMs
-                                    + " ms after its drain");
+                                    + " ms after its drain, allowed are "
+                                    + GRACE_MS
+                                    + " ms");
                 }
             }
         }
         if (!lastRequestAfterMs.isEmpty()) {
             findings.addFigure(
-                    "last part after a searcher's drain, ms (-1 for none)", lastRequestAfterMs.toString());
+                    "last part after a searcher's drain, ms (-1 for none)",
+                    lastRequestAfterMs.toString());
         }
     }
 }
--- a/src/main/java/reeldeal/faultinjection/FaultKind.java
+++ b/src/main/java/reeldeal/faultinjection/FaultKind.java
@@ -5,51 +5,54 @@
 import java.util.Optional;
 
 /**
- * What a scenario's action does. In files and histories a kind stands as its lower-case {@link
- * #key}.
+ * The kinds of actions of a scenario: faults and operators' orders. Scenario files and histories
+ * contain a kind as its lower-case {@link #key}.
  */
 public enum FaultKind {
-    /** The process is killed and started again after the action's duration. */
+    /** Kills the process and starts it again after the action's duration. */
     KILL,
-    /** The process is suspended for the action's duration. */
+    /** Suspends the process for the action's duration. */
     PAUSE,
-    /** All connections of the node to others are cut. */
+    /** Cuts all connections between the node and other nodes. */
     CUT,
-    /** The node sends and does not receive. */
+    /** Drops the frames to the node; those that it sends still arrive. */
     DEAFEN,
-    /** An operator's order, whose text is the action's target. */
+    /** Sends an operator's order, whose text is the action's target. */
     ORDER,
-    /** The process is told to end in order. */
+    /** Asks the process to shut down in an orderly way. */
     TERMINATE,
-    /** The process is started again on a disk that is full. */
+    /** Starts the process again with a disk that is full. */
     FILL,
-    /** An update of the zone at a node: {@code NODE add|delete SEARCHER}. */
+    /** Sends a node a DNS update of the zone: {@code NODE add|delete SEARCHER}. */
     ZONE,
-    /** A searcher forgets the idempotency keys that it served. */
+    /** Makes a searcher forget the idempotency keys that it has served. */
     FORGET,
-    /** All brokers and searchers, or those of one zone, lose power and come back in any order. */
+    /**
+     * Cuts the power of all brokers and searchers, or of those of one zone; they come back in any
+     * order.
+     */
     POWER,
-    /** The same, with a record torn at the end of each log. */
+    /** Cuts the power as {@link #POWER} does, and leaves a torn record at the end of each log. */
     TORN,
-    /** The data directory of a stopped node is copied. */
+    /** Copies the data directory of a stopped node. */
     KEEP,
-    /** That copy is put back. */
+    /** Puts back the copy that {@link #KEEP} made, so that the node starts from older state. */
     OLDER,
-    /** One bit of a stopped node's log is flipped. */
+    /** Flips one bit in the log of a stopped node. */
     FLIP,
-    /** A spare node takes the place of one whose data directory cannot be trusted. */
+    /** Replaces a node whose data directory cannot be trusted by a spare node. */
     REBUILD,
-    /** The node's wall clock is ahead from its next start on. */
+    /** Sets the node's wall clock ahead from its next start on. */
     AHEAD,
-    /** The node's wall clock is behind from its next start on. */
+    /** Sets the node's wall clock back from its next start on. */
     BEHIND;
 
-    /** Its name in scenario files and histories. */
+    /** Returns the name of this kind in scenario files and histories. */
     public String key() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** The kind of this name. */
+    /** Returns the kind with a {@link #key}, or empty if there is none. */
     static Optional<FaultKind> ofKey(String key) {
         return Arrays.stream(values()).filter(kind -> kind.key().equals(key)).findFirst();
     }
--- a/src/main/java/reeldeal/faultinjection/Findings.java
+++ b/src/main/java/reeldeal/faultinjection/Findings.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * What checkers found in a history: violations of the invariants, and figures by name, in the order
- * in which they were found.
+ * Collects the results of the checkers of a history: violations of the invariants, and figures by
+ * name, both in the order in which they were added.
  */
 final class Findings {
     private final List<String> violations = new ArrayList<>();
--- a/src/main/java/reeldeal/faultinjection/History.java
+++ b/src/main/java/reeldeal/faultinjection/History.java
@@ -10,23 +10,30 @@
 import reeldeal.fleet.FormAttributes;
 
 /**
- * What happened, a line an event: ms since the drill began, who, what, and the rest. Kept as a
- * file.
+ * Writes the events of a drill to a file, one line for each: ms since the drill began, the name of
+ * the process or client, the kind of event, and its text.
  */
 final class History implements AutoCloseable {
-    /** One event. */
+    /**
+     * One event.
+     *
+     * @param at ms since the drill began
+     * @param who the process, client or operator that it concerns
+     * @param what its kind, such as {@code ask} or {@code log}
+     * @param rest its text: a log line or form-encoded attributes, empty if there are none
+     */
     record Event(long at, String who, String what, String rest) {
-        /** Whether it is of this kind. */
+        /** Returns whether this event is of a kind. */
         boolean is(String expected) {
             return what.equals(expected);
         }
 
-        /** Whether it is a log line that begins so. */
+        /** Returns whether this event is a log line that begins with {@code prefix}. */
         boolean logs(String prefix) {
             return what.equals("log") && rest.startsWith(prefix);
         }
 
-        /** A value of its form-encoded attributes, or "". */
+        /** Returns a value of the form-encoded attributes, or "" if the key is missing. */
         String attribute(String key) {
             return FormAttributes.of(rest).get(key);
         }
@@ -39,17 +46,17 @@
         out = new PrintWriter(Files.newBufferedWriter(file));
     }
 
-    /** Ms since the drill began. */
+    /** Returns the ms since the drill began. */
     long now() {
         return (System.nanoTime() - startedAtNanos) / 1_000_000;
     }
 
-    /** Adds an event as happening now. */
+    /** Adds an event that happens now. */
     void add(String source, String kind, String detail) {
         add(now(), source, kind, detail);
     }
 
-    /** Adds an event that happened then. */
+    /** Adds an event that happened {@code atMs} after the drill began. */
     synchronized void add(long atMs, String source, String kind, String detail) {
         out.println(atMs + " " + source + " " + kind + " " + detail.replace('\n', ' '));
         if (!kind.equals("part")) {
@@ -62,7 +69,7 @@
         out.close();
     }
 
-    /** Reads a history back. */
+    /** Reads the events of a history file, in the order of its lines. */
     static List<Event> read(Path file) {
         List<Event> events = new ArrayList<>();
         try {
--- a/src/main/java/reeldeal/faultinjection/IdempotencyKeys.java
+++ b/src/main/java/reeldeal/faultinjection/IdempotencyKeys.java
@@ -5,13 +5,16 @@
 import java.util.function.BiConsumer;
 
 /**
- * The idempotency keys that all searchers of a fleet remember together: any holder of a shard drops
- * a repeat. Thread-safe.
+ * Holds the idempotency keys that all searchers of a fleet share: whichever of them is asked drops
+ * a shard request that another has already run. Thread-safe.
  */
 final class IdempotencyKeys {
     /**
-     * The last run of a shard request; {@code searcher} is null once the searcher that ran it was
-     * restarted.
+     * The latest run of a shard request.
+     *
+     * @param searcher the searcher that ran it, or null after {@link #forget} for that searcher
+     * @param atNanos when it ran, on the clock of {@link System#nanoTime}
+     * @param count how often the shard request has been run, this run included
      */
     private record Run(FakeSearcher searcher, long atNanos, int count) {}
 
@@ -20,17 +23,20 @@
     private final BiConsumer<FakeSearcher, String> onRun;
 
     /**
-     * Keys that are remembered for a while.
+     * Creates an empty set of keys.
      *
-     * @param windowMs for how long, ms
-     * @param onRun is called for each run that was no dropped repeat
+     * @param windowMs how long a key is kept after the run, ms
+     * @param onRun called for each shard request that is run rather than dropped as a repeat
      */
     IdempotencyKeys(long windowMs, BiConsumer<FakeSearcher, String> onRun) {
         this.windowMs = windowMs;
         this.onRun = onRun;
     }
 
-    /** Runs a shard request, or drops it as a repeat; the value names the run that it is of. */
+    /**
+     * Runs a shard request, or drops it as a repeat. Returns the name of the run that answers it,
+     * {@code REQUEST#COUNT}.
+     */
     synchronized String run(FakeSearcher searcher, String shardRequest) {
         Run last = runs.get(shardRequest);
         if (last == null || isForgotten(last)) {
@@ -46,7 +52,7 @@
         return run.searcher() == null || ageMs >= windowMs;
     }
 
-    /** A searcher was restarted: it remembers nothing. */
+    /** Drops the keys of all runs of a searcher, such as one that was restarted. */
     synchronized void forget(FakeSearcher searcher) {
         runs.replaceAll(
                 (key, run) ->
--- a/src/main/java/reeldeal/faultinjection/InFlightAtLossCounter.java
+++ b/src/main/java/reeldeal/faultinjection/InFlightAtLossCounter.java
@@ -10,16 +10,17 @@
 import java.util.TreeMap;
 
 /**
- * What became of the requests that a broker had in flight when it was killed, or ended by itself at
- * a failpoint.
+ * Counts the outcomes of the keyed requests that a broker had in flight when it was killed or ended
+ * by itself at a failpoint.
  */
 final class InFlightAtLossCounter {
+    /** The deadline that clients send with a keyed request, ms from its first attempt. */
     private static final long IN_TIME_MS = 4_000;
 
     private final List<History.Event> events;
     private final Findings findings;
 
-    /** By broker: attempts in flight, with the keys of their requests. */
+    /** For each broker, the idempotency keys of its attempts in flight, by the attempt's id. */
     private final Map<String, Map<String, String>> inFlight = new HashMap<>();
 
     private final Map<String, Long> firstAskedAt = new HashMap<>();
@@ -58,7 +59,8 @@
             inFlightAt(event.attribute("to")).remove(event.attribute("id"));
         } else if (event.is("kill") || event.logs("work: ends at ")) {
             losses++;
-            new HashSet<>(inFlightAt(event.who()).values()).forEach(key -> countLost(key, event.at()));
+            new HashSet<>(inFlightAt(event.who()).values())
+                    .forEach(key -> countLost(key, event.at()));
             inFlight.remove(event.who());
         } else if (event.is("part") && event.rest().contains("~")) {
             Long lostAt = ownerLostAt.remove(event.rest().split("-")[0]);
--- a/src/main/java/reeldeal/faultinjection/InvariantChecker.java
+++ b/src/main/java/reeldeal/faultinjection/InvariantChecker.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Checks the invariants of a fleet over a recorded history, and over nothing else. */
+/** Checks the invariants of a fleet from a recorded history alone. */
 final class InvariantChecker {
     /**
-     * What was found.
+     * The result of a check.
      *
-     * @param violations of the invariants, empty where all hold
-     * @param figures what was counted, by name
+     * @param violations descriptions of the broken invariants, empty if all hold
+     * @param figures counts and times taken from the history, by name
      */
     record Verdict(List<String> violations, Map<String, String> figures) {}
 
--- a/src/main/java/reeldeal/faultinjection/OutcomeChecker.java
+++ b/src/main/java/reeldeal/faultinjection/OutcomeChecker.java
@@ -8,7 +8,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Each client of a keyed request is answered one outcome, however often and wherever it asks. */
+/**
+ * Checks that each client of a keyed request is answered with one outcome only, however many
+ * attempts it makes and whichever brokers it asks.
+ */
 final class OutcomeChecker {
     private static final String UNKNOWN = "unknown";
 
@@ -22,7 +25,12 @@
     private final List<Long> tookMs = new ArrayList<>();
     private int unknown;
 
-    /** A checker for these requests; {@code required} makes two different outcomes a violation. */
+    /**
+     * Creates a checker.
+     *
+     * @param requests the {@code want} events, one for each keyed request
+     * @param required whether two different outcomes of a request are a violation
+     */
     OutcomeChecker(
             List<History.Event> events,
             List<History.Event> requests,
@@ -57,7 +65,13 @@
         String previous = outcomes.put(client, outcome);
         if (previous != null) {
             if (!previous.equals(outcome) && required) {
-                findings.addViolation(client + " was told " + previous + " and " + outcome);
+                findings.addViolation(
+                        "request "
+                                + client
+                                + " was answered with two outcomes: "
+                                + previous
+                                + " and "
+                                + outcome);
             }
             return;
         }
@@ -69,7 +83,7 @@
         }
     }
 
-    /** What an answer says of the outcome, or null where it says nothing final. */
+    /** Returns the outcome that an answer states, or null if the answer is not final. */
     private static String outcome(History.Event answer) {
         return switch (answer.attribute("status")) {
             case "200" -> answer.attribute("body");
--- a/src/main/java/reeldeal/faultinjection/RecoveryChecker.java
+++ b/src/main/java/reeldeal/faultinjection/RecoveryChecker.java
@@ -9,7 +9,8 @@
 import reeldeal.fleet.recovery.Epoch;
 
 /**
- * The rules for the way back from a loss of power, over a recorded history, and how long it took.
+ * Checks the rules of the fleet's recovery after a loss of power over a recorded history, and
+ * measures how long each recovery took.
  */
 final class RecoveryChecker {
     private static final Map<String, Integer> PRIORITY_WEIGHTS =
@@ -30,7 +31,7 @@
         this.findings = findings;
     }
 
-    /** The fleet after a commit. */
+    /** Checks the step from the previous state of the recovery to that after a commit. */
     void checkCommit(FleetView after, long version) {
         Epoch current = Epoch.of(after);
         if (current.version() == previous.version()) {
@@ -38,25 +39,42 @@
         }
         if (current.number() != previous.number()) {
             epochs++;
-            if (current.number() != previous.number() + 1 || current.step() != 1 || current.ended()) {
-                findings.addViolation("version " + version + ": epoch " + previous + " then " + current);
+            if (current.number() != previous.number() + 1
+                    || current.step() != 1
+                    || current.ended()) {
+                findings.addViolation(
+                        "version "
+                                + version
+                                + ": recovery "
+                                + previous
+                                + " was followed by "
+                                + current
+                                + ", expected the next number at step 1");
             }
             if (after.release() != null && after.release().isRunning()) {
                 findings.addViolation(
                         "version "
                                 + version
-                                + ": a release runs on into recovery "
+                                + ": the release is still running in recovery "
                                 + current.number());
             }
         } else if ((!current.ended() && Math.abs(current.step() - previous.step()) > 1)
                 || (current.ended() && (previous.ended() || previous.step() < 2))) {
-            findings.addViolation("version " + version + ": recovery " + previous + " then " + current);
+            findings.addViolation(
+                    "version "
+                            + version
+                            + ": recovery moved from "
+                            + previous
+                            + " to "
+                            + current
+                            + ", expected one step at a time and a single end from step 2 on");
         }
-        stepsBack += current.number() == previous.number() && current.step() < previous.step() ? 1 : 0;
+        stepsBack +=
+                current.number() == previous.number() && current.step() < previous.step() ? 1 : 0;
         previous = current;
     }
 
-    /** All that the clients and the searchers saw. */
+    /** Checks the events of clients and searchers, and adds the figures of each loss of power. */
     void check() {
         List<History.Event> losses = events.stream().filter(event -> event.is("power")).toList();
         if (losses.isEmpty()) {
@@ -66,10 +84,12 @@
                 events.stream().anyMatch(event -> event.is("steps") && !event.rest().equals("off"));
         long overloaded = events.stream().filter(event -> event.is("fell")).count();
         if (rampEnabled && overloaded > 0) {
-            findings.addViolation(overloaded + " searchers were pushed over while they were cold");
+            findings.addViolation(
+                    overloaded + " searchers were overloaded during slow start, expected none");
         }
         if (!previous.ended()) {
-            findings.addViolation("recovery " + previous + " has no end");
+            findings.addViolation(
+                    "recovery " + previous + " has not ended by the end of the history");
         }
         long fleetWide = losses.stream().filter(loss -> loss.attribute("zone").isEmpty()).count();
         findings.addFigure(
@@ -113,7 +133,11 @@
         long lossAt = loss.at();
         long firstAnswerAt =
                 events.stream()
-                        .filter(event -> isServedComplete(event) && event.at() > lossAt && event.at() < end)
+                        .filter(
+                                event ->
+                                        isServedComplete(event)
+                                                && event.at() > lossAt
+                                                && event.at() < end)
                         .mapToLong(History.Event::at)
                         .findFirst()
                         .orElse(-1);
@@ -127,15 +151,20 @@
             }
             connections += event.is("conn") && event.at() < lossAt + CONNECTIONS_MS ? 1 : 0;
             if (isServedComplete(event)) {
-                worthBySlot.merge((event.at() - lossAt) / SLOT_MS, priorityWeight(event), Integer::sum);
+                worthBySlot.merge(
+                        (event.at() - lossAt) / SLOT_MS, priorityWeight(event), Integer::sum);
                 worthByClass.merge(event.attribute("class"), priorityWeight(event), Integer::sum);
             }
         }
         double[] shares = {0.5, 0.9};
         for (int i = 0; i < shares.length; i++) {
             for (long slot = 0; slot * SLOT_MS + lossAt < end && reachedAfterMs[i] < 0; slot++) {
-                int worthOfTwoSlots = worthBySlot.getOrDefault(slot, 0) + worthBySlot.getOrDefault(slot + 1, 0);
-                reachedAfterMs[i] = worthOfTwoSlots >= shares[i] * usualWorthPerMs * 2 * SLOT_MS ? slot * SLOT_MS : -1;
+                int worthOfTwoSlots =
+                        worthBySlot.getOrDefault(slot, 0) + worthBySlot.getOrDefault(slot + 1, 0);
+                reachedAfterMs[i] =
+                        worthOfTwoSlots >= shares[i] * usualWorthPerMs * 2 * SLOT_MS
+                                ? slot * SLOT_MS
+                                : -1;
             }
         }
         return String.format(
--- a/src/main/java/reeldeal/faultinjection/RequestRecordChecker.java
+++ b/src/main/java/reeldeal/faultinjection/RequestRecordChecker.java
@@ -9,8 +9,8 @@
 import reeldeal.fleet.takeover.RequestRecord.State;
 
 /**
- * The rules for records of keyed requests: who owned which, and what searchers ran and clients were
- * answered.
+ * Checks the rules for records of keyed requests: which broker owned each record, which shard
+ * requests the searchers ran, and what the clients were answered.
  */
 final class RequestRecordChecker {
     private final List<History.Event> events;
@@ -22,10 +22,17 @@
     RequestRecordChecker(List<History.Event> events, Findings findings) {
         this.events = events;
         this.findings = findings;
-        required = events.stream().anyMatch(event -> event.is("mode") && event.rest().contains("required"));
+        required =
+                events.stream()
+                        .anyMatch(event -> event.is("mode") && event.rest().contains("required"));
     }
 
-    /** A commit: what it changed, by store keys, and the fleet before it. */
+    /**
+     * Applies the changes of a commit to the records, and checks them.
+     *
+     * @param changes the changes by store key, {@code +VALUE}, or {@code -} for a removed key
+     * @param before the fleet before the commit
+     */
     void applyCommit(Map<String, String> changes, long version, FleetView before) {
         changes.forEach(
                 (storeKey, change) -> {
@@ -48,28 +55,41 @@
         }
     }
 
-    private void checkChange(RequestRecord previous, RequestRecord current, long version, FleetView fleet) {
+    private void checkChange(
+            RequestRecord previous, RequestRecord current, long version, FleetView fleet) {
         String prefix = "version " + version + ": " + current.key();
         if (previous.state() == State.DONE || previous.state() == State.UNKNOWN) {
-            findings.addViolation(prefix + " had ended as " + previous.state() + " and is " + current.state());
+            findings.addViolation(
+                    prefix
+                            + " had ended as "
+                            + previous.state()
+                            + " and changed to "
+                            + current.state());
         }
         if (previous.firstSentAtMs() != current.firstSentAtMs()) {
-            findings.addViolation(prefix + " forgot when it began");
+            findings.addViolation(prefix + ": the time when it was first sent has changed");
         }
-        boolean sameOwner = previous.owner().equals(current.owner()) && previous.incarnation() == current.incarnation();
+        boolean sameOwner =
+                previous.owner().equals(current.owner())
+                        && previous.incarnation() == current.incarnation();
         if (previous.isOpen() && !sameOwner) {
             claims++;
             FleetView.Member owner = fleet.members().get(previous.owner());
             boolean leaseValid =
-                    owner != null && owner.hasLease() && owner.incarnation() == previous.incarnation();
+                    owner != null
+                            && owner.hasLease()
+                            && owner.incarnation() == previous.incarnation();
             if (leaseValid) {
                 findings.addViolation(
-                        prefix + " was taken from " + previous.owner() + ", whose lease stood");
+                        prefix
+                                + " was taken over from "
+                                + previous.owner()
+                                + ", whose lease was still valid");
             }
         }
     }
 
-    /** All that the clients and the searchers saw. */
+    /** Checks the events of clients and searchers, and adds the figures of keyed requests. */
     void check() {
         List<History.Event> requests = events.stream().filter(event -> event.is("want")).toList();
         if (requests.isEmpty()) {
@@ -82,7 +102,10 @@
         findings.addFigure("claims in the log", String.valueOf(claims));
     }
 
-    /** No shard request under a key runs twice, but where its searcher has forgotten the key. */
+    /**
+     * Checks that no shard request with an idempotency key runs twice, unless the searcher of its
+     * previous run has forgotten the key since.
+     */
     private void checkRuns() {
         Map<String, History.Event> lastRun = new HashMap<>();
         Map<String, Long> forgotAt = new HashMap<>();
@@ -109,7 +132,11 @@
             repeated++;
             if (required) {
                 findings.addViolation(
-                        shardRequest + " ran again after " + (event.at() - previousRun.at()) + " ms");
+                        "shard request "
+                                + shardRequest
+                                + " ran again "
+                                + (event.at() - previousRun.at())
+                                + " ms after its previous run");
             }
         }
         findings.addFigure(
@@ -122,12 +149,12 @@
                         + " again after their searcher had forgotten");
     }
 
-    /** The run of a request that was seen last: each takeover adds one. */
+    /** The highest run number seen of a request, which each takeover raises by one, and when. */
     private record LatestRun(int number, long at) {}
 
     /**
-     * Shard requests of an earlier owner after its successor's: sent between a look at the lease
-     * and a write.
+     * Counts the shard requests that an earlier owner sent after those of its successor. They are
+     * possible between the owner's check of its lease and its write.
      */
     private void countOverlaps() {
         Map<String, LatestRun> latest = new HashMap<>();
--- a/src/main/java/reeldeal/faultinjection/RolloutChecker.java
+++ b/src/main/java/reeldeal/faultinjection/RolloutChecker.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * How a rollout ended, what all members have at the end, and what the run itself reported as
- * broken.
+ * Checks how a rollout ended and which configuration each member serves at the end, and takes over
+ * the failures that the drill itself recorded.
  */
 final class RolloutChecker {
     private final List<History.Event> events;
@@ -17,7 +17,9 @@
     }
 
     void check() {
-        events.stream().filter(event -> event.is("broken")).forEach(event -> findings.addViolation(event.rest()));
+        events.stream()
+                .filter(event -> event.is("broken"))
+                .forEach(event -> findings.addViolation(event.rest()));
         lastProgress("").ifPresent(this::checkMembers);
         addTimeToHalt();
         addDuration();
@@ -47,11 +49,11 @@
                             && event.attribute("is").equals(expected);
             if (event.is("final") && !asExpected) {
                 findings.addViolation(
-                        "at the end "
+                        "at the end of the history "
                                 + event.who()
                                 + " is "
                                 + event.rest()
-                                + ", not serving with the "
+                                + ", expected it to serve with the "
                                 + expected
                                 + " configuration");
             }
@@ -78,7 +80,10 @@
     private void addDuration() {
         Optional<History.Event> firstRunning =
                 events.stream()
-                        .filter(event -> event.is("progress") && event.rest().contains("progress=running"))
+                        .filter(
+                                event ->
+                                        event.is("progress")
+                                                && event.rest().contains("progress=running"))
                         .findFirst();
         Optional<History.Event> lastDone = lastProgress("progress=done");
         if (firstRunning.isPresent() && lastDone.isPresent()) {
--- a/src/main/java/reeldeal/faultinjection/ScenarioReader.java
+++ b/src/main/java/reeldeal/faultinjection/ScenarioReader.java
@@ -18,7 +18,7 @@
 import reeldeal.config.BrokerConfig.InvalidConfigException;
 import reeldeal.config.JsonPaths;
 
-/** Reads scenario files, as in {@code deploy/drill}. */
+/** Reads scenario files, such as those in {@code deploy/drill}. */
 public final class ScenarioReader {
     private static final String POLICY_PREFIX = "policy.";
     private static final String TAKEOVER_PREFIX = "keyed.handover.";
@@ -66,7 +66,12 @@
         this.values = values;
     }
 
-    /** Reads a scenario; throws InvalidConfigException that names the file and the key at fault. */
+    /**
+     * Reads a scenario file.
+     *
+     * @throws InvalidConfigException if the file cannot be read or a setting is invalid; its
+     *     message names the file and the key
+     */
     public static Scenario read(Path file) throws InvalidConfigException {
         ScenarioReader reader = new ScenarioReader(file, parse(file));
         reader.checkKeys();
@@ -84,7 +89,7 @@
         Map<String, String> values = new HashMap<>();
         try (JsonParser json = new JsonFactory().createParser(Files.readAllBytes(file))) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new InvalidConfigException(file + ": not a JSON object");
+                throw new InvalidConfigException(file + ": expected a JSON object");
             }
             JsonPaths.read(json, "", values, 0);
         } catch (IOException e) {
@@ -102,7 +107,7 @@
                             || key.startsWith(TAKEOVER_PREFIX)
                             || key.startsWith(ACTIONS_PREFIX);
             if (!known) {
-                throw new InvalidConfigException(file + ": no such setting: " + key);
+                throw new InvalidConfigException(file + ": " + key + ": unknown setting");
             }
         }
     }
--- a/src/main/java/reeldeal/faultinjection/ScenarioReport.java
+++ b/src/main/java/reeldeal/faultinjection/ScenarioReport.java
@@ -8,7 +8,8 @@
 import java.util.Set;
 
 /**
- * A drill's report: verdict, figures and time line as Markdown, and a chart of who was out when.
+ * Writes the report of a drill: verdict, figures and time line as Markdown, and a chart of the
+ * times in which each broker was out of service.
  */
 final class ScenarioReport {
     private static final int MAX_VIOLATIONS_SHOWN = 50;
@@ -47,7 +48,11 @@
                 .forEach(violation -> text.append("- ").append(violation).append('\n'));
         text.append("\n| figure | |\n| --- | --- |\n");
         for (Map.Entry<String, String> figure : verdict.figures().entrySet()) {
-            text.append("| ").append(figure.getKey()).append(" | ").append(figure.getValue()).append(" |\n");
+            text.append("| ")
+                    .append(figure.getKey())
+                    .append(" | ")
+                    .append(figure.getValue())
+                    .append(" |\n");
         }
         text.append(
                 "\n![Who was out when](chart.svg)\n\n## Time line\n\n| ms | who | what |\n| --- | --- | --- |\n");
--- a/src/main/java/reeldeal/faultinjection/SlowStartCapacity.java
+++ b/src/main/java/reeldeal/faultinjection/SlowStartCapacity.java
@@ -2,16 +2,19 @@
 
 import java.util.ArrayDeque;
 
-/** How much a searcher serves while it warms up; more than that overloads it. Thread-safe. */
+/**
+ * Limits the shard requests that a searcher can serve during slow start; more overload it.
+ * Thread-safe.
+ */
 final class SlowStartCapacity {
     /**
-     * A searcher's capacity.
+     * The capacity of a searcher.
      *
-     * @param warmPerSecond shard requests a second once it is warm
-     * @param slowStartMs how long it warms up, ms
-     * @param initialShare share of that which it serves as it starts
-     * @param overloadFactor multiple of what it can serve that overloads it
-     * @param windowMs over which requests are counted, ms
+     * @param warmPerSecond shard requests a second that it serves after slow start
+     * @param slowStartMs how long slow start takes, ms
+     * @param initialShare share of {@code warmPerSecond} that it serves right after its start
+     * @param overloadFactor multiple of its current capacity that overloads it
+     * @param windowMs length of the sliding window in which requests are counted, ms
      */
     record Model(
             int warmPerSecond,
@@ -34,7 +37,10 @@
         recent.clear();
     }
 
-    /** Counts a call; false where it overloads a searcher that started then. Times are Unix ms. */
+    /**
+     * Counts a call, and returns whether the searcher can serve it. Returns false if the call
+     * overloads a searcher in slow start, which began at {@code startedAtMs}. Times are Unix ms.
+     */
     synchronized boolean accepts(int shardRequests, long startedAtMs, long nowMs) {
         recent.add(new Call(nowMs, shardRequests));
         while (recent.peek().atMs() < nowMs - model.windowMs()) {
--- a/src/main/java/reeldeal/faultinjection/StoreBenchmark.java
+++ b/src/main/java/reeldeal/faultinjection/StoreBenchmark.java
@@ -22,11 +22,12 @@
 import reeldeal.store.StoreNode;
 
 /**
- * Measures the store by command, never in CI. All nodes run in this process, each with loops and
- * threads of its own, over loopback and on the disk of the temporary folder: what a process costs
- * is the drill's to show.
+ * Measures the store; run by command, never in CI. All nodes run in this process, each with its own
+ * event loop and threads, over loopback and on the disk of the temporary folder. The cost of a
+ * process of its own is measured by the drill instead.
  */
 public final class StoreBenchmark {
+    /** A group of store nodes in this process, with a temporary folder for their data. */
     private static final class Group implements AutoCloseable {
         final Path folder = Files.createTempDirectory("store");
         final Map<String, InetSocketAddress> nodes = new LinkedHashMap<>();
@@ -103,7 +104,10 @@
 
     private StoreBenchmark() {}
 
-    /** Commits a second by writers, with and without one flush for many. */
+    /**
+     * Measures commits a second for several numbers of writers, with and without group commit,
+     * which flushes many writes at once.
+     */
     public static void commits() throws Exception {
         for (int size : new int[] {3, 5}) {
             for (boolean groupCommit : new boolean[] {true, false}) {
@@ -114,7 +118,8 @@
         }
     }
 
-    private static void measureCommits(int size, boolean groupCommit, int writers) throws Exception {
+    private static void measureCommits(int size, boolean groupCommit, int writers)
+            throws Exception {
         try (Group group = new Group(size)) {
             group.start(groupCommit);
             String node = group.awaitWritableNode();
@@ -181,7 +186,7 @@
                         });
     }
 
-    /** From the leader's death to the next commit. */
+    /** Measures the time from the kill of the leader to the next commit, ten times. */
     public static void death() throws Exception {
         List<Long> failoverMs = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
@@ -230,7 +235,10 @@
         return (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 10;
     }
 
-    /** A start with so many keys, and writes during a compaction. */
+    /**
+     * Measures the start of a node with {@code count} keys, and the delay of its event loop and its
+     * writes during a compaction.
+     */
     public static void keys(int count) throws Exception {
         try (Group group = new Group(1)) {
             long emptyHeapKiB = usedHeapKiB();
--- a/src/main/java/reeldeal/faultinjection/TimelineChart.java
+++ b/src/main/java/reeldeal/faultinjection/TimelineChart.java
@@ -9,8 +9,8 @@
 import java.util.TreeSet;
 
 /**
- * An SVG chart of a history: a row for each broker with what it did when, and the share of complete
- * answers in each second below.
+ * Draws an SVG chart of a history: a row for each broker with its phases over time, and below the
+ * rows the share of complete answers in each second.
  */
 final class TimelineChart {
     private static final int WIDTH = 900;
@@ -21,7 +21,7 @@
     private static final int SHARE_HEIGHT = 60;
     private static final int SECOND_MS = 1_000;
 
-    /** What a broker does, with its colour. */
+    /** The phases of a broker, with their colours. */
     private enum Phase {
         DOWN("#c0392b"),
         STARTING("#bbbbbb"),
@@ -35,7 +35,7 @@
             this.colour = colour;
         }
 
-        /** The phase that begins with an event, or null. */
+        /** Returns the phase that begins with an event, or null if none does. */
         static Phase of(History.Event event) {
             return switch (event.what()) {
                 case "start" -> STARTING;
@@ -55,10 +55,10 @@
         }
     }
 
-    /** A phase that has begun. */
+    /** A phase, and when it began in ms since the drill began. */
     private record PhaseStart(Phase phase, long at) {}
 
-    /** The answers of one second. */
+    /** Counts of the answers of one second. */
     private static final class Answers {
         int total;
         int complete;
@@ -81,7 +81,7 @@
         height = ROW_HEIGHT * brokers.size() + FOOTER_HEIGHT;
     }
 
-    /** The chart. */
+    /** Draws the chart and returns it as SVG; may be called once. */
     String svg() {
         svg.append("<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"")
                 .append(WIDTH)
--- a/src/main/java/reeldeal/faultinjection/ZoneBenchmark.java
+++ b/src/main/java/reeldeal/faultinjection/ZoneBenchmark.java
@@ -22,9 +22,9 @@
 import reeldeal.dns.Rr;
 
 /**
- * Measures the zone service by command, never in CI: a broker in a process of its own, whose zone
- * has so many records. What stalls the loop that serves queries shows from outside, in the answers
- * to a client that asks for the broker's health again and again.
+ * Measures the zone service; run by command, never in CI. The broker runs in a process of its own,
+ * with a zone of a given number of records. Stalls of the event loop that serves queries are
+ * measured from outside, as the latency of a client that polls the broker's health endpoint.
  */
 public final class ZoneBenchmark implements AutoCloseable {
     private static final String ORIGIN = "big.test.";
@@ -42,7 +42,13 @@
     private final Histogram healthLatency = new Histogram(3);
     private volatile boolean stopped;
 
-    /** A zone of so many records; lines of results go to {@code out}. */
+    /**
+     * Prepares a broker, and writes its files.
+     *
+     * @param records approximate number of records of the zone
+     * @param jar the program, or null for this JVM's own class path
+     * @param out receives the lines of results
+     */
     public ZoneBenchmark(int records, Path jar, Consumer<String> out) throws Exception {
         this.out = out;
         hosts = Math.max(1, (records - 2 - 3 * SEARCHERS) / 2);
@@ -87,7 +93,7 @@
                         history);
     }
 
-    /** Twelve searchers, and hosts with an address and a text each. */
+    /** Returns the zone file: twelve searchers, and hosts with an A and a TXT record each. */
     private String zoneText() {
         StringBuilder zone =
                 new StringBuilder("$TTL 60\n@ SOA ns ops 1 3600 60 86400 30\n@ NS ns\n");
@@ -129,13 +135,17 @@
                 List.of("del " + host + " A", "add " + host + " 60 A 10.9.9." + count % 256));
     }
 
-    /** Measures all there is. */
+    /**
+     * Measures the start, updates, queries and zone transfers one after the other, each with the
+     * health latency during it.
+     */
     public void run() throws Exception {
         broker.start();
         long startNanos = System.nanoTime();
         while (!answersQueries() || !broker.isServing()) {
             if ((System.nanoTime() - startNanos) / 1_000_000 > START_TIMEOUT_MS) {
-                throw new IllegalStateException("does not serve; see " + folder);
+                throw new IllegalStateException(
+                        "broker does not serve after " + START_TIMEOUT_MS + " ms; see " + folder);
             }
             Thread.sleep(20);
         }
@@ -182,7 +192,7 @@
         try (ZoneClient client = new ZoneClient(dnsPort)) {
             return client.serial(ORIGIN) > 0;
         } catch (java.io.IOException e) {
-            return false; // not yet
+            return false; // The DNS port is not open yet, or the zone is not loaded.
         }
     }
 
@@ -220,7 +230,8 @@
         }
     }
 
-    private static void runInParallel(int threads, DaemonThreads.Task work) throws InterruptedException {
+    private static void runInParallel(int threads, DaemonThreads.Task work)
+            throws InterruptedException {
         List<Thread> started = new ArrayList<>();
         for (int i = 0; i < threads; i++) {
             Thread thread =
@@ -250,7 +261,9 @@
                     try (ZoneClient client = new ZoneClient(dnsPort)) {
                         int outstanding = 0;
                         while (System.nanoTime() - startNanos < MEASURED_NS || outstanding > 0) {
-                            for (; outstanding < 8 && System.nanoTime() - startNanos < MEASURED_NS; outstanding++) {
+                            for (;
+                                    outstanding < 8 && System.nanoTime() - startNanos < MEASURED_NS;
+                                    outstanding++) {
                                 client.send(update(next.getAndIncrement()));
                             }
                             client.read();
@@ -266,7 +279,8 @@
         AtomicLong done = new AtomicLong();
         AtomicLong lost = new AtomicLong();
         long startNanos = System.nanoTime();
-        InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), dnsPort);
+        InetSocketAddress address =
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), dnsPort);
         runInParallel(
                 4,
                 () -> {
@@ -279,7 +293,9 @@
                                 byte[] question =
                                         ZoneClient.question(
                                                         "h"
-                                                                + (count + outstanding) * 31L % hosts
+                                                                + (count + outstanding)
+                                                                        * 31L
+                                                                        % hosts
                                                                 + "."
                                                                 + ORIGIN,
                                                         Rr.A)
--- a/src/main/java/reeldeal/faultinjection/ZoneClient.java
+++ b/src/main/java/reeldeal/faultinjection/ZoneClient.java
@@ -15,8 +15,8 @@
 import reeldeal.dns.Rr;
 
 /**
- * A name server on loopback at the other end of a TCP connection: what is sent and read, with
- * several out where wanted.
+ * A DNS client with one TCP connection to a name server on loopback. Several messages may be sent
+ * before their answers are read.
  */
 final class ZoneClient implements AutoCloseable {
     private static final int MAX_MESSAGE_BYTES = 65_000;
@@ -34,7 +34,7 @@
         out = new DataOutputStream(new BufferedOutputStream(socket.getOutputStream()));
     }
 
-    /** For how long a read waits. */
+    /** Sets how long a read waits for an answer, ms. */
     void setTimeoutMs(int ms) throws IOException {
         socket.setSoTimeout(ms);
     }
@@ -45,24 +45,31 @@
         out.flush();
     }
 
-    /** The next message's bytes; a code other than 0 is an error. */
+    /**
+     * Reads the next message.
+     *
+     * @throws IOException if it is shorter than a DNS header or its response code is not 0
+     */
     byte[] read() throws IOException {
         byte[] answer = in.readNBytes(in.readUnsignedShort());
         if (answer.length < 12 || (answer[3] & 0xf) != 0) {
             throw new IOException(
-                    "not done: "
-                            + (answer.length < 12 ? "no message" : "code " + (answer[3] & 0xf)));
+                    "unexpected answer of the name server: "
+                            + (answer.length < 12
+                                    ? "shorter than a DNS header"
+                                    : "response code " + (answer[3] & 0xf)));
         }
         return answer;
     }
 
-    /** A question. */
+    /** Returns a query for the records of a type at a name. */
     static MessageWriter question(String name, int type) {
         return new MessageWriter(1, 0, MAX_MESSAGE_BYTES).question(name, type, Rr.IN);
     }
 
     /**
-     * An update of these actions: {@code add NAME TTL TYPE DATA}, {@code del NAME [TYPE [DATA]]}.
+     * Returns an update of a zone with actions of the form {@code add NAME TTL TYPE DATA} or {@code
+     * del NAME [TYPE [DATA]]}.
      */
     static byte[] update(String origin, List<String> actions) {
         MessageWriter writer =
@@ -73,14 +80,15 @@
                 String[] words = action.trim().split(" ", 2);
                 boolean add = words[0].equals("add");
                 if (!add && !words[0].equals("del")) {
-                    throw new IllegalArgumentException("expected add or del: " + action);
+                    throw new IllegalArgumentException(
+                            "update action: expected add or del, found " + action);
                 }
-                RecordText r = RecordText.parse(words[1], origin, add);
+                RecordText record = RecordText.parse(words[1], origin, add);
                 writer.add(
                         2,
                         add
-                                ? r.record(Rr.IN, r.ttl())
-                                : r.record(r.data().length > 0 ? Rr.NONE : Rr.ANY, 0));
+                                ? record.record(Rr.IN, record.ttl())
+                                : record.record(record.data().length > 0 ? Rr.NONE : Rr.ANY, 0));
             }
         } catch (RecordText.Unreadable e) {
             throw new IllegalArgumentException(e.getMessage());
@@ -88,27 +96,25 @@
         return writer.toBytes();
     }
 
-    /** The serial of a zone. */
+    /** Queries the serial of a zone. */
     long serial(String origin) throws IOException {
         send(question(origin, Rr.SOA).toBytes());
         try {
             byte[] soa = Message.parse(read()).answers().get(0).data();
-            int serialOffset =
-                    soa.length
-                            - 20; // serial, refresh, retry, expire, minimum come last, four bytes
-            // each
+            // Serial, refresh, retry, expire and minimum come last, with four bytes each.
+            int serialOffset = soa.length - 20;
             return (soa[serialOffset] & 0xffL) << 24
                     | (soa[serialOffset + 1] & 0xff) << 16
                     | (soa[serialOffset + 2] & 0xff) << 8
                     | (soa[serialOffset + 3] & 0xff);
         } catch (Message.Malformed e) {
-            throw new IOException("not a message: " + e.getMessage());
+            throw new IOException("malformed DNS message: " + e.getMessage());
         }
     }
 
     /**
-     * Bytes of the answer to a question, whose end is silence for half a second, and ms until the
-     * last of them.
+     * Sends a question and reads its answer until nothing more arrives for half a second. Returns
+     * the number of bytes and the ms until the last message.
      */
     long[] stream(MessageWriter question) throws IOException {
         long from = System.nanoTime();
@@ -127,7 +133,10 @@
         }
     }
 
-    /** The SOA record that an incremental transfer's question has, as its asker's serial. */
+    /**
+     * Returns the SOA record that states the client's serial in a query for an incremental
+     * transfer.
+     */
     static Rr soa(String origin, long serial) {
         byte[] name = Names.wire(origin);
         java.nio.ByteBuffer data =
--- a/src/main/java/reeldeal/faultinjection/ZoneScriptReplay.java
+++ b/src/main/java/reeldeal/faultinjection/ZoneScriptReplay.java
@@ -11,22 +11,33 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Replays a script of zone updates against a broker that is a process of its own, with stand-in
- * searchers, under steady queries, and checks the history. A line is a step: {@code searchers N},
- * {@code primary} (updates go to another process, the zone's primary, which the broker follows),
- * {@code repeat N} up to {@code end} ({@code $i} is the round), {@code update ACTION; ACTION} with
- * {@code add NAME TTL TYPE DATA} and {@code del NAME [TYPE [DATA]]} ({@code PORT:3} stands for the
- * third searcher's port), {@code drained NAME} (the last update drained it: no part may come from
- * 500 ms after its answer on, until it is back), {@code back NAME}, {@code wait MS}, {@code served
- * NAME} (a part comes within 10 s).
+ * Replays a script of zone updates against a broker in a process of its own, with stand-in
+ * searchers and a steady load of queries, and checks the history. Each line of a script is a step:
+ *
+ * <ul>
+ *   <li>{@code searchers N} starts the searchers, the processes and the load
+ *   <li>{@code primary} sends updates to another process, the zone's primary, which the broker
+ *       follows
+ *   <li>{@code repeat N} repeats the lines up to {@code end}; {@code $i} in them is the number of
+ *       the round, which starts again at 1 after the number of searchers
+ *   <li>{@code update ACTION; ACTION} sends an update, with the actions {@code add NAME TTL TYPE
+ *       DATA} and {@code del NAME [TYPE [DATA]]}; {@code PORT:3} stands for the third searcher's
+ *       port
+ *   <li>{@code drained NAME} states that the last update drained a searcher: from 500 ms after its
+ *       answer no shard request may reach the searcher, until {@code back NAME}
+ *   <li>{@code wait MS} waits
+ *   <li>{@code served NAME} expects a shard request at the searcher within 10 s
+ * </ul>
  */
 public final class ZoneScriptReplay implements AutoCloseable {
     private static final String ORIGIN = "tartu.example.org.";
     private static final int CELLS = 4;
     private static final int CLIENTS = 16;
     private static final int QUERIES_PER_SECOND = 240;
-    private static final int SERVICE_MS =
-            40; // so that several are out at once, and each searcher has its share
+
+    /** Long enough that several requests are in flight at once and each searcher gets its share. */
+    private static final int SERVICE_MS = 40;
+
     private static final int START_TIMEOUT_MS = 60_000;
     private static final int SERVED_TIMEOUT_MS = 10_000;
 
@@ -43,8 +54,10 @@
     private long updateAnsweredAt;
 
     /**
-     * A replay that leaves its history in a folder; {@code jar} is null for processes of this JVM's
-     * own class path.
+     * Creates a replay.
+     *
+     * @param folder where the history and the files of the processes are written
+     * @param jar the program, or null for this JVM's own class path
      */
     public ZoneScriptReplay(Path folder, Path jar) throws IOException {
         this.folder = folder;
@@ -53,7 +66,7 @@
         history = new History(folder.resolve("history.txt"));
     }
 
-    /** Plays a script to its end. */
+    /** Plays a script to its end, and checks the history. */
     public ScenarioRunner.Result play(List<String> script) throws Exception {
         playSteps(script, 0, script.size(), "");
         load.close();
@@ -77,7 +90,11 @@
                         end++;
                     }
                     for (int repetition = 1; repetition <= Integer.parseInt(rest); repetition++) {
-                        playSteps(script, i + 1, end, String.valueOf(1 + (repetition - 1) % searchers.size()));
+                        playSteps(
+                                script,
+                                i + 1,
+                                end,
+                                String.valueOf(1 + (repetition - 1) % searchers.size()));
                     }
                     i = end;
                 }
@@ -89,12 +106,12 @@
                     long since = history.now();
                     await(
                             SERVED_TIMEOUT_MS,
-                            rest + " is served a part",
+                            "searcher " + rest + " receives a shard request",
                             () -> lastRequestAt.getOrDefault(rest, -1L) >= since);
                 }
                 default ->
                         throw new IllegalArgumentException(
-                                "line " + (i + 1) + ": no such step: " + words[0]);
+                                "line " + (i + 1) + ": unknown step: " + words[0]);
             }
         }
     }
@@ -107,7 +124,10 @@
         long end = history.now() + timeoutMs;
         while (!condition.isMet()) {
             if (history.now() > end) {
-                history.add("drill", "broken", "waited " + timeoutMs + " ms in vain: " + description);
+                history.add(
+                        "drill",
+                        "broken",
+                        "timed out after " + timeoutMs + " ms until: " + description);
                 return;
             }
             Thread.sleep(5);
@@ -161,17 +181,28 @@
                     newProcess(
                             "p",
                             1,
-                            file + ",\"notify\":[{\"address\":\"127.0.0.1:" + dnsPorts[0] + "\"}]"));
+                            file
+                                    + ",\"notify\":[{\"address\":\"127.0.0.1:"
+                                    + dnsPorts[0]
+                                    + "\"}]"));
         }
         processes.add(newProcess("b", 0, brokerZone));
         for (BrokerProcess process : processes) {
             process.start();
         }
         BrokerProcess queriedBroker = processes.get(processes.size() - 1);
-        await(START_TIMEOUT_MS, "all serve", () -> processes.stream().allMatch(BrokerProcess::isServing));
+        await(
+                START_TIMEOUT_MS,
+                "all brokers serve",
+                () -> processes.stream().allMatch(BrokerProcess::isServing));
         client = new ZoneClient(processes.get(0).dnsPort);
-        load = new LoadGenerator(List.of(queriedBroker), CELLS * 3, QUERIES_PER_SECOND, CLIENTS, history);
-        await(START_TIMEOUT_MS, "parts come to half of the searchers", () -> lastRequestAt.size() * 2 >= count);
+        load =
+                new LoadGenerator(
+                        List.of(queriedBroker), CELLS * 3, QUERIES_PER_SECOND, CLIENTS, history);
+        await(
+                START_TIMEOUT_MS,
+                "half of the searchers receive shard requests",
+                () -> lastRequestAt.size() * 2 >= count);
     }
 
     private BrokerProcess newProcess(String name, int index, String zoneSource) throws IOException {
@@ -198,7 +229,7 @@
                                 + "}],\"members\":{\"flap_limit\":100000}}}");
         Path config = folder.resolve("broker.json");
         try (InputStream in = ZoneScriptReplay.class.getResourceAsStream("broker.json")) {
-            // One cell holds each shard, so that whoever is listed is asked.
+            // One cell holds each shard, so that every listed searcher is asked.
             Files.writeString(
                     config,
                     new String(in.readAllBytes(), StandardCharsets.UTF_8)
--- a/src/test/java/reeldeal/faultinjection/ZoneScriptReplayTest.java
+++ b/src/test/java/reeldeal/faultinjection/ZoneScriptReplayTest.java
@@ -15,8 +15,8 @@
 import org.junit.runners.Parameterized;
 
 /**
- * Plays the scripts of src/test/resources/zones; the long ones in deploy/drill/zones are played by
- * command.
+ * Replays the scripts of src/test/resources/zones. The long ones in deploy/drill/zones are replayed
+ * by command only.
  */
 @RunWith(Parameterized.class)
 public class ZoneScriptReplayTest {
@@ -47,10 +47,10 @@
         List<History.Event> events =
                 History.read(folder.getRoot().toPath().resolve("run/history.txt"));
         assertTrue(
-                "drains: " + events.size(),
+                "expected at least 4 drains; number of events: " + events.size(),
                 events.stream().filter(e -> e.what().equals("drained")).count() >= 4);
         assertTrue(
-                "served whole",
+                "expected more than 100 complete answers",
                 events.stream().filter(e -> e.rest().contains("whole=true")).count() > 100);
     }
 }
