--- a/src/main/java/reeldeal/faultinjection/CommitChecker.java
+++ b/src/main/java/reeldeal/faultinjection/CommitChecker.java
@@ -13,7 +13,7 @@
 
 /**
  * Checks the fleet's rules over the commits of the store's log: planned permits stay within the
- * disruption budget, a broker's permit is released only when the broker is seen to serve again, and
+ * disruption budget, a broker's permit is freed only when the broker is seen to serve again, and
  * steps of a rollout disrupt members only while it is running.
  */
 final class CommitChecker {
@@ -124,9 +124,8 @@
                         version,
                         "the permit of "
                                 + permit.name()
-                                + " was released while it is "
-                                + member.state()
-                                + ", expected SERVING, undrained or in a new process");
+                                + " was freed before it served again, undrained or in a new process; its state is "
+                                + member.state());
             }
         }
     }
@@ -143,24 +142,20 @@
             if (previous.stage() != step.stage() && disrupts && !before.release().isRunning()) {
                 addViolation(
                         version,
-                        "step "
-                                + step.name()
+                        step.name()
                                 + " moved to "
                                 + step.stage()
-                                + " while the release was "
-                                + before.release().progress()
-                                + ", expected RUNNING");
+                                + " while the release was not RUNNING but "
+                                + before.release().progress());
             }
             boolean fromDrain =
                     previous.stage() == Stage.DRAIN || previous.stage() == Stage.RESTART;
             if (step.stage() == Stage.RESTART && !fromDrain) {
                 addViolation(
                         version,
-                        "step "
-                                + step.name()
-                                + " moved to RESTART from "
-                                + previous.stage()
-                                + ", expected DRAIN");
+                        step.name()
+                                + " moved to RESTART, expected after DRAIN, from "
+                                + previous.stage());
             }
         }
     }
--- a/src/main/java/reeldeal/faultinjection/DisruptionChecker.java
+++ b/src/main/java/reeldeal/faultinjection/DisruptionChecker.java
@@ -82,8 +82,7 @@
                 (broker, times) -> {
                     if (times > allowedRestarts) {
                         findings.addViolation(
-                                "broker "
-                                        + broker
+                                broker
                                         + " was restarted "
                                         + times
                                         + " times by the release, allowed are 1, or 2 if it rolled back");
--- a/src/main/java/reeldeal/faultinjection/DrainChecker.java
+++ b/src/main/java/reeldeal/faultinjection/DrainChecker.java
@@ -38,9 +38,7 @@
                                     + event.who()
                                     + " received a shard request "
                                     + afterMs
-                                    + " ms after its drain, allowed are "
-                                    + GRACE_MS
-                                    + " ms");
+                                    + (" ms after its drain, allowed are " + GRACE_MS + " ms"));
                 }
             }
         }
--- a/src/main/java/reeldeal/faultinjection/FaultKind.java
+++ b/src/main/java/reeldeal/faultinjection/FaultKind.java
@@ -15,7 +15,7 @@
     PAUSE,
     /** Cuts all connections between the node and other nodes. */
     CUT,
-    /** Drops the frames to the node; those that it sends still arrive. */
+    /** Cuts the connections to the node; it can still send to the others. */
     DEAFEN,
     /** Sends an operator's order, whose text is the action's target. */
     ORDER,
@@ -34,11 +34,11 @@
     POWER,
     /** Cuts the power as {@link #POWER} does, and leaves a torn record at the end of each log. */
     TORN,
-    /** Copies the data directory of a stopped node. */
+    /** Kills the node if it runs, copies its data directory and starts it again. */
     KEEP,
-    /** Puts back the copy that {@link #KEEP} made, so that the node starts from older state. */
+    /** Kills the node if it runs, puts back the copy made by {@link #KEEP} and starts it again. */
     OLDER,
-    /** Flips one bit in the log of a stopped node. */
+    /** Kills the node if it runs, flips one bit of its log and starts it again. */
     FLIP,
     /** Replaces a node whose data directory cannot be trusted by a spare node. */
     REBUILD,
--- a/src/main/java/reeldeal/faultinjection/OutcomeChecker.java
+++ b/src/main/java/reeldeal/faultinjection/OutcomeChecker.java
@@ -66,8 +66,7 @@
         if (previous != null) {
             if (!previous.equals(outcome) && required) {
                 findings.addViolation(
-                        "request "
-                                + client
+                        client
                                 + " was answered with two outcomes: "
                                 + previous
                                 + " and "
--- a/src/main/java/reeldeal/faultinjection/RecoveryChecker.java
+++ b/src/main/java/reeldeal/faultinjection/RecoveryChecker.java
@@ -45,11 +45,10 @@
                 findings.addViolation(
                         "version "
                                 + version
-                                + ": recovery "
+                                + ": expected the next recovery to begin at step 1 after "
                                 + previous
-                                + " was followed by "
-                                + current
-                                + ", expected the next number at step 1");
+                                + ", found "
+                                + current);
             }
             if (after.release() != null && after.release().isRunning()) {
                 findings.addViolation(
@@ -63,11 +62,10 @@
             findings.addViolation(
                     "version "
                             + version
-                            + ": recovery moved from "
+                            + ": expected a recovery to move by one step or to end once from step 2 on, moved from "
                             + previous
                             + " to "
-                            + current
-                            + ", expected one step at a time and a single end from step 2 on");
+                            + current);
         }
         stepsBack +=
                 current.number() == previous.number() && current.step() < previous.step() ? 1 : 0;
--- a/src/main/java/reeldeal/faultinjection/RequestRecordChecker.java
+++ b/src/main/java/reeldeal/faultinjection/RequestRecordChecker.java
@@ -132,11 +132,10 @@
             repeated++;
             if (required) {
                 findings.addViolation(
-                        "shard request "
-                                + shardRequest
-                                + " ran again "
+                        shardRequest
+                                + " ran again after "
                                 + (event.at() - previousRun.at())
-                                + " ms after its previous run");
+                                + " ms, though the searcher of its previous run had not forgotten the key");
             }
         }
         findings.addFigure(
--- a/src/main/java/reeldeal/faultinjection/ScenarioReader.java
+++ b/src/main/java/reeldeal/faultinjection/ScenarioReader.java
@@ -107,7 +107,7 @@
                             || key.startsWith(TAKEOVER_PREFIX)
                             || key.startsWith(ACTIONS_PREFIX);
             if (!known) {
-                throw new InvalidConfigException(file + ": " + key + ": unknown setting");
+                throw new InvalidConfigException(file + ": unknown setting: " + key);
             }
         }
     }
--- a/src/main/java/reeldeal/faultinjection/ZoneScriptReplay.java
+++ b/src/main/java/reeldeal/faultinjection/ZoneScriptReplay.java
@@ -106,7 +106,7 @@
                     long since = history.now();
                     await(
                             SERVED_TIMEOUT_MS,
-                            "searcher " + rest + " receives a shard request",
+                            rest + " receives a shard request",
                             () -> lastRequestAt.getOrDefault(rest, -1L) >= since);
                 }
                 default ->
@@ -127,7 +127,7 @@
                 history.add(
                         "drill",
                         "broken",
-                        "timed out after " + timeoutMs + " ms until: " + description);
+                        "timed out after " + timeoutMs + " ms waiting until: " + description);
                 return;
             }
             Thread.sleep(5);
