--- a/src/main/java/reeldeal/faultinjection/AnswerChecker.java
+++ b/src/main/java/reeldeal/faultinjection/AnswerChecker.java
@@ -66,12 +66,12 @@
     }
 
     private void recordOutage(History.Event event) {
-        boolean endedAtFailpoint = event.logs("work: ends at ");
+        boolean endedAtFailpoint = event.isLogWithPrefix("work: ends at ");
         if (event.is("kill") || event.is("pause") || endedAtFailpoint) {
             long from = endedAtFailpoint ? event.at() - LAST_LINE_DELAY_MS : event.at();
             outages.computeIfAbsent(event.who(), broker -> new ArrayList<>())
                     .add(new Outage(from, Long.MAX_VALUE));
-        } else if (event.is("wake") || event.logs("serving as ")) {
+        } else if (event.is("wake") || event.isLogWithPrefix("serving as ")) {
             outages.computeIfPresent(
                     event.who(),
                     (broker, brokerOutages) -> {
--- a/src/main/java/reeldeal/faultinjection/CommitChecker.java
+++ b/src/main/java/reeldeal/faultinjection/CommitChecker.java
@@ -47,10 +47,10 @@
     }
 
     /** Applies a commit, checks what it changed, and returns the fleet after it. */
-    private FleetView applyCommit(FleetView before, FormAttributes applyCommit) {
+    private FleetView applyCommit(FleetView before, FormAttributes commit) {
         commits++;
-        Map<String, String> changes = applyCommit.all();
-        long version = applyCommit.number("version", 0);
+        Map<String, String> changes = commit.all();
+        long version = commit.number("version", 0);
         requestRecordChecker.applyCommit(changes, version, before);
         if (changes.keySet().stream().noneMatch(key -> key.startsWith(FleetView.ROOT))) {
             return before;
@@ -112,9 +112,9 @@
 
     private void checkFreedSlots(FleetView before, FleetView after, Kind kind, long version) {
         for (Permit permit : before.permits(kind).values()) {
-            boolean freed = !after.permits(kind).containsKey(permit.name());
+            boolean isFreed = !after.permits(kind).containsKey(permit.name());
             FleetView.Member member = after.members().get(permit.name());
-            if (!freed || kind != Kind.BROKER || member == null) {
+            if (!isFreed || kind != Kind.BROKER || member == null) {
                 continue;
             }
             boolean sameProcess = member.boot().equals(permit.processMark());
--- a/src/main/java/reeldeal/faultinjection/DisruptionChecker.java
+++ b/src/main/java/reeldeal/faultinjection/DisruptionChecker.java
@@ -40,13 +40,14 @@
     private void track(History.Event event) {
         if (event.is("policy")) {
             allowed = Math.max(allowed, Long.parseLong(event.rest()));
-        } else if (event.logs("fleet: drains")) {
+        } else if (event.isLogWithPrefix("fleet: drains")) {
             outByOrder.add(event.who());
         } else if (event.is("log") && event.rest().contains("ending unplanned")) {
             unplannedExits.add(event.who());
-        } else if (event.logs("fleet: ends: release")) {
+        } else if (event.isLogWithPrefix("fleet: ends: release")) {
             restarts.merge(event.who(), 1, Integer::sum);
-        } else if (event.logs("serving as ") || event.logs("fleet: serves again")) {
+        } else if (event.isLogWithPrefix("serving as ")
+                || event.isLogWithPrefix("fleet: serves again")) {
             outByOrder.remove(event.who());
             unplannedExits.remove(event.who());
         }
--- a/src/main/java/reeldeal/faultinjection/History.java
+++ b/src/main/java/reeldeal/faultinjection/History.java
@@ -15,12 +15,9 @@
  */
 final class History implements AutoCloseable {
     /**
-     * One event.
-     *
-     * @param at ms since the drill began
-     * @param who the process, client or operator that it concerns
-     * @param what its kind, such as {@code ask} or {@code log}
-     * @param rest its text: a log line or form-encoded attributes, empty if there are none
+     * One event: the ms since the drill began, the process, client or operator that it concerns,
+     * its kind, such as {@code ask} or {@code log}, and its text, which is a log line, form-encoded
+     * attributes or empty.
      */
     record Event(long at, String who, String what, String rest) {
         /** Returns whether this event is of a kind. */
@@ -29,7 +26,7 @@
         }
 
         /** Returns whether this event is a log line that begins with {@code prefix}. */
-        boolean logs(String prefix) {
+        boolean isLogWithPrefix(String prefix) {
             return what.equals("log") && rest.startsWith(prefix);
         }
 
--- a/src/main/java/reeldeal/faultinjection/InFlightAtLossCounter.java
+++ b/src/main/java/reeldeal/faultinjection/InFlightAtLossCounter.java
@@ -57,7 +57,7 @@
             firstAskedAt.putIfAbsent(event.who(), event.at());
         } else if (event.is("answer") && isKeyed(event)) {
             inFlightAt(event.attribute("to")).remove(event.attribute("id"));
-        } else if (event.is("kill") || event.logs("work: ends at ")) {
+        } else if (event.is("kill") || event.isLogWithPrefix("work: ends at ")) {
             losses++;
             new HashSet<>(inFlightAt(event.who()).values())
                     .forEach(key -> countLost(key, event.at()));
--- a/src/main/java/reeldeal/faultinjection/RecoveryChecker.java
+++ b/src/main/java/reeldeal/faultinjection/RecoveryChecker.java
@@ -15,9 +15,17 @@
 final class RecoveryChecker {
     private static final Map<String, Integer> PRIORITY_WEIGHTS =
             Map.of("audit-report", 3, "bid-mark", 2, "notice-search", 1);
+
+    /** The time before the first loss over which the usual worth of answers is averaged, ms. */
     private static final long BASELINE_MS = 5_000;
+
+    /** The longest time after a loss that its figures cover, ms. */
     private static final long OBSERVED_MS = 60_000;
+
+    /** The time after a loss in which new connections to searchers are counted, ms. */
     private static final long CONNECTIONS_MS = 10_000;
+
+    /** The length of the slots over which the worth of answers is summed, ms. */
     private static final int SLOT_MS = 500;
 
     private final List<History.Event> events;
@@ -179,8 +187,8 @@
                 connections);
     }
 
-    private static String millisOrNever(long millisOrNever) {
-        return millisOrNever < 0 ? "never" : millisOrNever + " ms";
+    private static String millisOrNever(long ms) {
+        return ms < 0 ? "never" : ms + " ms";
     }
 
     private static boolean isServedComplete(History.Event event) {
--- a/src/main/java/reeldeal/faultinjection/RequestRecordChecker.java
+++ b/src/main/java/reeldeal/faultinjection/RequestRecordChecker.java
@@ -149,7 +149,7 @@
     }
 
     /** The highest run number seen of a request, which each takeover raises by one, and when. */
-    private record LatestRun(int number, long at) {}
+    private record LatestRun(int run, long at) {}
 
     /**
      * Counts the shard requests that an earlier owner sent after those of its successor. They are
@@ -171,9 +171,9 @@
             if (previousLatest == null) {
                 continue;
             }
-            if (run > previousLatest.number()) {
+            if (run > previousLatest.run()) {
                 latest.put(key, new LatestRun(run, event.at()));
-            } else if (run < previousLatest.number()) {
+            } else if (run < previousLatest.run()) {
                 overlaps++;
                 longestMs = Math.max(longestMs, event.at() - previousLatest.at());
             }
--- a/src/main/java/reeldeal/faultinjection/ScenarioReport.java
+++ b/src/main/java/reeldeal/faultinjection/ScenarioReport.java
@@ -55,9 +55,9 @@
                     .append(" |\n");
         }
         text.append(
-                "\n![Who was out when](chart.svg)\n\n## Time line\n\n| ms | who | what |\n| --- | --- | --- |\n");
+                "\n![Phases of each broker over time](chart.svg)\n\n## Time line\n\n| ms | who | what |\n| --- | --- | --- |\n");
         for (History.Event event : events) {
-            boolean shown = SHOWN_KINDS.contains(event.what()) || event.logs("fleet: ");
+            boolean shown = SHOWN_KINDS.contains(event.what()) || event.isLogWithPrefix("fleet: ");
             if (shown) {
                 text.append("| ")
                         .append(event.at())
--- a/src/main/java/reeldeal/faultinjection/StoreBenchmark.java
+++ b/src/main/java/reeldeal/faultinjection/StoreBenchmark.java
@@ -57,7 +57,7 @@
                                         folder.resolve(node),
                                         null,
                                         1),
-                                leader -> {});
+                                logLine -> {});
                 store.groupCommit(groupCommit);
                 stores.put(node, store);
                 loops.put(node, loop);
--- a/src/main/java/reeldeal/faultinjection/TimelineChart.java
+++ b/src/main/java/reeldeal/faultinjection/TimelineChart.java
@@ -48,15 +48,16 @@
         }
 
         private static Phase ofLog(History.Event event) {
-            if (event.logs("serving as ") || event.logs("fleet: serves again")) {
+            if (event.isLogWithPrefix("serving as ")
+                    || event.isLogWithPrefix("fleet: serves again")) {
                 return SERVING;
             }
-            return event.logs("fleet: drains") ? DRAINING : null;
+            return event.isLogWithPrefix("fleet: drains") ? DRAINING : null;
         }
     }
 
     /** A phase, and when it began in ms since the drill began. */
-    private record PhaseStart(Phase phase, long at) {}
+    private record PhaseStart(Phase phase, long atMs) {}
 
     /** Counts of the answers of one second. */
     private static final class Answers {
@@ -132,10 +133,14 @@
         if (start == null) {
             return;
         }
-        double width = Math.max(0.5, (end - start.at()) * scale);
+        double width = Math.max(0.5, (end - start.atMs()) * scale);
         int top = brokers.indexOf(broker) * ROW_HEIGHT + 3;
         rectangle(
-                LABEL_WIDTH + start.at() * scale, top, width, ROW_HEIGHT - 5, start.phase().colour);
+                LABEL_WIDTH + start.atMs() * scale,
+                top,
+                width,
+                ROW_HEIGHT - 5,
+                start.phase().colour);
     }
 
     private void drawShares() {
--- a/src/main/java/reeldeal/faultinjection/ZoneBenchmark.java
+++ b/src/main/java/reeldeal/faultinjection/ZoneBenchmark.java
@@ -173,16 +173,16 @@
             report("update alone over TCP: " + percentiles(updateLatency));
             report("updates a second, 16 connections, 8 each out: " + updatesPerSecond());
             report("queries a second over UDP, 4 askers, 16 each out: " + queriesPerSecond());
-            long serial = client.serial(ORIGIN);
+            long serial = client.querySerial(ORIGIN);
             for (int i = 0; i < 10; i++) {
                 client.send(update(i));
                 client.read();
             }
-            long[] axfr = client.stream(ZoneClient.question(ORIGIN, Rr.AXFR));
+            long[] axfr = client.measureTransfer(ZoneClient.question(ORIGIN, Rr.AXFR));
             report("AXFR: " + axfr[0] + " bytes in " + axfr[1] + " ms");
             var ixfr = ZoneClient.question(ORIGIN, Rr.IXFR);
-            ixfr.add(2, ZoneClient.soa(ORIGIN, serial));
-            long[] changes = client.stream(ixfr);
+            ixfr.add(2, ZoneClient.soaWithSerial(ORIGIN, serial));
+            long[] changes = client.measureTransfer(ixfr);
             report("IXFR of 10 updates: " + changes[0] + " bytes in " + changes[1] + " ms");
         }
         out.accept("at the end " + broker.resourceUsage());
@@ -190,7 +190,7 @@
 
     private boolean answersQueries() {
         try (ZoneClient client = new ZoneClient(dnsPort)) {
-            return client.serial(ORIGIN) > 0;
+            return client.querySerial(ORIGIN) > 0;
         } catch (java.io.IOException e) {
             return false; // The DNS port is not open yet, or the zone is not loaded.
         }
--- a/src/main/java/reeldeal/faultinjection/ZoneClient.java
+++ b/src/main/java/reeldeal/faultinjection/ZoneClient.java
@@ -97,7 +97,7 @@
     }
 
     /** Queries the serial of a zone. */
-    long serial(String origin) throws IOException {
+    long querySerial(String origin) throws IOException {
         send(question(origin, Rr.SOA).toBytes());
         try {
             byte[] soa = Message.parse(read()).answers().get(0).data();
@@ -116,7 +116,7 @@
      * Sends a question and reads its answer until nothing more arrives for half a second. Returns
      * the number of bytes and the ms until the last message.
      */
-    long[] stream(MessageWriter question) throws IOException {
+    long[] measureTransfer(MessageWriter question) throws IOException {
         long from = System.nanoTime();
         long last = from;
         long bytes = 0;
@@ -137,7 +137,7 @@
      * Returns the SOA record that states the client's serial in a query for an incremental
      * transfer.
      */
-    static Rr soa(String origin, long serial) {
+    static Rr soaWithSerial(String origin, long serial) {
         byte[] name = Names.wire(origin);
         java.nio.ByteBuffer data =
                 java.nio.ByteBuffer.allocate(2 * name.length + 20)
