--- a/src/main/java/reeldeal/faultinjection/RecoveryChecker.java
+++ b/src/main/java/reeldeal/faultinjection/RecoveryChecker.java
@@ -30,7 +30,7 @@
 
     private final List<History.Event> events;
     private final Findings findings;
-    private Epoch previous = Epoch.of(new FleetView(Map.of()));
+    private Epoch latest = Epoch.of(new FleetView(Map.of()));
     private int epochs;
     private int stepsBack;
 
@@ -42,19 +42,17 @@
     /** Checks the step from the previous state of the recovery to that after a commit. */
     void checkCommit(FleetView after, long version) {
         Epoch current = Epoch.of(after);
-        if (current.version() == previous.version()) {
+        if (current.version() == latest.version()) {
             return;
         }
-        if (current.number() != previous.number()) {
+        if (current.number() != latest.number()) {
             epochs++;
-            if (current.number() != previous.number() + 1
-                    || current.step() != 1
-                    || current.ended()) {
+            if (current.number() != latest.number() + 1 || current.step() != 1 || current.ended()) {
                 findings.addViolation(
                         "version "
                                 + version
                                 + ": expected the next recovery to begin at step 1 after "
-                                + previous
+                                + latest
                                 + ", found "
                                 + current);
             }
@@ -65,19 +63,18 @@
                                 + ": the release is still running in recovery "
                                 + current.number());
             }
-        } else if ((!current.ended() && Math.abs(current.step() - previous.step()) > 1)
-                || (current.ended() && (previous.ended() || previous.step() < 2))) {
+        } else if ((!current.ended() && Math.abs(current.step() - latest.step()) > 1)
+                || (current.ended() && (latest.ended() || latest.step() < 2))) {
             findings.addViolation(
                     "version "
                             + version
                             + ": expected a recovery to move by one step or to end once from step 2 on, moved from "
-                            + previous
+                            + latest
                             + " to "
                             + current);
         }
-        stepsBack +=
-                current.number() == previous.number() && current.step() < previous.step() ? 1 : 0;
-        previous = current;
+        stepsBack += current.number() == latest.number() && current.step() < latest.step() ? 1 : 0;
+        latest = current;
     }
 
     /** Checks the events of clients and searchers, and adds the figures of each loss of power. */
@@ -93,9 +90,9 @@
             findings.addViolation(
                     overloaded + " searchers were overloaded during slow start, expected none");
         }
-        if (!previous.ended()) {
+        if (!latest.ended()) {
             findings.addViolation(
-                    "recovery " + previous + " has not ended by the end of the history");
+                    "recovery " + latest + " has not ended by the end of the history");
         }
         long fleetWide = losses.stream().filter(loss -> loss.attribute("zone").isEmpty()).count();
         findings.addFigure(
