--- a/src/main/java/reeldeal/faultinjection/AnswerChecker.java
+++ b/src/main/java/reeldeal/faultinjection/AnswerChecker.java
@@ -6,31 +6,40 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Each query has one answer; only a broker that was killed or paused meanwhile may owe one. */
+/**
+ * Checks that each query has exactly one answer. An answer may be missing only if the broker that
+ * was asked was killed or paused while the query was outstanding.
+ */
 final class AnswerChecker {
-    /** A process' last line may be read after its clients' connections have ended, ms. */
-    private static final long LAST_LINE_MS = 500;
+    /**
+     * How long before its last log line was read a process may have closed its clients'
+     * connections, ms.
+     */
+    private static final long LAST_LINE_DELAY_MS = 500;
 
-    /** A time in which a broker was down or paused; {@code until} is Long.MAX_VALUE while it is. */
+    /**
+     * A period in which a broker was down or paused; {@code until} is Long.MAX_VALUE for one that
+     * has not ended.
+     */
     private record Outage(long from, long until) {
         boolean overlaps(long start, long end) {
             return from <= end && until >= start;
         }
 
-        Outage endedAt(long at) {
-            return new Outage(from, Math.min(until, at));
+        Outage endedAt(long end) {
+            return new Outage(from, Math.min(until, end));
         }
     }
 
     private final List<History.Event> events;
     private final Findings findings;
     private final Map<String, List<Outage>> outages = new HashMap<>();
-    private final Map<String, History.Event> open = new HashMap<>();
+    private final Map<String, History.Event> unanswered = new HashMap<>();
     private int asked;
     private int complete;
     private int rejected;
     private int lost;
-    private long longestMs;
+    private long longestAnswerMs;
 
     AnswerChecker(List<History.Event> events, Findings findings) {
         this.events = events;
@@ -41,42 +50,48 @@
         events.forEach(this::recordOutage);
         for (History.Event event : events) {
             if (event.is("ask")) {
-                ask(event);
+                recordQuery(event);
             } else if (event.is("answer") || event.is("noanswer")) {
-                answer(event);
+                recordAnswer(event);
             }
         }
-        open.values().forEach(ask -> findings.violation("never answered: " + ask.rest()));
+        unanswered
+                .values()
+                .forEach(
+                        ask ->
+                                findings.addViolation(
+                                        "query without an answer at the end of the history: "
+                                                + ask.rest()));
         addFigures();
     }
 
     private void recordOutage(History.Event event) {
-        boolean endedAtFailpoint = event.logs("work: ends at ");
+        boolean endedAtFailpoint = event.isLogWithPrefix("work: ends at ");
         if (event.is("kill") || event.is("pause") || endedAtFailpoint) {
-            long from = endedAtFailpoint ? event.at() - LAST_LINE_MS : event.at();
+            long from = endedAtFailpoint ? event.at() - LAST_LINE_DELAY_MS : event.at();
             outages.computeIfAbsent(event.who(), broker -> new ArrayList<>())
                     .add(new Outage(from, Long.MAX_VALUE));
-        } else if (event.is("wake") || event.logs("serving as ")) {
+        } else if (event.is("wake") || event.isLogWithPrefix("serving as ")) {
             outages.computeIfPresent(
                     event.who(),
-                    (broker, known) -> {
-                        known.replaceAll(outage -> outage.endedAt(event.at()));
-                        return known;
+                    (broker, brokerOutages) -> {
+                        brokerOutages.replaceAll(outage -> outage.endedAt(event.at()));
+                        return brokerOutages;
                     });
         }
     }
 
-    private void ask(History.Event event) {
+    private void recordQuery(History.Event event) {
         asked++;
-        if (open.put(event.attribute("id"), event) != null) {
-            findings.violation("asked twice: " + event.rest());
+        if (unanswered.put(event.attribute("id"), event) != null) {
+            findings.addViolation("query asked again while it was unanswered: " + event.rest());
         }
     }
 
-    private void answer(History.Event event) {
-        History.Event ask = open.remove(event.attribute("id"));
+    private void recordAnswer(History.Event event) {
+        History.Event ask = unanswered.remove(event.attribute("id"));
         if (ask == null) {
-            findings.violation("a second answer: " + event.rest());
+            findings.addViolation("answer to a query that is not outstanding: " + event.rest());
             return;
         }
         boolean excused =
@@ -85,28 +100,29 @@
         if (event.is("noanswer")) {
             lost++;
             if (!excused) {
-                findings.violation(
-                        "no answer from a broker that was neither killed nor paused, asked at "
+                findings.addViolation(
+                        "no answer from a broker that was neither killed nor paused to the query asked at "
                                 + ask.at()
-                                + ": "
+                                + " ms: "
                                 + event.rest());
             }
             return;
         }
         complete += event.rest().contains("whole=true") ? 1 : 0;
         rejected += event.rest().contains("status=429") ? 1 : 0;
-        longestMs = excused ? longestMs : Math.max(longestMs, event.at() - ask.at());
+        longestAnswerMs =
+                excused ? longestAnswerMs : Math.max(longestAnswerMs, event.at() - ask.at());
     }
 
     private void addFigures() {
-        long nobody = events.stream().filter(event -> event.is("nobody")).count();
-        double share = (double) complete / Math.max(1, asked + nobody);
-        findings.figure(
+        long withoutBroker = events.stream().filter(event -> event.is("nobody")).count();
+        double share = (double) complete / Math.max(1, asked + withoutBroker);
+        findings.addFigure(
                 "share of all that clients wanted to ask that was served whole",
                 String.format(Locale.ROOT, "%.4f", share));
-        findings.figure(
+        findings.addFigure(
                 "queries",
-                nobody
+                withoutBroker
                         + " found no broker, "
                         + asked
                         + " asked, "
@@ -116,6 +132,6 @@
                         + " refused, "
                         + lost
                         + " lost with a broker that was killed or paused");
-        findings.figure("longest answer of a broker that was neither", longestMs + " ms");
+        findings.addFigure("longest answer of a broker that was neither", longestAnswerMs + " ms");
     }
 }
--- a/src/main/java/reeldeal/faultinjection/CommitChecker.java
+++ b/src/main/java/reeldeal/faultinjection/CommitChecker.java
@@ -12,14 +12,15 @@
 import reeldeal.fleet.FormAttributes;
 
 /**
- * The rules of the fleet over the store's log: permits within the budget, slots freed by evidence,
- * steps of a running rollout.
+ * Checks the fleet's rules over the commits of the store's log: planned permits stay within the
+ * disruption budget, a broker's permit is freed only when the broker is seen to serve again, and
+ * steps of a rollout disrupt members only while it is running.
  */
 final class CommitChecker {
     private final List<History.Event> events;
     private final Findings findings;
-    private final RequestRecordChecker requestRecords;
-    private final RecoveryChecker recovery;
+    private final RequestRecordChecker requestRecordChecker;
+    private final RecoveryChecker recoveryChecker;
     private final Map<String, FleetView.Value> values = new TreeMap<>();
     private int commits;
     private int grants;
@@ -27,30 +28,30 @@
     CommitChecker(List<History.Event> events, Findings findings) {
         this.events = events;
         this.findings = findings;
-        requestRecords = new RequestRecordChecker(events, findings);
-        recovery = new RecoveryChecker(events, findings);
+        requestRecordChecker = new RequestRecordChecker(events, findings);
+        recoveryChecker = new RecoveryChecker(events, findings);
     }
 
     void check() {
         FleetView before = new FleetView(Map.of());
         for (History.Event event : events) {
             if (event.is("commit")) {
-                before = commit(before, FormAttributes.of(event.rest()));
+                before = applyCommit(before, FormAttributes.of(event.rest()));
             }
         }
-        findings.figure(
+        findings.addFigure(
                 "commits of the fleet's and of work's",
                 commits + ", " + grants + " of them grants");
-        requestRecords.check();
-        recovery.check();
+        requestRecordChecker.check();
+        recoveryChecker.check();
     }
 
-    /** The fleet after a commit. */
-    private FleetView commit(FleetView before, FormAttributes commit) {
+    /** Applies a commit, checks what it changed, and returns the fleet after it. */
+    private FleetView applyCommit(FleetView before, FormAttributes commit) {
         commits++;
         Map<String, String> changes = commit.all();
         long version = commit.number("version", 0);
-        requestRecords.commit(changes, version, before);
+        requestRecordChecker.applyCommit(changes, version, before);
         if (changes.keySet().stream().noneMatch(key -> key.startsWith(FleetView.ROOT))) {
             return before;
         }
@@ -58,14 +59,14 @@
         FleetView after = new FleetView(new TreeMap<>(values));
         for (Kind kind : Kind.values()) {
             checkGrants(before, after, kind, version);
-            checkReturns(before, after, kind, version);
+            checkFreedSlots(before, after, kind, version);
         }
         checkSteps(before, after, version);
-        recovery.commit(after, version);
+        recoveryChecker.checkCommit(after, version);
         return after;
     }
 
-    /** A change is {@code +VALUE}, or {@code -} for a key that was removed. */
+    /** Applies the change of one key: {@code +VALUE}, or {@code -} for a key that was removed. */
     private void apply(String key, String change, long version) {
         if (!key.startsWith(FleetView.ROOT)) {
             return;
@@ -77,8 +78,8 @@
         }
     }
 
-    private void violation(long version, String what) {
-        findings.violation("version " + version + ": " + what);
+    private void addViolation(long version, String description) {
+        findings.addViolation("version " + version + ": " + description);
     }
 
     private void checkGrants(FleetView before, FleetView after, Kind kind, long version) {
@@ -88,42 +89,42 @@
             }
             grants++;
             long planned = after.permits(kind).values().stream().filter(Permit::planned).count();
-            long allowed = allowed(after, kind);
+            long allowed = allowedOut(after, kind);
             if (planned > allowed) {
-                violation(
+                addViolation(
                         version,
                         planned
                                 + " "
                                 + kind.lowerCase()
-                                + "s out by permits, "
+                                + "s hold planned permits, "
                                 + allowed
                                 + " allowed");
             }
         }
     }
 
-    private static long allowed(FleetView fleet, Kind kind) {
+    private static long allowedOut(FleetView fleet, Kind kind) {
         DisruptionPolicy policy = fleet.policy();
         return kind == Kind.BROKER
                 ? DisruptionPolicy.parse(policy.brokersOut(), fleet.members().size())
                 : DisruptionPolicy.parse(policy.searchersOut(), fleet.searchers().size());
     }
 
-    private void checkReturns(FleetView before, FleetView after, Kind kind, long version) {
+    private void checkFreedSlots(FleetView before, FleetView after, Kind kind, long version) {
         for (Permit permit : before.permits(kind).values()) {
-            boolean freed = !after.permits(kind).containsKey(permit.name());
+            boolean isFreed = !after.permits(kind).containsKey(permit.name());
             FleetView.Member member = after.members().get(permit.name());
-            if (!freed || kind != Kind.BROKER || member == null) {
+            if (!isFreed || kind != Kind.BROKER || member == null) {
                 continue;
             }
             boolean sameProcess = member.boot().equals(permit.processMark());
             boolean undrained = sameProcess && after.drainMark(kind, permit.name()) == null;
             if (member.state() != State.SERVING || (sameProcess && !undrained)) {
-                violation(
+                addViolation(
                         version,
-                        "the slot of "
+                        "the permit of "
                                 + permit.name()
-                                + " was freed while it is "
+                                + " was freed before it served again, undrained or in a new process; its state is "
                                 + member.state());
             }
         }
@@ -131,25 +132,30 @@
 
     private void checkSteps(FleetView before, FleetView after, long version) {
         for (FleetView.Step step : after.steps().values()) {
-            FleetView.Step was = before.steps().get(step.name());
-            if (was == null) {
+            FleetView.Step previous = before.steps().get(step.name());
+            if (previous == null) {
                 continue;
             }
             boolean disrupts =
                     step.stage() == Stage.DRAIN
-                            || (step.stage() == Stage.RESTART && was.stage() != Stage.RESTART);
-            if (was.stage() != step.stage() && disrupts && !before.release().isRunning()) {
-                violation(
+                            || (step.stage() == Stage.RESTART && previous.stage() != Stage.RESTART);
+            if (previous.stage() != step.stage() && disrupts && !before.release().isRunning()) {
+                addViolation(
                         version,
                         step.name()
-                                + " goes to "
+                                + " moved to "
                                 + step.stage()
-                                + " while the release is "
+                                + " while the release was not RUNNING but "
                                 + before.release().progress());
             }
-            boolean fromDrain = was.stage() == Stage.DRAIN || was.stage() == Stage.RESTART;
+            boolean fromDrain =
+                    previous.stage() == Stage.DRAIN || previous.stage() == Stage.RESTART;
             if (step.stage() == Stage.RESTART && !fromDrain) {
-                violation(version, step.name() + " restarts from " + was.stage());
+                addViolation(
+                        version,
+                        step.name()
+                                + " moved to RESTART, expected after DRAIN, from "
+                                + previous.stage());
             }
         }
     }
--- a/src/main/java/reeldeal/faultinjection/CommitLogReader.java
+++ b/src/main/java/reeldeal/faultinjection/CommitLogReader.java
@@ -15,39 +15,42 @@
 import reeldeal.store.KeyValueState;
 
 /**
- * What a stopped node's folder says happened to the fleet: each commit that changed one of its
- * keys, in order.
+ * Reads from a stopped node's data directory the commits that changed keys of the fleet or records
+ * of keyed requests, in the order of the log.
  */
 final class CommitLogReader {
     private CommitLogReader() {}
 
     /**
-     * The commits as words: {@code version} and each changed key with its new value, or with {@code
-     * -} where it went.
+     * Returns each commit as form-encoded attributes: {@code version}, and each changed key with
+     * {@code +VALUE}, or with {@code -} if the key was removed. Stored configurations are left out.
      */
     static List<String> commits(Path folder, String identity, String node) throws IOException {
         List<String> commits = new ArrayList<>();
-        try (DataDirectory open =
+        try (DataDirectory directory =
                 DataDirectory.open(folder, identity, GroupConfiguration.of(node), 4 << 20)) {
-            RaftNode.PersistentState disk = open.opened().state();
-            KeyValueState state = KeyValueState.fromBytes(disk.snapshot().data());
-            for (Entry e : disk.entries()) {
+            RaftNode.PersistentState persisted = directory.opened().state();
+            KeyValueState state = KeyValueState.fromBytes(persisted.snapshot().data());
+            for (Entry entry : persisted.entries()) {
                 List<Change> changed = new ArrayList<>();
-                state.apply(e.index(), e.data(), changed);
-                FormAttributes words = new FormAttributes().with("version", e.index());
+                state.apply(entry.index(), entry.data(), changed);
+                FormAttributes attributes = new FormAttributes().with("version", entry.index());
                 changed.stream()
                         .filter(
-                                c ->
-                                        (c.key().startsWith(FleetView.ROOT)
-                                                        || c.key().startsWith(RequestRecord.ROOT))
-                                                && !c.key().startsWith(FleetView.CONFIG))
+                                change ->
+                                        (change.key().startsWith(FleetView.ROOT)
+                                                        || change.key()
+                                                                .startsWith(RequestRecord.ROOT))
+                                                && !change.key().startsWith(FleetView.CONFIG))
                         .forEach(
-                                c ->
-                                        words.with(
-                                                c.key(),
-                                                c.value() == null ? "-" : "+" + c.value()));
-                if (words.all().size() > 1) {
-                    commits.add(words.toString());
+                                change ->
+                                        attributes.with(
+                                                change.key(),
+                                                change.value() == null
+                                                        ? "-"
+                                                        : "+" + change.value()));
+                if (attributes.all().size() > 1) {
+                    commits.add(attributes.toString());
                 }
             }
         }
--- a/src/main/java/reeldeal/faultinjection/DrainChecker.java
+++ b/src/main/java/reeldeal/faultinjection/DrainChecker.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * No shard request comes to a searcher from 500 ms after its drain was answered as done, until the
- * drain was taken back or a newer process was listed.
+ * Checks that no shard request reaches a searcher later than 500 ms after its drain was answered as
+ * done, until the drain is taken back or a newer process of the searcher is listed.
  */
 final class DrainChecker {
     private static final long GRACE_MS = 500;
@@ -22,29 +22,30 @@
 
     void check() {
         Map<String, Long> drainedAt = new HashMap<>();
-        Map<String, Long> lastAfterMs = new TreeMap<>();
+        Map<String, Long> lastRequestAfterMs = new TreeMap<>();
         for (History.Event event : events) {
             if (event.is("drained")) {
                 drainedAt.put(event.who(), event.at());
-                lastAfterMs.put(event.who(), -1L);
+                lastRequestAfterMs.put(event.who(), -1L);
             } else if (event.is("undrained") || event.is("listing")) {
                 drainedAt.remove(event.who());
             } else if (event.is("part") && drainedAt.containsKey(event.who())) {
                 long afterMs = event.at() - drainedAt.get(event.who());
-                lastAfterMs.merge(event.who(), afterMs, Math::max);
+                lastRequestAfterMs.merge(event.who(), afterMs, Math::max);
                 if (afterMs > GRACE_MS) {
-                    findings.violation(
-                            "a part came to "
+                    findings.addViolation(
+                            "searcher "
                                     + event.who()
-                                    + " "
+                                    + " received a shard request "
                                     + afterMs
-                                    + " ms after its drain");
+                                    + (" ms after its drain, allowed are " + GRACE_MS + " ms"));
                 }
             }
         }
-        if (!lastAfterMs.isEmpty()) {
-            findings.figure(
-                    "last part after a searcher's drain, ms (-1 for none)", lastAfterMs.toString());
+        if (!lastRequestAfterMs.isEmpty()) {
+            findings.addFigure(
+                    "last part after a searcher's drain, ms (-1 for none)",
+                    lastRequestAfterMs.toString());
         }
     }
 }
--- a/src/main/java/reeldeal/faultinjection/History.java
+++ b/src/main/java/reeldeal/faultinjection/History.java
@@ -10,49 +10,53 @@
 import reeldeal.fleet.FormAttributes;
 
 /**
- * What happened, a line an event: ms since the drill began, who, what, and the rest. Kept as a
- * file.
+ * Writes the events of a drill to a file, one line for each: ms since the drill began, the name of
+ * the process or client, the kind of event, and its text.
  */
 final class History implements AutoCloseable {
-    /** One event. */
+    /**
+     * One event: the ms since the drill began, the process, client or operator that it concerns,
+     * its kind, such as {@code ask} or {@code log}, and its text, which is a log line, form-encoded
+     * attributes or empty.
+     */
     record Event(long at, String who, String what, String rest) {
-        /** Whether it is of this kind. */
-        boolean is(String kind) {
-            return what.equals(kind);
+        /** Returns whether this event is of a kind. */
+        boolean is(String expected) {
+            return what.equals(expected);
         }
 
-        /** Whether it is a log line that begins so. */
-        boolean logs(String prefix) {
+        /** Returns whether this event is a log line that begins with {@code prefix}. */
+        boolean isLogWithPrefix(String prefix) {
             return what.equals("log") && rest.startsWith(prefix);
         }
 
-        /** A value of its form-encoded attributes, or "". */
+        /** Returns a value of the form-encoded attributes, or "" if the key is missing. */
         String attribute(String key) {
             return FormAttributes.of(rest).get(key);
         }
     }
 
-    private final long began = System.nanoTime();
+    private final long startedAtNanos = System.nanoTime();
     private final PrintWriter out;
 
     History(Path file) throws IOException {
         out = new PrintWriter(Files.newBufferedWriter(file));
     }
 
-    /** Ms since the drill began. */
+    /** Returns the ms since the drill began. */
     long now() {
-        return (System.nanoTime() - began) / 1_000_000;
+        return (System.nanoTime() - startedAtNanos) / 1_000_000;
     }
 
-    /** Adds an event as happening now. */
-    void add(String who, String what, String rest) {
-        add(now(), who, what, rest);
+    /** Adds an event that happens now. */
+    void add(String source, String kind, String detail) {
+        add(now(), source, kind, detail);
     }
 
-    /** Adds an event that happened then. */
-    synchronized void add(long at, String who, String what, String rest) {
-        out.println(at + " " + who + " " + what + " " + rest.replace('\n', ' '));
-        if (!what.equals("part")) {
+    /** Adds an event that happened {@code atMs} after the drill began. */
+    synchronized void add(long atMs, String source, String kind, String detail) {
+        out.println(atMs + " " + source + " " + kind + " " + detail.replace('\n', ' '));
+        if (!kind.equals("part")) {
             out.flush();
         }
     }
@@ -62,18 +66,18 @@
         out.close();
     }
 
-    /** Reads a history back. */
+    /** Reads the events of a history file, in the order of its lines. */
     static List<Event> read(Path file) {
         List<Event> events = new ArrayList<>();
         try {
             for (String line : Files.readAllLines(file)) {
-                String[] words = line.split(" ", 4);
+                String[] fields = line.split(" ", 4);
                 events.add(
                         new Event(
-                                Long.parseLong(words[0]),
-                                words[1],
-                                words[2],
-                                words.length > 3 ? words[3] : ""));
+                                Long.parseLong(fields[0]),
+                                fields[1],
+                                fields[2],
+                                fields.length > 3 ? fields[3] : ""));
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/main/java/reeldeal/faultinjection/TimelineChart.java
+++ b/src/main/java/reeldeal/faultinjection/TimelineChart.java
@@ -9,8 +9,8 @@
 import java.util.TreeSet;
 
 /**
- * An SVG chart of a history: a row for each broker with what it did when, and the share of complete
- * answers in each second below.
+ * Draws an SVG chart of a history: a row for each broker with its phases over time, and below the
+ * rows the share of complete answers in each second.
  */
 final class TimelineChart {
     private static final int WIDTH = 900;
@@ -21,7 +21,7 @@
     private static final int SHARE_HEIGHT = 60;
     private static final int SECOND_MS = 1_000;
 
-    /** What a broker does, with its colour. */
+    /** The phases of a broker, with their colours. */
     private enum Phase {
         DOWN("#c0392b"),
         STARTING("#bbbbbb"),
@@ -35,7 +35,7 @@
             this.colour = colour;
         }
 
-        /** The phase that begins with an event, or null. */
+        /** Returns the phase that begins with an event, or null if none does. */
         static Phase of(History.Event event) {
             return switch (event.what()) {
                 case "start" -> STARTING;
@@ -48,17 +48,18 @@
         }
 
         private static Phase ofLog(History.Event event) {
-            if (event.logs("serving as ") || event.logs("fleet: serves again")) {
+            if (event.isLogWithPrefix("serving as ")
+                    || event.isLogWithPrefix("fleet: serves again")) {
                 return SERVING;
             }
-            return event.logs("fleet: drains") ? DRAINING : null;
+            return event.isLogWithPrefix("fleet: drains") ? DRAINING : null;
         }
     }
 
-    /** A phase that has begun. */
-    private record Begun(Phase phase, long at) {}
+    /** A phase, and when it began in ms since the drill began. */
+    private record PhaseStart(Phase phase, long atMs) {}
 
-    /** The answers of one second. */
+    /** Counts of the answers of one second. */
     private static final class Answers {
         int total;
         int complete;
@@ -81,7 +82,7 @@
         height = ROW_HEIGHT * brokers.size() + FOOTER_HEIGHT;
     }
 
-    /** The chart. */
+    /** Draws the chart and returns it as SVG; may be called once. */
     String svg() {
         svg.append("<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"")
                 .append(WIDTH)
@@ -117,25 +118,29 @@
     }
 
     private void drawPhases() {
-        Map<String, Begun> current = new HashMap<>();
+        Map<String, PhaseStart> current = new HashMap<>();
         for (History.Event event : events) {
             Phase phase = Phase.of(event);
             if (phase != null && brokers.contains(event.who())) {
                 drawPhase(event.who(), current.get(event.who()), event.at());
-                current.put(event.who(), new Begun(phase, event.at()));
+                current.put(event.who(), new PhaseStart(phase, event.at()));
             }
         }
-        current.forEach((broker, begun) -> drawPhase(broker, begun, endMs));
+        current.forEach((broker, start) -> drawPhase(broker, start, endMs));
     }
 
-    private void drawPhase(String broker, Begun begun, long until) {
-        if (begun == null) {
+    private void drawPhase(String broker, PhaseStart start, long end) {
+        if (start == null) {
             return;
         }
-        double width = Math.max(0.5, (until - begun.at()) * scale);
+        double width = Math.max(0.5, (end - start.atMs()) * scale);
         int top = brokers.indexOf(broker) * ROW_HEIGHT + 3;
         rectangle(
-                LABEL_WIDTH + begun.at() * scale, top, width, ROW_HEIGHT - 5, begun.phase().colour);
+                LABEL_WIDTH + start.atMs() * scale,
+                top,
+                width,
+                ROW_HEIGHT - 5,
+                start.phase().colour);
     }
 
     private void drawShares() {
