--- a/src/main/java/reeldeal/faultinjection/BrokerProcess.java
+++ b/src/main/java/reeldeal/faultinjection/BrokerProcess.java
@@ -14,15 +14,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One broker as a process of the program: started, killed, paused, woken; what it logs goes into
- * the history.
+ * A broker that runs as a process of its own and can be started, killed, paused and resumed. Its
+ * log lines are added to the history.
  */
 final class BrokerProcess {
     final String name;
     final int port;
     final int storePort;
     final int dnsPort;
-    private List<String> runCommand;
+    private List<String> serveCommand;
     private final Map<String, String> environment;
     private final History history;
     private int maxFileKb;
@@ -35,7 +35,7 @@
             int port,
             int storePort,
             int dnsPort,
-            List<String> program,
+            List<String> programCommand,
             Map<String, String> environment,
             History history) {
         this.name = name;
@@ -44,24 +44,27 @@
         this.dnsPort = dnsPort;
         this.environment = new HashMap<>(environment);
         this.history = history;
-        install(program);
+        install(programCommand);
     }
 
     /**
-     * From its next start on no file of its folder grows beyond this, as on a full disk; 0 for no
-     * bound.
+     * Limits the size of each file that the process writes, as on a full disk, from its next start
+     * on. 0 removes the limit.
      */
-    void limitFileSize(int kb) {
-        maxFileKb = kb;
+    void limitFileSize(int maxKb) {
+        maxFileKb = maxKb;
     }
 
-    /** From its next start on it no longer ends by itself at any point. */
+    /** Removes the failpoints at which the process ends itself, from its next start on. */
     void disableFailpoints() {
         environment.computeIfPresent(
                 "JDK_JAVA_OPTIONS", (k, v) -> v.replaceAll(" ?-Dreeldeal\\.drill\\.die=\\S+", ""));
     }
 
-    /** From its next start on its wall clock is ahead by so much. */
+    /**
+     * Sets the wall clock of the process ahead by an offset in ms, or behind if negative, from its
+     * next start on.
+     */
     void shiftWallClock(long ms) {
         environment.computeIfPresent(
                 "JDK_JAVA_OPTIONS", (k, v) -> v + " -Dreeldeal.drill.wall_off_ms=" + ms);
@@ -71,17 +74,18 @@
         return maxFileKb > 0;
     }
 
-    /** Which program starts from now on. */
-    synchronized void install(List<String> program) {
-        runCommand = new ArrayList<>(program);
-        runCommand.add("serve");
+    /** Sets the program that the next start runs, as the beginning of its command line. */
+    synchronized void install(List<String> programCommand) {
+        serveCommand = new ArrayList<>(programCommand);
+        serveCommand.add("serve");
     }
 
     /**
-     * How this JVM was started, as the beginning of a command: for processes of the same program.
+     * Returns the beginning of a command line that runs a program on the Java runtime of this JVM:
+     * the given jar, or this JVM's class path if {@code jar} is null.
      */
     static List<String> commandFor(Path jar) {
-        List<String> program =
+        List<String> command =
                 new ArrayList<>(
                         List.of(
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -90,27 +94,28 @@
                                 "-XX:+UseSerialGC",
                                 "-XX:TieredStopAtLevel=1",
                                 "-XX:-UsePerfData"));
-        program.addAll(
+        command.addAll(
                 jar != null
                         ? List.of("-jar", jar.toString())
                         : List.of(
                                 "-cp",
                                 System.getProperty("java.class.path"),
                                 "reeldeal.server.Main"));
-        return program;
+        return command;
     }
 
     synchronized void start() throws IOException {
         if (process != null && process.isAlive()) {
             return;
         }
-        List<String> words = new ArrayList<>();
+        List<String> command = new ArrayList<>();
         if (maxFileKb > 0) {
-            words.addAll(List.of("bash", "-c", "ulimit -f " + maxFileKb + "; exec \"$@\"", "bash"));
+            command.addAll(
+                    List.of("bash", "-c", "ulimit -f " + maxFileKb + "; exec \"$@\"", "bash"));
         }
-        words.addAll(runCommand);
+        command.addAll(serveCommand);
         ProcessBuilder builder =
-                new ProcessBuilder(words)
+                new ProcessBuilder(command)
                         .redirectErrorStream(true)
                         .redirectInput(new File("/dev/null"));
         builder.environment()
@@ -143,13 +148,16 @@
                 });
     }
 
-    /** Runs a command of the program, and says whether it ended with 0. */
-    static boolean runCommand(List<String> program, List<String> words, History history)
+    /**
+     * Runs a command of the program and adds its output to the history. Returns whether its exit
+     * status was 0.
+     */
+    static boolean runCommand(List<String> programCommand, List<String> arguments, History history)
             throws IOException, InterruptedException {
-        List<String> all = new ArrayList<>(program);
-        all.addAll(words);
+        List<String> command = new ArrayList<>(programCommand);
+        command.addAll(arguments);
         Process process =
-                new ProcessBuilder(all)
+                new ProcessBuilder(command)
                         .redirectErrorStream(true)
                         .redirectInput(new File("/dev/null"))
                         .start();
@@ -166,7 +174,7 @@
         return process != null && process.isAlive();
     }
 
-    /** Whether it has said that it serves and was not ended since. */
+    /** Returns whether the process has logged that it serves, and is neither ended nor paused. */
     boolean isServing() {
         return isServing && isAlive() && !isPaused;
     }
@@ -175,7 +183,7 @@
         history.add(name, "kill", "");
         isServing = false;
         process.toHandle()
-                .destroyForcibly(); // the process's own method closes what it has yet to say
+                .destroyForcibly(); // Process.destroyForcibly would close output not read yet
         process.waitFor();
     }
 
@@ -205,11 +213,14 @@
         history.add(name, "wake", "");
     }
 
-    /** Memory and CPU time of the process, where the system tells. */
+    /**
+     * Returns memory, CPU time and uptime of the process, as far as the operating system reports
+     * them.
+     */
     String resourceUsage() {
-        String rss = "?";
+        String rssKb = "?";
         try {
-            rss =
+            rssKb =
                     java.nio.file.Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))
                             .stream()
                             .filter(l -> l.startsWith("VmRSS:"))
@@ -217,22 +228,23 @@
                             .findFirst()
                             .orElse("?");
         } catch (IOException e) {
-            rss = "?"; // not this system's way
+            rssKb = "?"; // no /proc on this operating system, or the process has ended
         }
-        long cpu = process.info().totalCpuDuration().map(java.time.Duration::toMillis).orElse(-1L);
-        long up =
+        long cpuMs =
+                process.info().totalCpuDuration().map(java.time.Duration::toMillis).orElse(-1L);
+        long uptimeMs =
                 process.info()
                         .startInstant()
                         .map(i -> java.time.Duration.between(i, java.time.Instant.now()).toMillis())
                         .orElse(-1L);
-        return "rss_kb=" + rss + " cpu_ms=" + cpu + " up_ms=" + up;
+        return "rss_kb=" + rssKb + " cpu_ms=" + cpuMs + " up_ms=" + uptimeMs;
     }
 
     boolean isPaused() {
         return isPaused;
     }
 
-    /** Ends it, and waits until it has. */
+    /** Kills the process and waits up to 10 s for its end. */
     void close() throws InterruptedException {
         if (process != null) {
             process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
--- a/src/main/java/reeldeal/faultinjection/DaemonThreads.java
+++ b/src/main/java/reeldeal/faultinjection/DaemonThreads.java
@@ -1,16 +1,16 @@
 package reeldeal.faultinjection;
 
-/** Threads that do not keep the process alive. */
+/** Starts daemon threads, which do not keep the process alive. */
 public final class DaemonThreads {
     private DaemonThreads() {}
 
-    /** What a thread does, usually until its sockets are closed. */
+    /** The work of a thread, which usually runs until its sockets are closed. */
     public interface Task {
-        /** Does it; an exception ends the thread. */
+        /** Runs the task. An exception ends the thread. */
         void run() throws Exception;
     }
 
-    /** Runs a task on a thread of its own, which any exception ends silently. */
+    /** Runs a task on a new daemon thread. An exception ends the thread without a log line. */
     public static void start(Task task) {
         Thread thread =
                 new Thread(
--- a/src/main/java/reeldeal/faultinjection/DiskFaults.java
+++ b/src/main/java/reeldeal/faultinjection/DiskFaults.java
@@ -10,16 +10,16 @@
 import java.util.stream.Stream;
 
 /**
- * What a loss of power, a bad disk or a mistaken hand may make of a node's folder while its process
- * is down.
+ * Damages the folder of a node while its process is down, as a power loss, a failing disk or an
+ * operator's mistake can.
  */
 final class DiskFaults {
-    private static final int HALF_MOST = 6; // bytes of a record's head
+    private static final int MAX_TORN_BYTES = 6; // bytes, within the header of a record
 
     private DiskFaults() {}
 
-    private static Path newestLog(Path of) throws IOException {
-        try (Stream<Path> files = Files.list(of)) {
+    private static Path newestLog(Path directory) throws IOException {
+        try (Stream<Path> files = Files.list(directory)) {
             return files.filter(f -> f.getFileName().toString().startsWith("log"))
                     .max(Comparator.naturalOrder())
                     .orElse(null);
@@ -27,58 +27,62 @@
     }
 
     /**
-     * A write that was cut in the middle: the first bytes of a record at the end of the newest file
-     * of the log.
+     * Appends the first bytes of a record to the newest log file, as a write that a power loss
+     * interrupts does.
      */
-    static void tear(Path of, SplittableRandom random, History history) throws IOException {
-        Path log = newestLog(of);
+    static void tear(Path directory, SplittableRandom random, History history) throws IOException {
+        Path log = newestLog(directory);
         if (log != null) {
-            byte[] half = new byte[1 + random.nextInt(HALF_MOST)];
-            Files.write(log, half, StandardOpenOption.APPEND);
+            byte[] tornBytes = new byte[1 + random.nextInt(MAX_TORN_BYTES)];
+            Files.write(log, tornBytes, StandardOpenOption.APPEND);
             history.add(
-                    of.getFileName().toString(), "torn", log.getFileName() + " by " + half.length);
+                    directory.getFileName().toString(),
+                    "torn",
+                    log.getFileName() + " by " + tornBytes.length);
         }
     }
 
     /**
-     * One bit of the newest file of the log, in its middle half, is another: a disk that changed
-     * what it held.
+     * Flips one bit in the middle half of the newest log file, as silent corruption on a disk does.
      */
-    static void flip(Path of, SplittableRandom random, History history) throws IOException {
-        Path log = newestLog(of);
+    static void flip(Path directory, SplittableRandom random, History history) throws IOException {
+        Path log = newestLog(directory);
         if (log != null) {
             byte[] bytes = Files.readAllBytes(log);
-            int at = bytes.length / 4 + random.nextInt(Math.max(1, bytes.length / 2));
-            bytes[at] ^= (byte) (1 << random.nextInt(8));
+            int offset = bytes.length / 4 + random.nextInt(Math.max(1, bytes.length / 2));
+            bytes[offset] ^= (byte) (1 << random.nextInt(8));
             Files.write(log, bytes);
-            history.add(of.getFileName().toString(), "flipped", log.getFileName() + " at " + at);
+            history.add(
+                    directory.getFileName().toString(),
+                    "flipped",
+                    log.getFileName() + " at " + offset);
         }
     }
 
-    /** Copies a folder beside it, for {@link #putBack}. */
-    static void keep(Path of) throws IOException {
-        Path copy = kept(of);
+    /** Copies a folder to a sibling folder, for {@link #restore}. */
+    static void backUp(Path directory) throws IOException {
+        Path copy = backupOf(directory);
         delete(copy);
-        try (Stream<Path> files = Files.walk(of)) {
+        try (Stream<Path> files = Files.walk(directory)) {
             for (Path f : files.toList()) {
-                Files.copy(f, copy.resolve(of.relativize(f)));
+                Files.copy(f, copy.resolve(directory.relativize(f)));
             }
         }
     }
 
-    /** The folder is what it was when it was kept. */
-    static void putBack(Path of) throws IOException {
-        delete(of);
-        Files.move(kept(of), of);
+    /** Replaces a folder by the copy that {@link #backUp} made of it. */
+    static void restore(Path directory) throws IOException {
+        delete(directory);
+        Files.move(backupOf(directory), directory);
     }
 
-    private static Path kept(Path of) {
-        return of.resolveSibling(of.getFileName() + ".kept");
+    private static Path backupOf(Path directory) {
+        return directory.resolveSibling(directory.getFileName() + ".kept");
     }
 
-    private static void delete(Path of) throws IOException {
-        if (Files.exists(of)) {
-            try (Stream<Path> files = Files.walk(of)) {
+    private static void delete(Path directory) throws IOException {
+        if (Files.exists(directory)) {
+            try (Stream<Path> files = Files.walk(directory)) {
                 for (Path f : List.copyOf(files.sorted(Comparator.reverseOrder()).toList())) {
                     Files.delete(f);
                 }
--- a/src/main/java/reeldeal/faultinjection/FakeSearcher.java
+++ b/src/main/java/reeldeal/faultinjection/FakeSearcher.java
@@ -17,8 +17,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A searcher on loopback that answers every shard request after a fixed time. It accepts and serves
- * on threads of its own; its methods may be called by any thread.
+ * A searcher on loopback that answers every shard request after a fixed time. Connections are
+ * accepted and served on its own threads. Its methods may be called from any thread.
  */
 public final class FakeSearcher implements AutoCloseable {
     private static final int BACKLOG = 100;
@@ -44,16 +44,16 @@
     private volatile long startedAt;
 
     /**
-     * A searcher without memory of idempotency keys.
+     * Starts a searcher that does not deduplicate by idempotency key.
      *
-     * @param serviceMs how long it takes for a shard request, ms
-     * @param onShardRequest is called with the name of each shard request as it comes
+     * @param serviceMs the service time of a shard request, ms
+     * @param onShardRequest is called with the name of each shard request on its arrival
      */
     public FakeSearcher(int serviceMs, Consumer<String> onShardRequest) throws IOException {
         this(serviceMs, onShardRequest, null);
     }
 
-    /** A searcher that drops repeats of keys. */
+    /** Starts a searcher that deduplicates shard requests by idempotency key. */
     FakeSearcher(int serviceMs, Consumer<String> onShardRequest, IdempotencyKeys keys)
             throws IOException {
         this.serviceMs = serviceMs;
@@ -61,14 +61,14 @@
         this.keys = keys;
         server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         port = server.getLocalPort();
-        accept(server);
+        startAccepting(server);
     }
 
-    private void accept(ServerSocket from) {
+    private void startAccepting(ServerSocket listener) {
         DaemonThreads.start(
                 () -> {
                     while (true) {
-                        Socket connection = from.accept();
+                        Socket connection = listener.accept();
                         connection.setTcpNoDelay(true);
                         connections.add(connection);
                         onConnect.run();
@@ -85,14 +85,18 @@
         }
     }
 
-    /** From now on it has a capacity while it warms up; reports overload, and each connection. */
-    void limitCapacity(SlowStartCapacity.Model model, Runnable overloaded, Runnable connected) {
+    /**
+     * Limits the capacity of the searcher during its slow start. The listeners are called on each
+     * overload and on each new connection.
+     */
+    void limitCapacity(
+            SlowStartCapacity.Model model, Runnable overloadListener, Runnable connectListener) {
         capacity = new SlowStartCapacity(model);
-        onOverload = overloaded;
-        onConnect = connected;
+        onOverload = overloadListener;
+        onConnect = connectListener;
     }
 
-    /** Its process ends. */
+    /** Closes the listening socket and all connections, as the end of the process would. */
     synchronized void stop() throws IOException {
         server.close();
         for (Socket connection : connections) {
@@ -100,7 +104,10 @@
         }
     }
 
-    /** It is started again, cold and without memory, unless it runs. */
+    /**
+     * Starts the searcher again if it is stopped, with a cold slow start and without the
+     * idempotency keys it had served.
+     */
     synchronized void restart() throws IOException {
         if (!server.isClosed()) {
             return;
@@ -113,21 +120,24 @@
         if (keys != null) {
             keys.forget(this);
         }
-        accept(server);
+        startAccepting(server);
     }
 
-    /** When its process was started again, Unix ms; 0 where it never was. */
+    /** Returns the time of the latest restart as Unix ms, or 0 if it was never restarted. */
     long startedAt() {
         return startedAt;
     }
 
-    /** Where it listens. */
+    /** Returns the port that the searcher listens on. */
     public int port() {
         return port;
     }
 
-    /** Counts a call; one that overloads a cold searcher ends its process. */
-    private boolean accepts(int shardRequests) throws IOException {
+    /**
+     * Counts the shard requests of a call. Returns false and stops the searcher if they overload it
+     * during its slow start.
+     */
+    private boolean admit(int shardRequests) throws IOException {
         if (capacity == null
                 || startedAt == 0
                 || capacity.accepts(shardRequests, startedAt, System.currentTimeMillis())) {
@@ -149,7 +159,7 @@
             char kind = frame.charAt(0);
             if (kind == 'Q') {
                 List<String> lines = lines(frame.substring(2));
-                if (!accepts(lines.size())) {
+                if (!admit(lines.size())) {
                     return;
                 }
                 respondLater(out, lines.stream().map(this::answer).toList());
@@ -168,7 +178,10 @@
         return "A " + name + " ok 1 -\n" + value;
     }
 
-    /** Further calls are read meanwhile: the service time of each counts from when it came. */
+    /**
+     * Sends the answers of a call after the service time. Further calls are read meanwhile, and the
+     * service time of each starts at its arrival.
+     */
     private void respondLater(OutputStream out, List<String> answers) {
         responses.schedule(
                 () -> {
@@ -190,8 +203,8 @@
         }
     }
 
-    /** The names of a call's shard requests. */
-    static List<String> names(String call) {
+    /** Returns the names of the shard requests of a call. */
+    static List<String> shardRequestNames(String call) {
         return lines(call).stream().map(FakeSearcher::nameOf).toList();
     }
 
@@ -200,18 +213,18 @@
     }
 
     /**
-     * The head lines of a call. The last word of each is the length of the text that follows it,
-     * which ends without a line break.
+     * Returns the head lines of a call. The last word of each is the length of the text that
+     * follows the line. That text has no line break at its end.
      */
     private static List<String> lines(String call) {
         List<String> lines = new ArrayList<>();
-        int at = 0;
-        while (at < call.length()) {
-            int end = call.indexOf('\n', at);
-            String line = call.substring(at, end);
+        int offset = 0;
+        while (offset < call.length()) {
+            int end = call.indexOf('\n', offset);
+            String line = call.substring(offset, end);
             lines.add(line);
             int textLength = Integer.parseInt(line.substring(line.lastIndexOf(' ') + 1));
-            at = end + 1 + textLength;
+            offset = end + 1 + textLength;
         }
         return lines;
     }
--- a/src/main/java/reeldeal/faultinjection/FaultSchedule.java
+++ b/src/main/java/reeldeal/faultinjection/FaultSchedule.java
@@ -14,13 +14,10 @@
 import java.util.stream.Stream;
 import reeldeal.fleet.FormAttributes;
 
-/**
- * A scenario's actions, each carried out when its time has come. Used by the scenario's thread
- * alone.
- */
+/** Runs each action of a scenario at its time. Used only by the thread of the scenario. */
 final class FaultSchedule {
     private static final int AWAIT_MS = 60_000;
-    private static final int RESTART_MS = 500;
+    private static final int RESTART_DELAY_MS = 500;
     private static final int SHORTEST_OUTAGE_MS = 200;
     private static final int RAISED_LOAD_MS = 10_000;
 
@@ -38,8 +35,8 @@
     /**
      * Schedules a scenario's actions.
      *
-     * @param folder in which the nodes' data directories lie
-     * @param context the fleet and what operates it
+     * @param folder the parent of the nodes' data directories
+     * @param context the fleet and the tools that operate it
      */
     FaultSchedule(
             Scenario scenario,
@@ -59,7 +56,7 @@
         pending = new ArrayList<>(scenario.faults().actions());
     }
 
-    /** What actions act on. */
+    /** The parts of a scenario on which actions act. */
     record Context(
             ProcessFleet fleet,
             SearcherFleet searchers,
@@ -71,7 +68,7 @@
         return pending.isEmpty();
     }
 
-    /** Carries out what is due so many ms after the beginning. */
+    /** Runs the actions that are due at a time, given in ms since the fault phase began. */
     void runDue(long elapsedMs) throws Exception {
         for (Scenario.Action action : List.copyOf(pending)) {
             if (elapsedMs >= action.atMs()) {
@@ -99,7 +96,7 @@
         switch (action.kind()) {
             case KILL -> {
                 broker.kill();
-                fleet.restartIn(broker, action.durationMs());
+                fleet.restartAfter(broker, action.durationMs());
             }
             case TERMINATE -> broker.terminate();
             case KEEP, OLDER, FLIP -> damageDirectory(broker, action.kind());
@@ -109,14 +106,16 @@
             case FILL -> fillDisk(broker, action.durationMs());
             case PAUSE -> {
                 broker.pause();
-                fleet.healIn(broker, action.durationMs());
+                fleet.healAfter(broker, action.durationMs());
             }
             case CUT, DEAFEN -> {
                 history.add(broker.name, action.kind().key(), "");
                 fleet.partition(broker.name, true, action.kind() == FaultKind.DEAFEN);
-                fleet.healIn(broker, action.durationMs());
+                fleet.healAfter(broker, action.durationMs());
             }
-            default -> throw new IllegalStateException("no fault of one node: " + action.kind());
+            default ->
+                    throw new IllegalStateException(
+                            "fault kind does not apply to a single node: " + action.kind());
         }
     }
 
@@ -126,25 +125,25 @@
             history.add(
                     searcher,
                     "undrained",
-                    ""); // from the moment of the order on requests may come again
+                    ""); // recorded before the order: requests may arrive as soon as it is given
         }
         if (console.order(text) && text.startsWith("fleet drain")) {
             history.add(searcher, "drained", "");
         }
     }
 
-    private void shiftClock(BrokerProcess broker, Scenario.Action action, long byMs) {
+    private void shiftClock(BrokerProcess broker, Scenario.Action action, long offsetMs) {
         history.add(broker.name, action.kind().key(), action.durationMs() + " ms");
-        broker.shiftWallClock(byMs);
+        broker.shiftWallClock(offsetMs);
     }
 
-    private void fillDisk(BrokerProcess broker, long forMs) throws Exception {
+    private void fillDisk(BrokerProcess broker, long durationMs) throws Exception {
         long maxKb = largestFile(folder.resolve(broker.name)) / 1_024 + 1;
         history.add(broker.name, "fill", "no file beyond " + maxKb + " KB");
         broker.limitFileSize((int) maxKb);
         broker.kill();
-        fleet.restartIn(broker, 0);
-        fleet.healIn(broker, forMs);
+        fleet.restartAfter(broker, 0);
+        fleet.healAfter(broker, durationMs);
     }
 
     private static long largestFile(Path directory) throws IOException {
@@ -153,12 +152,12 @@
         }
     }
 
-    // ---- loss of power ----
+    // ---- power loss ----
 
     private void losePower(Scenario.Action action) throws Exception {
         String zone = action.target().matches("[ab]") ? action.target() : "";
         history.add("drill", "power", "zone=" + zone);
-        Set<String> late = lateVoters(action.lateMs());
+        Set<String> lateVoters = lateVoters(action.lateMs());
         for (BrokerProcess broker : fleet.brokers()) {
             if (zone.isEmpty() || zone.equals(ProcessFleet.zoneOf(broker.name))) {
                 if (broker.isAlive()) {
@@ -170,15 +169,16 @@
                 }
                 long outageMs =
                         SHORTEST_OUTAGE_MS + random.nextLong(Math.max(1, action.durationMs()));
-                fleet.restartIn(
-                        broker, outageMs + (late.contains(broker.name) ? action.lateMs() : 0));
+                fleet.restartAfter(
+                        broker,
+                        outageMs + (lateVoters.contains(broker.name) ? action.lateMs() : 0));
             }
         }
         searchers.losePower(zone, action.durationMs(), random);
         supervisor.raiseLoad(scenario.power().loadFactor(), RAISED_LOAD_MS);
     }
 
-    /** A random majority of the voters where some are to come back late, else nobody. */
+    /** Returns a random majority of the voters if some are to restart late, else an empty set. */
     private Set<String> lateVoters(long lateMs) {
         List<String> shuffled = shuffled(new TreeSet<>(fleet.voters()));
         return lateMs == 0 ? Set.of() : Set.copyOf(shuffled.subList(0, shuffled.size() / 2 + 1));
@@ -200,40 +200,42 @@
         Path directory = folder.resolve(broker.name);
         history.add(broker.name, kind.key(), "");
         switch (kind) {
-            case KEEP -> DiskFaults.keep(directory);
-            case OLDER -> DiskFaults.putBack(directory);
+            case KEEP -> DiskFaults.backUp(directory);
+            case OLDER -> DiskFaults.restore(directory);
             default -> DiskFaults.flip(directory, random, history);
         }
-        fleet.restartWithin(broker, RESTART_MS);
+        fleet.restartAfterIfUnscheduled(broker, RESTART_DELAY_MS);
     }
 
     /**
-     * What operators do with a node whose directory cannot be trusted: another, from an empty one,
-     * takes its place by command.
+     * Replaces a node whose data directory cannot be trusted by a spare with an empty directory,
+     * with the commands that operators use.
      */
-    private void rebuild(BrokerProcess old) throws Exception {
-        boolean voted = fleet.isVoter(old);
-        BrokerProcess spare = fleet.replace(old);
+    private void rebuild(BrokerProcess retired) throws Exception {
+        boolean wasVoter = fleet.isVoter(retired);
+        BrokerProcess spare = fleet.replace(retired);
         console.require("store add " + spare.name + " 127.0.0.1:" + spare.storePort);
         spare.start();
         supervisor.await(
-                AWAIT_MS, spare.name + " has what the group has", () -> isServing(spare.name));
+                AWAIT_MS,
+                spare.name + " is serving as the replacement",
+                () -> isServing(spare.name));
         console.require(
-                voted
-                        ? "store replace " + old.name + " " + spare.name
-                        : "store remove " + old.name);
-        if (voted) {
-            fleet.transferVote(old, spare);
+                wasVoter
+                        ? "store replace " + retired.name + " " + spare.name
+                        : "store remove " + retired.name);
+        if (wasVoter) {
+            fleet.transferVote(retired, spare);
         }
-        FormAttributes forget =
+        FormAttributes forgetAttributes =
                 new FormAttributes()
-                        .with("name", old.name)
+                        .with("name", retired.name)
                         .with("kind", "broker")
                         .with("reason", "rebuilt");
         supervisor.await(
                 AWAIT_MS,
-                old.name + " is forgotten",
-                () -> console.order("fleet forget " + forget));
+                retired.name + ": the order to forget the broker is accepted",
+                () -> console.order("fleet forget " + forgetAttributes));
     }
 
     private boolean isServing(String node) {
@@ -241,21 +243,23 @@
                 .anyMatch(m -> m.get("name").equals(node) && m.get("state").equals("serving"));
     }
 
-    // ---- the zone ----
+    // ---- zone updates ----
 
-    /** An update of the zone at a node: {@code NODE add|delete SEARCHER}. */
-    private void updateZone(String[] words) throws Exception {
-        BrokerProcess broker = fleet.broker(words[0]);
-        boolean adds = words[1].equals("add");
-        String searcher = words[2];
+    /** Sends a zone update to a node. The arguments are {@code NODE add|delete SEARCHER}. */
+    private void updateZone(String[] arguments) throws Exception {
+        BrokerProcess broker = fleet.broker(arguments[0]);
+        boolean isAdd = arguments[1].equals("add");
+        String searcher = arguments[2];
         int port = searchers.port(Integer.parseInt(searcher.substring(1)));
         String record =
-                "_searcher._tcp " + (adds ? "60 " : "") + "SRV 0 0 " + port + " " + searcher;
-        if (adds) {
+                "_searcher._tcp " + (isAdd ? "60 " : "") + "SRV 0 0 " + port + " " + searcher;
+        if (isAdd) {
             history.add(searcher, "undrained", "");
         }
         history.add(
-                "operator", "order", "zone update at " + words[0] + ": " + words[1] + " " + record);
+                "operator",
+                "order",
+                "zone update at " + arguments[0] + ": " + arguments[1] + " " + record);
         List<String> command =
                 List.of(
                         "zone",
@@ -263,15 +267,15 @@
                         "-s",
                         "127.0.0.1:" + broker.dnsPort,
                         NodeFiles.ORIGIN,
-                        "--" + words[1],
+                        "--" + arguments[1],
                         record);
-        boolean done = BrokerProcess.runCommand(programs.rolledOut(), command, history);
-        if (done && words[1].equals("delete")) {
+        boolean succeeded = BrokerProcess.runCommand(programs.rolledOutCommand(), command, history);
+        if (succeeded && arguments[1].equals("delete")) {
             history.add(searcher, "drained", "");
         }
     }
 
-    // ---- whom an action hits ----
+    // ---- targets of an action ----
 
     private List<BrokerProcess> select(String target) {
         if (fleet.broker(target) != null) {
@@ -284,7 +288,7 @@
             return List.of();
         }
         return switch (target) {
-            case "seven" -> sevenInTen(candidates, running);
+            case "seven" -> selectSevenInTen(candidates, running);
             case "third" ->
                     shuffled(candidates).subList(0, Math.max(1, fleet.brokers().size() / 3));
             default -> List.of(candidates.get(random.nextInt(candidates.size())));
@@ -318,7 +322,7 @@
         return leaving;
     }
 
-    private List<BrokerProcess> sevenInTen(
+    private List<BrokerProcess> selectSevenInTen(
             List<BrokerProcess> learners, List<BrokerProcess> running) {
         List<BrokerProcess> shuffled = shuffled(learners);
         int count = Math.min(shuffled.size(), fleet.brokers().size() * 7 / 10 - 1);
--- a/src/main/java/reeldeal/faultinjection/FrameProxy.java
+++ b/src/main/java/reeldeal/faultinjection/FrameProxy.java
@@ -18,15 +18,15 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Stands between two nodes of the store and reads frames by their length, so that single ones can
- * be dropped, doubled, or held back while later ones overtake them. The other direction, on which
- * only a greeting comes, is passed on as it is.
+ * A TCP proxy between two nodes of the store. It reads frames by their length, so that single
+ * frames can be dropped, duplicated, or delayed while later frames overtake them. The opposite
+ * direction, which carries only a greeting, is forwarded unchanged.
  */
 final class FrameProxy implements AutoCloseable {
-    private static final int MAX_FRAME = 8 << 20;
-    private static final int MOST_DELAY_MS = 400;
+    private static final int MAX_FRAME_BYTES = 8 << 20;
+    private static final int MAX_DELAY_MS = 400;
 
-    /** What is done to frames, in per cent of them; may be changed at any time. */
+    /** The percentages of frames to drop, delay and duplicate. They may be changed at any time. */
     volatile int dropPct;
 
     volatile int delayPct;
@@ -37,12 +37,12 @@
     final AtomicLong duplicated = new AtomicLong();
 
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final List<Socket> open = new CopyOnWriteArrayList<>();
+    private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
     private final SplittableRandom random;
     private volatile boolean partitioned;
 
-    /** Passes on to a port. */
-    FrameProxy(int to, long seed) throws IOException {
+    /** Starts a proxy that forwards connections to a port on loopback. */
+    FrameProxy(int targetPort, long seed) throws IOException {
         random = new SplittableRandom(seed);
         DaemonThreads.start(
                 () -> {
@@ -53,15 +53,15 @@
                             continue;
                         }
                         try {
-                            Socket out = new Socket(InetAddress.getLoopbackAddress(), to);
+                            Socket out = new Socket(InetAddress.getLoopbackAddress(), targetPort);
                             in.setTcpNoDelay(true);
                             out.setTcpNoDelay(true);
-                            open.add(in);
-                            open.add(out);
-                            DaemonThreads.start(() -> frames(in, out));
-                            DaemonThreads.start(() -> pass(out, in));
+                            openSockets.add(in);
+                            openSockets.add(out);
+                            DaemonThreads.start(() -> forwardFrames(in, out));
+                            DaemonThreads.start(() -> forwardBytes(out, in));
                         } catch (IOException e) {
-                            in.close(); // the other side is down
+                            in.close(); // the target node is down
                         }
                     }
                 });
@@ -83,13 +83,13 @@
         }
     }
 
-    private void frames(Socket from, Socket to) throws IOException {
-        DelayQueue<DelayedFrame> held = new DelayQueue<>();
+    private void forwardFrames(Socket from, Socket to) throws IOException {
+        DelayQueue<DelayedFrame> delayQueue = new DelayQueue<>();
         DataOutputStream out = new DataOutputStream(to.getOutputStream());
         DaemonThreads.start(
                 () -> {
                     while (!to.isClosed()) {
-                        DelayedFrame due = held.poll(200, TimeUnit.MILLISECONDS);
+                        DelayedFrame due = delayQueue.poll(200, TimeUnit.MILLISECONDS);
                         if (due != null) {
                             write(out, due.frame());
                         }
@@ -100,42 +100,45 @@
             DataInputStream in = new DataInputStream(from.getInputStream());
             while (true) {
                 int length = in.readInt();
-                if (length < 1 || length > MAX_FRAME) {
-                    throw new IOException("no frame: " + length);
+                if (length < 1 || length > MAX_FRAME_BYTES) {
+                    throw new IOException(
+                            "frame length is not in 1.." + MAX_FRAME_BYTES + ": " + length);
                 }
                 byte[] frame = in.readNBytes(length);
-                int dice = chance();
-                if (dice < dropPct) {
+                int dropRoll = randomPercent();
+                if (dropRoll < dropPct) {
                     dropped.incrementAndGet();
                     continue;
                 }
                 passed.incrementAndGet();
-                if (chance() < delayPct) {
+                if (randomPercent() < delayPct) {
                     delayed.incrementAndGet();
-                    held.add(
+                    delayQueue.add(
                             new DelayedFrame(
                                     frame,
                                     System.nanoTime()
-                                            + (1 + chance() * MOST_DELAY_MS / 100) * 1_000_000L));
+                                            + (1 + randomPercent() * MAX_DELAY_MS / 100)
+                                                    * 1_000_000L));
                 } else {
                     write(out, frame);
                 }
-                if (chance() < duplicatePct) {
+                if (randomPercent() < duplicatePct) {
                     duplicated.incrementAndGet();
-                    held.add(
+                    delayQueue.add(
                             new DelayedFrame(
                                     frame,
                                     System.nanoTime()
-                                            + (1 + chance() * MOST_DELAY_MS / 100) * 1_000_000L));
+                                            + (1 + randomPercent() * MAX_DELAY_MS / 100)
+                                                    * 1_000_000L));
                 }
             }
         } finally {
-            open.remove(from);
-            open.remove(to);
+            openSockets.remove(from);
+            openSockets.remove(to);
         }
     }
 
-    private int chance() {
+    private int randomPercent() {
         synchronized (random) {
             return random.nextInt(100);
         }
@@ -149,31 +152,31 @@
         }
     }
 
-    private static void pass(Socket from, Socket to) throws IOException {
+    private static void forwardBytes(Socket from, Socket to) throws IOException {
         try (from;
                 to) {
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
             byte[] bytes = new byte[4_096];
-            for (int n = in.read(bytes); n > 0; n = in.read(bytes)) {
-                out.write(bytes, 0, n);
+            for (int count = in.read(bytes); count > 0; count = in.read(bytes)) {
+                out.write(bytes, 0, count);
             }
         }
     }
 
-    /** Ends what is open and takes nothing more, or takes connections again. */
-    void setPartitioned(boolean now) {
-        partitioned = now;
-        if (now) {
-            List<Socket> ended = new ArrayList<>();
-            for (Socket s : open) {
+    /** Closes all connections and accepts no more, or accepts connections again. */
+    void setPartitioned(boolean partition) {
+        partitioned = partition;
+        if (partition) {
+            List<Socket> closedSockets = new ArrayList<>();
+            for (Socket socket : openSockets) {
                 try {
-                    s.close();
+                    socket.close();
                 } catch (IOException e) {
-                    ended.add(s); // it has ended by itself
+                    closedSockets.add(socket); // the peer has closed the connection already
                 }
             }
-            open.removeAll(ended);
+            openSockets.removeAll(closedSockets);
         }
     }
 
--- a/src/main/java/reeldeal/faultinjection/IdempotentLoadGenerator.java
+++ b/src/main/java/reeldeal/faultinjection/IdempotentLoadGenerator.java
@@ -12,109 +12,117 @@
 import java.util.regex.Pattern;
 
 /**
- * Clients whose requests bear keys. Each asks some broker, and where the connection ends, nothing
- * comes in time, or it is refused or failed, asks another with the same key, sometimes three at
- * once, until it is told how its request ended, or has no patience left.
+ * Clients whose requests have idempotency keys. Each sends its request to a healthy broker. If the
+ * connection ends, no answer comes in time, or the request is refused or fails, it retries with the
+ * same key at any healthy broker, sometimes with three attempts at once, until an answer reports
+ * the outcome of the request or the timeout of the request has passed.
  */
 final class IdempotentLoadGenerator implements AutoCloseable {
-    private static final int TIME_LEFT_MS = 4_000;
-    private static final int TIMEOUT_MS =
-            9_000; // generous: a broker that has just started may read a request late
-    private static final int PATIENCE_MS = 12_000;
-    private static final int SILENT_MS =
-            500; // after this a client on a paused broker's connection asks another as well
+    private static final int DEADLINE_MS = 4_000;
+    private static final int RESPONSE_TIMEOUT_MS =
+            9_000; // long, since a broker that has just started may read a request late
+    private static final int REQUEST_TIMEOUT_MS = 12_000;
+    private static final int HEDGE_DELAY_MS =
+            500; // after this a client that waits on a paused broker sends another attempt
 
-    private static final Pattern RETRY = Pattern.compile("retry-after=([0-9.]+)");
+    private static final Pattern RETRY_AFTER = Pattern.compile("retry-after=([0-9.]+)");
 
     private final Supplier<List<BrokerProcess>> healthy;
     private final int shards;
-    private final boolean audits;
+    private final boolean includeAudits;
     private final History history;
     private final SplittableRandom random;
     private final List<Thread> threads = new ArrayList<>();
-    private volatile boolean stop;
-    private int next;
+    private volatile boolean stopped;
+    private int nextNumber;
 
-    /** {@code audits} has each fifth request be an audit report, which has a second step. */
+    /**
+     * Starts the clients. With {@code includeAudits} every fifth request is an audit report, which
+     * has a second step.
+     */
     IdempotentLoadGenerator(
             Supplier<List<BrokerProcess>> healthy,
             int shards,
             int perSecond,
-            boolean audits,
+            boolean includeAudits,
             long seed,
             History history) {
-        this.audits = audits;
+        this.includeAudits = includeAudits;
         this.healthy = healthy;
         this.shards = shards;
         this.history = history;
         random = new SplittableRandom(seed);
-        Thread thread = new Thread(() -> begin(perSecond));
+        Thread thread = new Thread(() -> startRequests(perSecond));
         thread.setDaemon(true);
         thread.start();
         threads.add(thread);
     }
 
-    private synchronized int draw(int below) {
-        return random.nextInt(below);
+    private synchronized int randomInt(int bound) {
+        return random.nextInt(bound);
     }
 
-    private void begin(int perSecond) {
-        long from = System.nanoTime();
+    private void startRequests(int perSecond) {
+        long startNanos = System.nanoTime();
         try {
-            while (!stop) {
-                int number = next++;
-                Thread request = new Thread(() -> request("key" + number, number));
+            while (!stopped) {
+                int number = nextNumber++;
+                Thread request = new Thread(() -> runRequest("key" + number, number));
                 request.setDaemon(true);
                 request.start();
                 synchronized (threads) {
                     threads.removeIf(t -> !t.isAlive());
                     threads.add(request);
                 }
-                long due = from + (number + 1) * 1_000_000_000L / perSecond;
-                Thread.sleep(Math.max(0, (due - System.nanoTime()) / 1_000_000));
+                long dueNanos = startNanos + (number + 1) * 1_000_000_000L / perSecond;
+                Thread.sleep(Math.max(0, (dueNanos - System.nanoTime()) / 1_000_000));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void request(String key, int number) {
-        long until = history.now() + PATIENCE_MS;
+    private void runRequest(String key, int number) {
+        long deadlineMs = history.now() + REQUEST_TIMEOUT_MS;
         history.add(key, "want", "");
         try {
-            for (int tries = 0; history.now() < until; tries++) {
-                int at = tries > 0 && draw(4) == 0 ? 3 : 1;
-                List<Thread> asks = new ArrayList<>();
-                boolean[] known = {false};
-                long[] comeBack = {0}; // as the last refusal asks
-                for (int i = 0; i < at; i++) {
-                    String id = key + "-" + tries + "-" + i;
-                    List<BrokerProcess> up = healthy.get();
-                    if (!up.isEmpty()) {
-                        BrokerProcess to = up.get(draw(up.size()));
-                        Thread ask =
+            for (int round = 0; history.now() < deadlineMs; round++) {
+                int copies = round > 0 && randomInt(4) == 0 ? 3 : 1;
+                List<Thread> attempts = new ArrayList<>();
+                boolean[] outcomeKnown = {false};
+                // The Retry-After value of the latest answer, 0 if it had none.
+                long[] retryMs = {0};
+                for (int i = 0; i < copies; i++) {
+                    String id = key + "-" + round + "-" + i;
+                    List<BrokerProcess> healthyBrokers = healthy.get();
+                    if (!healthyBrokers.isEmpty()) {
+                        BrokerProcess broker = healthyBrokers.get(randomInt(healthyBrokers.size()));
+                        Thread attempt =
                                 new Thread(
                                         () -> {
-                                            if (ask(key, id, number, to, comeBack)) {
-                                                synchronized (known) {
-                                                    known[0] = true;
+                                            if (send(key, id, number, broker, retryMs)) {
+                                                synchronized (outcomeKnown) {
+                                                    outcomeKnown[0] = true;
                                                 }
                                             }
                                         });
-                        ask.setDaemon(true);
-                        ask.start();
-                        asks.add(ask);
+                        attempt.setDaemon(true);
+                        attempt.start();
+                        attempts.add(attempt);
                     }
                 }
-                for (Thread ask : asks) {
-                    ask.join(tries == 0 && draw(2) == 0 ? SILENT_MS : TIME_LEFT_MS + SILENT_MS);
+                for (Thread attempt : attempts) {
+                    attempt.join(
+                            round == 0 && randomInt(2) == 0
+                                    ? HEDGE_DELAY_MS
+                                    : DEADLINE_MS + HEDGE_DELAY_MS);
                 }
-                synchronized (known) {
-                    if (known[0]) {
+                synchronized (outcomeKnown) {
+                    if (outcomeKnown[0]) {
                         return;
                     }
                 }
-                Thread.sleep(50 + draw(250) + comeBack[0]);
+                Thread.sleep(50 + randomInt(250) + retryMs[0]);
             }
             history.add(key, "givesup", "");
         } catch (InterruptedException e) {
@@ -122,24 +130,24 @@
         }
     }
 
-    /** One try; says whether it told how the request ended. */
-    private boolean ask(String key, String id, int number, BrokerProcess to, long[] comeBack) {
-        boolean audit = audits && number % 5 == 0;
-        boolean two = audit || number % 3 == 0;
+    /** Sends one attempt. Returns whether its answer reported the outcome of the request. */
+    private boolean send(String key, String id, int number, BrokerProcess to, long[] retryMs) {
+        boolean audit = includeAudits && number % 5 == 0;
+        boolean twoShards = audit || number % 3 == 0;
         int shard = number % shards;
-        String parts =
-                two
+        String shardsJson =
+                twoShards
                         ? "{\"shard\":"
                                 + shard
                                 + ",\"weight\":0.5},{\"shard\":"
                                 + (shard + 5) % shards
                                 + ",\"weight\":0.5}"
                         : "{\"shard\":" + shard + ",\"weight\":1}";
-        String head = "id=" + id + " key=" + key + " to=" + to.name;
+        String attributes = "id=" + id + " key=" + key + " to=" + to.name;
         try (Socket socket = new Socket()) {
             socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), to.port), 1_000);
-            socket.setSoTimeout(TIMEOUT_MS);
-            history.add(key, "ask", head);
+            socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
+            history.add(key, "ask", attributes);
             try {
                 socket.getOutputStream()
                         .write(
@@ -149,11 +157,11 @@
                                         "X-Correlation-Id: "
                                                 + id
                                                 + "\r\nX-Time-Left-Ms: "
-                                                + TIME_LEFT_MS
+                                                + DEADLINE_MS
                                                 + "\r\nIdempotency-Key: "
                                                 + key
                                                 + "\r\n",
-                                        "{\"shards\":[" + parts + "],\"q\":\"x\"}"));
+                                        "{\"shards\":[" + shardsJson + "],\"q\":\"x\"}"));
                 String answer = TextCodec.http(socket.getInputStream());
                 if (answer.equals("EOF")) {
                     throw new IOException("ended");
@@ -162,7 +170,7 @@
                 history.add(
                         key,
                         "answer",
-                        head
+                        attributes
                                 + " status="
                                 + status
                                 + " whole="
@@ -172,11 +180,11 @@
                                         .trim()
                                         .replace(' ', '_')
                                         .replace('=', '_'));
-                Matcher wait = RETRY.matcher(answer);
-                comeBack[0] = wait.find() ? (long) (1_000 * Double.parseDouble(wait.group(1))) : 0;
+                Matcher retry = RETRY_AFTER.matcher(answer);
+                retryMs[0] = retry.find() ? (long) (1_000 * Double.parseDouble(retry.group(1))) : 0;
                 return status.equals("200") || status.equals("409");
             } catch (IOException e) {
-                history.add(key, "noanswer", head + " why=" + e.getMessage());
+                history.add(key, "noanswer", attributes + " why=" + e.getMessage());
             }
         } catch (IOException e) {
             history.add(key, "nobody", "to=" + to.name);
@@ -186,13 +194,13 @@
 
     @Override
     public void close() throws InterruptedException {
-        stop = true;
-        List<Thread> left;
+        stopped = true;
+        List<Thread> running;
         synchronized (threads) {
-            left = List.copyOf(threads);
+            running = List.copyOf(threads);
         }
-        for (Thread t : left) {
-            t.join(PATIENCE_MS + 2 * TIMEOUT_MS);
+        for (Thread t : running) {
+            t.join(REQUEST_TIMEOUT_MS + 2 * RESPONSE_TIMEOUT_MS);
         }
     }
 }
--- a/src/main/java/reeldeal/faultinjection/LoadGenerator.java
+++ b/src/main/java/reeldeal/faultinjection/LoadGenerator.java
@@ -13,61 +13,66 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Clients at a steady rate. Like clients behind a balancer they ask only brokers whose health check
- * was good a moment ago, and each query once, so that a query without an answer shows.
+ * Clients that send queries at a steady rate. Like clients behind a load balancer they send only to
+ * brokers that passed their latest health check. Each query is sent once, without retries, so that
+ * every query without an answer is visible in the history.
  */
 final class LoadGenerator {
-    private static final int TIMEOUT_MS = 9_000;
-    private static final int HEALTH_MS = 200;
+    private static final int RESPONSE_TIMEOUT_MS = 9_000;
+    private static final int HEALTH_CHECK_INTERVAL_MS = 200;
 
-    /** How long an idle connection is used again, ms. */
-    private static final int REUSE_MS = 1_000;
+    /** How long a connection may have been idle to be used again, ms. */
+    private static final int MAX_IDLE_MS = 1_000;
 
-    private static final int CONNECT_MS = 1_000;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
 
-    /** A connection that may be used again. */
+    /** An open connection to a broker and the time of its last use. */
     private record PooledConnection(Socket socket, long usedNanos) {}
 
     private final List<BrokerProcess> brokers;
     private final int shards;
     private final History history;
-    private final Map<String, Boolean> healthy = new java.util.concurrent.ConcurrentHashMap<>();
-    private final AtomicInteger next = new AtomicInteger();
+    private final Map<String, Boolean> healthByBroker =
+            new java.util.concurrent.ConcurrentHashMap<>();
+    private final AtomicInteger lastQueryNumber = new AtomicInteger();
     private final List<Thread> threads = new ArrayList<>();
-    private volatile boolean stop;
+    private volatile boolean stopped;
     private volatile int rateFactor = 1;
-    private final boolean mixed;
+    private final boolean mixedClasses;
 
     LoadGenerator(
             List<BrokerProcess> brokers, int shards, int perSecond, int clients, History history) {
         this(brokers, shards, perSecond, clients, false, history);
     }
 
-    /** {@code mixed} has one of eight be an audit report, and two a bid mark. */
+    /**
+     * Starts the clients. With {@code mixedClasses} one of eight queries is an audit report and two
+     * are bid marks.
+     */
     LoadGenerator(
             List<BrokerProcess> brokers,
             int shards,
             int perSecond,
             int clients,
-            boolean mixed,
+            boolean mixedClasses,
             History history) {
-        this.mixed = mixed;
+        this.mixedClasses = mixedClasses;
         this.brokers = brokers;
         this.shards = shards;
         this.history = history;
-        thread(this::health);
+        startThread(this::pollHealth);
         for (int i = 0; i < clients; i++) {
             String client = "c" + i;
-            thread(() -> runClient(client, 1_000L * clients / perSecond));
+            startThread(() -> runClient(client, 1_000L * clients / perSecond));
         }
     }
 
-    private void thread(DaemonThreads.Task work) {
+    private void startThread(DaemonThreads.Task task) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                work.run();
+                                task.run();
                             } catch (Exception e) {
                                 history.add("load", "error", String.valueOf(e));
                             }
@@ -77,17 +82,17 @@
         threads.add(thread);
     }
 
-    /** Clients come so many times as often from now on. */
+    /** Multiplies the rate of the clients by a factor from now on. */
     void setRateFactor(int factor) {
         rateFactor = factor;
     }
 
-    private void health() throws InterruptedException {
-        while (!stop) {
+    private void pollHealth() throws InterruptedException {
+        while (!stopped) {
             for (BrokerProcess broker : brokers) {
-                healthy.put(broker.name, broker.isServing() && isHealthy(broker));
+                healthByBroker.put(broker.name, broker.isServing() && isHealthy(broker));
             }
-            Thread.sleep(HEALTH_MS);
+            Thread.sleep(HEALTH_CHECK_INTERVAL_MS);
         }
     }
 
@@ -104,37 +109,39 @@
         }
     }
 
-    /** The brokers whose health check was good a moment ago. */
+    /** Returns the brokers that passed their latest health check. */
     List<BrokerProcess> healthy() {
-        return brokers.stream().filter(broker -> healthy.getOrDefault(broker.name, false)).toList();
+        return brokers.stream()
+                .filter(broker -> healthByBroker.getOrDefault(broker.name, false))
+                .toList();
     }
 
-    private void runClient(String client, long everyMs) throws InterruptedException {
+    private void runClient(String client, long intervalMs) throws InterruptedException {
         Map<String, PooledConnection> pool = new HashMap<>();
-        while (!stop) {
-            long began = System.nanoTime();
-            int number = next.incrementAndGet();
+        while (!stopped) {
+            long startNanos = System.nanoTime();
+            int number = lastQueryNumber.incrementAndGet();
             List<BrokerProcess> targets = healthy();
             if (targets.isEmpty()) {
                 history.add(client, "nobody", "");
             } else {
-                sendQuery(query(client, number), targets.get(number % targets.size()), pool);
+                sendQuery(createQuery(client, number), targets.get(number % targets.size()), pool);
             }
-            long tookMs = (System.nanoTime() - began) / 1_000_000;
-            Thread.sleep(Math.max(1, everyMs / rateFactor - tookMs));
+            long elapsedMs = (System.nanoTime() - startNanos) / 1_000_000;
+            Thread.sleep(Math.max(1, intervalMs / rateFactor - elapsedMs));
         }
         pool.values().forEach(connection -> closeQuietly(connection.socket()));
     }
 
-    /** One query of a client. */
+    /** A query of a client. */
     private record Query(String client, String id, String queryClass, int shard) {}
 
-    private Query query(String client, int number) {
+    private Query createQuery(String client, int number) {
         return new Query(client, client + "-" + number, queryClass(number), number % shards);
     }
 
     private String queryClass(int number) {
-        if (!mixed) {
+        if (!mixedClasses) {
             return "notice-search";
         }
         if (number % 8 == 0) {
@@ -143,7 +150,7 @@
         return number % 4 == 1 ? "bid-mark" : "notice-search";
     }
 
-    private byte[] request(Query query) {
+    private byte[] buildRequest(Query query) {
         boolean keyed = query.queryClass().equals("bid-mark");
         String key = keyed ? "Idempotency-Key: " + query.id() + "\r\n" : "";
         String headers =
@@ -157,45 +164,49 @@
         return TextCodec.request("POST", "/" + query.queryClass(), headers, body);
     }
 
-    private void sendQuery(Query query, BrokerProcess to, Map<String, PooledConnection> pool) {
-        String ids = "id=" + query.id() + " to=" + to.name;
-        String queryClass = mixed ? " class=" + query.queryClass() : "";
+    private void sendQuery(Query query, BrokerProcess broker, Map<String, PooledConnection> pool) {
+        String idAttributes = "id=" + query.id() + " to=" + broker.name;
+        String classAttribute = mixedClasses ? " class=" + query.queryClass() : "";
         Socket socket;
         try {
-            socket = connection(to, pool.remove(to.name));
+            socket = connect(broker, pool.remove(broker.name));
         } catch (IOException e) {
-            history.add(query.client(), "nobody", "to=" + to.name);
+            history.add(query.client(), "nobody", "to=" + broker.name);
             return;
         }
-        history.add(query.client(), "ask", ids + queryClass);
+        history.add(query.client(), "ask", idAttributes + classAttribute);
         try {
-            socket.getOutputStream().write(request(query));
+            socket.getOutputStream().write(buildRequest(query));
             String answer = TextCodec.http(socket.getInputStream());
             if (answer.equals("EOF")) {
                 throw new IOException("ended");
             }
-            history.add(query.client(), "answer", ids + describe(answer, queryClass));
-            pool.put(to.name, new PooledConnection(socket, System.nanoTime()));
+            history.add(
+                    query.client(),
+                    "answer",
+                    idAttributes + describeAnswer(answer, classAttribute));
+            pool.put(broker.name, new PooledConnection(socket, System.nanoTime()));
         } catch (IOException e) {
-            history.add(query.client(), "noanswer", ids + " why=" + e.getMessage());
+            history.add(query.client(), "noanswer", idAttributes + " why=" + e.getMessage());
             closeQuietly(socket);
         }
     }
 
-    private static String describe(String answer, String queryClass) {
+    private static String describeAnswer(String answer, String classAttribute) {
         boolean complete = answer.contains("\"complete\":true");
         String body = answer.startsWith("200") ? "" : " body=" + answer.replace(' ', '_');
-        return " status=" + answer.split(" ")[0] + " whole=" + complete + queryClass + body;
+        return " status=" + answer.split(" ")[0] + " whole=" + complete + classAttribute + body;
     }
 
     /**
-     * The pooled connection where it can still be used, else a new one; a broker may be closing an
-     * idle one just now.
+     * Returns the pooled connection if it can still be used, else a new one. A connection that was
+     * idle for long is not used, since the broker may be closing it.
      */
-    private static Socket connection(BrokerProcess to, PooledConnection pooled) throws IOException {
+    private static Socket connect(BrokerProcess broker, PooledConnection pooled)
+            throws IOException {
         if (pooled != null) {
             Socket socket = pooled.socket();
-            if (System.nanoTime() - pooled.usedNanos() > REUSE_MS * 1_000_000L) {
+            if (System.nanoTime() - pooled.usedNanos() > MAX_IDLE_MS * 1_000_000L) {
                 socket.close();
             } else if (socket.getInputStream().available() == 0 && !isClosedByPeer(socket)) {
                 return socket;
@@ -203,8 +214,9 @@
         }
         Socket socket = new Socket();
         socket.connect(
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), to.port), CONNECT_MS);
-        socket.setSoTimeout(TIMEOUT_MS);
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), broker.port),
+                CONNECT_TIMEOUT_MS);
+        socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
         return socket;
     }
 
@@ -212,13 +224,13 @@
         try {
             socket.close();
         } catch (IOException e) {
-            return; // it was closed already
+            return; // the socket was closed already
         }
     }
 
     /**
-     * Whether the other side has closed an idle connection: a query on it would be lost by this
-     * client, not by a broker.
+     * Returns whether the broker has closed an idle connection. A query sent on it would be lost by
+     * this client, not by the broker.
      */
     private static boolean isClosedByPeer(Socket socket) {
         try {
@@ -226,9 +238,9 @@
             return socket.getInputStream().read() < 0;
         } catch (java.net.SocketTimeoutException e) {
             try {
-                socket.setSoTimeout(TIMEOUT_MS);
+                socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
                 return false;
-            } catch (IOException gone) {
+            } catch (IOException cannotSetTimeout) {
                 return true;
             }
         } catch (IOException e) {
@@ -237,7 +249,7 @@
     }
 
     void close() throws InterruptedException {
-        stop = true;
+        stopped = true;
         for (Thread t : threads) {
             t.join();
         }
--- a/src/main/java/reeldeal/faultinjection/NodeFiles.java
+++ b/src/main/java/reeldeal/faultinjection/NodeFiles.java
@@ -13,11 +13,11 @@
 import reeldeal.fleet.ConfigVersion;
 
 /**
- * The configuration files of a fleet's nodes: one for the broker, which all share, and one a node
- * for the store.
+ * Writes the configuration files of the nodes of a fleet: one broker configuration that all nodes
+ * share, and one store configuration for each node.
  */
 final class NodeFiles {
-    /** The store's group. */
+    /** The name of the store's group. */
     static final String GROUP = "drill";
 
     /** The zone that lists the searchers. */
@@ -31,7 +31,7 @@
     private final Path folder;
     private final Scenario scenario;
     private final List<String> voters;
-    private String firstConfig;
+    private String initialConfig;
 
     NodeFiles(Path folder, Scenario scenario, List<String> voters) {
         this.folder = folder;
@@ -39,15 +39,15 @@
         this.voters = voters;
     }
 
-    /** Where the broker's configuration lies. */
+    /** Returns the path of the broker configuration. */
     Path brokerConfig() {
         return folder.resolve("broker.json");
     }
 
-    /** Writes the broker's configuration, from the template in the program. */
+    /** Writes the broker configuration from the template among the program's resources. */
     void writeBrokerConfig() throws IOException {
         try (InputStream template = NodeFiles.class.getResourceAsStream("broker.json")) {
-            firstConfig =
+            initialConfig =
                     new String(template.readAllBytes(), StandardCharsets.UTF_8)
                             .replace(
                                     TEMPLATE_WINDOW,
@@ -56,25 +56,25 @@
                                     TEMPLATE_SLOW_START,
                                     "\"ColdMs\": " + scenario.power().slowStartMs());
         }
-        Files.writeString(brokerConfig(), firstConfig);
+        Files.writeString(brokerConfig(), initialConfig);
     }
 
-    /** The version of the configuration that all brokers start with. */
-    String firstVersion() {
-        return ConfigVersion.of(firstConfig);
+    /** Returns the version of the configuration that all brokers start with. */
+    String initialVersion() {
+        return ConfigVersion.of(initialConfig);
     }
 
-    /** The configuration that the rollout brings. */
+    /** Returns the configuration that the rollout installs. */
     String rolledOutConfig() {
-        return firstConfig.replace(scenario.rollout().find(), scenario.rollout().replace());
+        return initialConfig.replace(scenario.rollout().find(), scenario.rollout().replace());
     }
 
-    /** The version of the configuration that the rollout brings. */
+    /** Returns the version of the configuration that the rollout installs. */
     String rolledOutVersion() {
         return ConfigVersion.of(rolledOutConfig());
     }
 
-    /** A file that lists the searchers as a zone. */
+    /** Writes the zone file, which lists the searchers. */
     void writeZone(String records) throws IOException {
         Files.writeString(zoneFile(), records);
     }
@@ -84,13 +84,13 @@
     }
 
     /**
-     * Writes a node's store file.
+     * Writes the store configuration of a node and returns its path.
      *
      * @param node the node's name
-     * @param zone the zone that it lies in
-     * @param joins whether it joins a running group
-     * @param peers the addresses of all nodes as this one reaches them, its own first
-     * @param dnsPort where it serves the zone
+     * @param zone the zone of the node
+     * @param joins whether the node joins a running group
+     * @param peers the loopback port at which this node reaches each node, its own first
+     * @param dnsPort the port at which the node serves the DNS zone
      */
     Path writeStoreFile(
             String node, String zone, boolean joins, Map<String, Integer> peers, int dnsPort)
--- a/src/main/java/reeldeal/faultinjection/OperatorConsole.java
+++ b/src/main/java/reeldeal/faultinjection/OperatorConsole.java
@@ -10,12 +10,12 @@
 import reeldeal.store.AdminClient;
 import reeldeal.store.StoreNode;
 
-/** Operators' requests to a fleet, as the program's own commands send them. */
+/** Sends operators' requests to a fleet in the way the commands of the program do. */
 final class OperatorConsole {
     private static final int TIMEOUT_MS = 7_000;
-    private static final int ATTEMPTS = 5;
-    private static final int LONGEST_RECORDED = 200;
-    private static final int RECORDED_START = 60;
+    private static final int MAX_ATTEMPTS = 5;
+    private static final int MAX_RECORDED_LENGTH = 200;
+    private static final int RECORDED_PREFIX_LENGTH = 60;
 
     private final ProcessFleet fleet;
     private final History history;
@@ -25,7 +25,7 @@
         this.history = history;
     }
 
-    /** The answer of the first running broker that gives one, voters first. */
+    /** Returns the answer of the first running broker that answers. Voters are asked first. */
     private Optional<StoreNode.AdminAnswer> request(String text) {
         for (BrokerProcess broker : fleet.running()) {
             Optional<StoreNode.AdminAnswer> answer = tryRequest(broker, text);
@@ -36,7 +36,10 @@
         return Optional.empty();
     }
 
-    /** Empty where the broker has just ended, or is not up yet. */
+    /**
+     * Returns the answer of a broker, or empty if the request fails, for example because the broker
+     * has just ended or is not up yet.
+     */
     private static Optional<StoreNode.AdminAnswer> tryRequest(BrokerProcess broker, String text) {
         try {
             return Optional.of(request(broker, text, TIMEOUT_MS));
@@ -52,16 +55,22 @@
         return AdminClient.send(address, NodeFiles.GROUP, text, timeoutMs);
     }
 
-    /** What one broker answers. */
+    /** Returns the text of one broker's answer. */
     String ask(BrokerProcess broker, String text, int timeoutMs) throws IOException {
         return request(broker, text, timeoutMs).text();
     }
 
-    /** Gives an order; whether it was done. Order and answer go into the history. */
+    /**
+     * Sends an order and returns whether it was carried out. Order and answer are added to the
+     * history.
+     */
     boolean order(String text) {
         Optional<StoreNode.AdminAnswer> answer = request(text);
-        boolean isLong = text.length() > LONGEST_RECORDED;
-        history.add("operator", "order", isLong ? text.substring(0, RECORDED_START) + "..." : text);
+        boolean isLong = text.length() > MAX_RECORDED_LENGTH;
+        history.add(
+                "operator",
+                "order",
+                isLong ? text.substring(0, RECORDED_PREFIX_LENGTH) + "..." : text);
         history.add(
                 "operator",
                 "told",
@@ -70,31 +79,35 @@
     }
 
     /**
-     * Gives an order without which the scenario cannot go on; throws IllegalStateException where it
-     * is not done.
+     * Sends an order that the scenario depends on, with retries. Throws IllegalStateException if it
+     * is never carried out.
      */
     void require(String text) {
-        for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+        for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             if (order(text)) {
                 return;
             }
         }
         throw new IllegalStateException(
-                "not done: " + text.substring(0, Math.min(RECORDED_START, text.length())));
+                "order not carried out in "
+                        + MAX_ATTEMPTS
+                        + " attempts: "
+                        + text.substring(0, Math.min(RECORDED_PREFIX_LENGTH, text.length())));
     }
 
     /**
-     * The lines of an answer as attributes; none where nobody answers or the request is refused.
+     * Returns the lines of an answer as attributes, or an empty list if no broker answers or the
+     * request is refused.
      */
     List<FormAttributes> list(String text) {
         return lines(text).stream().filter(l -> !l.isBlank()).map(FormAttributes::of).toList();
     }
 
-    /** The name of the node that leads the group, or "". */
+    /** Returns the name of the node that leads the group, or "" if none is reported. */
     String leader() {
-        String leads = " leads";
+        String leaderSuffix = " leads";
         return lines("store nodes").stream()
-                .filter(line -> line.endsWith(leads))
+                .filter(line -> line.endsWith(leaderSuffix))
                 .map(line -> line.split(" ")[0])
                 .findFirst()
                 .orElse("");
--- a/src/main/java/reeldeal/faultinjection/PortRange.java
+++ b/src/main/java/reeldeal/faultinjection/PortRange.java
@@ -7,40 +7,48 @@
 import java.util.List;
 
 /**
- * Free ports out of a range whose first stays bound until this is closed: two drills never share
- * one.
+ * Free ports of a range of ports. The first port of the range stays bound until this is closed, so
+ * that two concurrent runs never use the same range.
  */
 final class PortRange implements AutoCloseable {
-    // Below the ports that connections are given by themselves, or a restarted broker may find its
-    // own taken.
-    private static final int FIRST = 10_000;
-    private static final int LAST = 32_000;
-    private static final int RANGE = 256;
+    // Below the ephemeral ports of the operating system. Otherwise a connection could take the port
+    // of a broker while that broker restarts.
+    private static final int FIRST_PORT = 10_000;
+    private static final int LAST_PORT = 32_000;
+    private static final int RANGE_SIZE = 256;
 
     final List<Integer> free = new ArrayList<>();
     private final ServerSocket guard;
 
     PortRange(int count) throws IOException {
-        for (int base = FIRST; base < LAST; base += RANGE) {
-            ServerSocket first;
+        for (int base = FIRST_PORT; base < LAST_PORT; base += RANGE_SIZE) {
+            ServerSocket rangeGuard;
             try {
-                first = new ServerSocket(base, 1, InetAddress.getLoopbackAddress());
+                rangeGuard = new ServerSocket(base, 1, InetAddress.getLoopbackAddress());
             } catch (IOException taken) {
                 continue;
             }
             free.clear();
-            for (int port = base + 1; port < base + RANGE && free.size() < count; port++) {
+            for (int port = base + 1; port < base + RANGE_SIZE && free.size() < count; port++) {
                 if (isFree(port)) {
                     free.add(port);
                 }
             }
             if (free.size() == count) {
-                guard = first;
+                guard = rangeGuard;
                 return;
             }
-            first.close();
+            rangeGuard.close();
         }
-        throw new IOException("no " + count + " free ports in a row below " + LAST);
+        throw new IOException(
+                "no range of "
+                        + RANGE_SIZE
+                        + " ports from "
+                        + FIRST_PORT
+                        + " on has "
+                        + count
+                        + " free ports below "
+                        + LAST_PORT);
     }
 
     private static boolean isFree(int port) {
--- a/src/main/java/reeldeal/faultinjection/ProcessFleet.java
+++ b/src/main/java/reeldeal/faultinjection/ProcessFleet.java
@@ -15,14 +15,14 @@
 import java.util.stream.IntStream;
 
 /**
- * The broker processes of a scenario, and the proxies for frames between their stores. Restarts
- * what has ended, as a service manager would, and heals what was paused or cut once its time is
- * over. Used by the scenario's thread alone.
+ * The broker processes of a scenario and the proxies for the frames between their stores. Restarts
+ * processes that have ended, as a service manager would, and ends a pause, a partition or a full
+ * disk when its time is over. Used only by the thread of the scenario.
  */
 final class ProcessFleet implements AutoCloseable {
     private static final int PORTS_PER_NODE = 3;
-    private static final int RESTART_MS = 300;
-    private static final int RESTART_SPREAD_MS = 700;
+    private static final int RESTART_DELAY_MS = 300;
+    private static final int RESTART_JITTER_MS = 700;
 
     private final Scenario scenario;
     private final History history;
@@ -39,7 +39,8 @@
     private final List<String> founders;
 
     /**
-     * The processes of a fleet, not started yet; {@code command} begins the command line of each.
+     * Creates the processes of a fleet without starting them. {@code command} is the beginning of
+     * the command line of each process.
      */
     ProcessFleet(
             Scenario scenario,
@@ -62,13 +63,13 @@
         }
     }
 
-    /** The names of all nodes, voters first and spares last. */
+    /** Returns the names of all nodes, voters first and spares last. */
     static List<String> nodeNames(Scenario scenario) {
         int count = scenario.fleet().founders() + scenario.fleet().spares();
         return IntStream.range(0, count).mapToObj(i -> "b" + i).toList();
     }
 
-    /** The zone that a node lies in. */
+    /** Returns the zone of a node. */
     static String zoneOf(String node) {
         return SearcherFleet.zoneOf(Integer.parseInt(node.substring(1)));
     }
@@ -132,7 +133,7 @@
         return peers;
     }
 
-    /** The system properties by which a process injects faults into itself. */
+    /** Returns the system properties by which a process injects faults into itself. */
     private String faultOptions(int index) {
         Scenario.NodeFaults faults = scenario.faults().nodes();
         int slowDiskMs = index == 0 || faults.allDisksSlow() ? faults.slowDiskMs() : 0;
@@ -148,14 +149,17 @@
                 : options + " -Dreeldeal.drill.die=" + failpoints;
     }
 
-    // ---- who there is ----
+    // ---- brokers of the fleet ----
 
-    /** All brokers of the fleet, running or not; spares only once they took somebody's place. */
+    /**
+     * Returns all brokers of the fleet, running or not. A spare is included only after it has
+     * replaced a broker.
+     */
     Collection<BrokerProcess> brokers() {
         return brokers.values();
     }
 
-    /** A broker by its name, or null. */
+    /** Returns the broker with a name, or null if the fleet has none. */
     BrokerProcess broker(String name) {
         return brokers.get(name);
     }
@@ -164,12 +168,12 @@
         return voters.contains(broker.name);
     }
 
-    /** The names of the nodes that vote. */
+    /** Returns the names of the voting nodes. */
     Set<String> voters() {
         return Set.copyOf(voters);
     }
 
-    /** The brokers whose process runs and is not paused, voters first. */
+    /** Returns the brokers whose process runs and is not paused, voters first. */
     List<BrokerProcess> running() {
         List<BrokerProcess> running =
                 new ArrayList<>(
@@ -189,19 +193,21 @@
         }
     }
 
-    /** What the operators' deployment does before it starts a broker again. */
+    /** The step of a deployment that precedes the restart of a broker. */
     interface BeforeRestart {
         /** Installs the program that the broker is to run from now on. */
         void prepare(BrokerProcess broker);
     }
 
-    /** Starts again what has ended and is due, and heals what is due. */
+    /**
+     * Restarts the ended processes whose restart is due, and ends the faults whose time is over.
+     */
     void supervise(BeforeRestart deployment) throws Exception {
         for (BrokerProcess broker : brokers.values()) {
             if (broker.isAlive()) {
                 restartAt.remove(broker.name);
             } else if (!restartAt.containsKey(broker.name)) {
-                restartIn(broker, RESTART_MS + random.nextInt(RESTART_SPREAD_MS));
+                restartAfter(broker, RESTART_DELAY_MS + random.nextInt(RESTART_JITTER_MS));
             } else if (history.now() >= restartAt.get(broker.name)) {
                 restartAt.remove(broker.name);
                 deployment.prepare(broker);
@@ -221,39 +227,42 @@
             broker.resume();
         }
         if (broker.hasFileSizeLimit()) {
-            broker.limitFileSize(0); // the operator makes space and starts it again
+            broker.limitFileSize(0); // the operator frees disk space and restarts the broker
             broker.kill();
         }
         partition(broker.name, false, false);
         history.add(broker.name, "heal", "");
     }
 
-    /** Has a broker started again after so long, ms. */
-    void restartIn(BrokerProcess broker, long ms) {
+    /** Schedules the restart of a broker after a delay in ms. */
+    void restartAfter(BrokerProcess broker, long ms) {
         restartAt.put(broker.name, history.now() + ms);
     }
 
-    /** The same, unless a restart is planned already. */
-    void restartWithin(BrokerProcess broker, long ms) {
+    /** Schedules the restart of a broker after a delay in ms, unless one is scheduled already. */
+    void restartAfterIfUnscheduled(BrokerProcess broker, long ms) {
         restartAt.putIfAbsent(broker.name, history.now() + ms);
     }
 
-    /** Has a broker's pause or partition end after so long, ms. */
-    void healIn(BrokerProcess broker, long ms) {
+    /** Schedules the end of a broker's pause, partition or full disk after a delay in ms. */
+    void healAfter(BrokerProcess broker, long ms) {
         healAt.put(broker.name, history.now() + ms);
     }
 
-    /** A loss of power goes before whatever else was to heal. */
+    /** Cancels the scheduled end of a broker's fault, since a power loss replaces that fault. */
     void cancelHealing(BrokerProcess broker) {
         healAt.remove(broker.name);
     }
 
-    /** Whether nothing is down, paused or cut by a fault any more. */
+    /** Returns whether no broker is still down, paused or partitioned because of a fault. */
     boolean isHealed() {
         return healAt.isEmpty() && restartAt.isEmpty();
     }
 
-    /** From now on learners no longer end at failpoints; those that run are started again. */
+    /**
+     * Disables the failpoints of all learners. Running learners are killed and restarted, since
+     * failpoints are read at start.
+     */
     void disableFailpoints() throws InterruptedException {
         for (BrokerProcess broker : brokers.values()) {
             if (!isVoter(broker)) {
@@ -261,14 +270,14 @@
                 if (broker.isAlive()) {
                     broker.kill();
                 }
-                restartWithin(broker, RESTART_MS);
+                restartAfterIfUnscheduled(broker, RESTART_DELAY_MS);
             }
         }
     }
 
     /**
-     * Takes a broker out of the fleet for good and gives a spare its place; returns the spare, not
-     * started yet.
+     * Removes a broker from the fleet for good and puts a spare in its place. Returns the spare,
+     * which is not started yet.
      */
     BrokerProcess replace(BrokerProcess retired) throws InterruptedException {
         BrokerProcess spare = spares.remove(0);
@@ -283,7 +292,7 @@
         return spare;
     }
 
-    /** A spare votes in the place of a node that was replaced. */
+    /** Makes a spare a voter in place of the node that it has replaced. */
     void transferVote(BrokerProcess from, BrokerProcess to) {
         voters.remove(from.name);
         voters.add(to.name);
@@ -291,7 +300,7 @@
 
     // ---- faults between nodes ----
 
-    /** Sets what happens to all frames between nodes from now on. */
+    /** Sets the shares of frames between all nodes that are dropped, delayed and duplicated. */
     void inject(Scenario.FrameFaults faults) {
         for (FrameProxy proxy : proxies.values()) {
             proxy.dropPct = faults.dropPct();
@@ -301,21 +310,21 @@
     }
 
     /**
-     * Cuts a node off from all others, or joins it again; only what comes in where {@code
-     * inboundOnly}.
+     * Partitions a node from all others, or reconnects it. With {@code inboundOnly} only the links
+     * to the node are affected.
      */
-    void partition(String node, boolean on, boolean inboundOnly) {
+    void partition(String node, boolean partitioned, boolean inboundOnly) {
         proxies.forEach(
                 (link, proxy) -> {
                     boolean inbound = link.endsWith(">" + node);
                     boolean outbound = !inboundOnly && link.startsWith(node + ">");
                     if (inbound || outbound) {
-                        proxy.setPartitioned(on);
+                        proxy.setPartitioned(partitioned);
                     }
                 });
     }
 
-    /** What became of all frames, for the report. */
+    /** Returns the counts of passed, dropped, delayed and duplicated frames, for the report. */
     String frameCounts() {
         long passed = proxies.values().stream().mapToLong(p -> p.passed.get()).sum();
         long dropped = proxies.values().stream().mapToLong(p -> p.dropped.get()).sum();
--- a/src/main/java/reeldeal/faultinjection/Programs.java
+++ b/src/main/java/reeldeal/faultinjection/Programs.java
@@ -6,27 +6,28 @@
 /**
  * The programs that a scenario starts.
  *
- * @param jar the program, or null for this JVM's own class path
- * @param from the program that the fleet starts with where a rollout brings {@code jar}, or null
+ * @param jar the program, or null for the class path of this JVM
+ * @param initialJar the program that the fleet starts with if a rollout installs {@code jar}, else
+ *     null
  */
-record Programs(Path jar, Path from) {
+record Programs(Path jar, Path initialJar) {
 
-    /** Whether the rollout brings a program and not a configuration. */
+    /** Returns whether the rollout installs a program rather than a configuration. */
     boolean rollsOutProgram() {
-        return from != null;
+        return initialJar != null;
     }
 
-    /** The beginning of the command line that the fleet starts with. */
-    List<String> first() {
-        return BrokerProcess.commandFor(from != null ? from : jar);
+    /** Returns the beginning of the command line of the program that the fleet starts with. */
+    List<String> initialCommand() {
+        return BrokerProcess.commandFor(initialJar != null ? initialJar : jar);
     }
 
-    /** The beginning of the command line of the program that is rolled out. */
-    List<String> rolledOut() {
+    /** Returns the beginning of the command line of the program that is rolled out. */
+    List<String> rolledOutCommand() {
         return BrokerProcess.commandFor(jar);
     }
 
-    /** The version of the program that is rolled out, which is this one. */
+    /** Returns the version of the program that is rolled out, which is the running program. */
     static String rolledOutVersion() {
         String version = Programs.class.getPackage().getImplementationVersion();
         return version == null ? "unknown" : version;
--- a/src/main/java/reeldeal/faultinjection/RolloutScript.java
+++ b/src/main/java/reeldeal/faultinjection/RolloutScript.java
@@ -4,11 +4,11 @@
 import reeldeal.fleet.FormAttributes;
 
 /**
- * The operator's part in a rollout: it is planned, started, and resumed or rolled back where it
- * halts.
+ * The orders of an operator in a rollout: to plan it, to start it, and to resume it or roll it back
+ * when it halts.
  */
 final class RolloutScript {
-    private static final int REORDER_MS = 5_000;
+    private static final int ORDER_RETRY_MS = 5_000;
 
     private final Scenario.Rollout rollout;
     private final NodeFiles files;
@@ -16,9 +16,9 @@
     private final OperatorConsole console;
     private final History history;
     private String progress = "";
-    private String firstProgram = "";
+    private String initialProgram = "";
     private boolean rolledBack;
-    private long orderedAt;
+    private long lastOrderAtMs;
 
     RolloutScript(
             Scenario.Rollout rollout,
@@ -33,14 +33,14 @@
         this.history = history;
     }
 
-    /** Plans and starts it. */
+    /** Plans and starts the rollout. */
     void start() {
         FormAttributes config =
                 new FormAttributes()
                         .with("version", files.rolledOutVersion())
                         .with("text", files.rolledOutConfig());
         console.require("fleet config " + config);
-        firstProgram = console.list("fleet members").get(0).get("program");
+        initialProgram = console.list("fleet members").get(0).get("program");
         FormAttributes plan =
                 new FormAttributes()
                         .with("what", programs.rollsOutProgram() ? "program" : "config")
@@ -56,27 +56,27 @@
         return programs.rollsOutProgram() ? Programs.rolledOutVersion() : files.rolledOutVersion();
     }
 
-    private String firstVersion() {
-        return programs.rollsOutProgram() ? firstProgram : files.firstVersion();
+    private String initialVersion() {
+        return programs.rollsOutProgram() ? initialProgram : files.initialVersion();
     }
 
-    /** Looks how it stands; each change goes into the history. */
+    /** Queries the progress of the rollout and adds each change to the history. */
     void observe() {
         List<FormAttributes> lines = console.list("fleet release show");
         if (lines.isEmpty()) {
             return;
         }
-        FormAttributes head = lines.get(0);
-        String observed =
+        FormAttributes release = lines.get(0);
+        String observation =
                 "progress="
-                        + head.get("progress")
+                        + release.get("progress")
                         + " way="
-                        + head.get("way")
+                        + release.get("way")
                         + " reason="
-                        + head.get("reason").replace(' ', '_');
-        if (!observed.equals(progress)) {
-            progress = observed;
-            history.add("operator", "progress", observed);
+                        + release.get("reason").replace(' ', '_');
+        if (!observation.equals(progress)) {
+            progress = observation;
+            history.add("operator", "progress", observation);
         }
     }
 
@@ -84,13 +84,16 @@
         return progress.contains("progress=done");
     }
 
-    /** Looks, and has one that halted go on or back; whether it is done. */
+    /**
+     * Queries the progress of the rollout, and resumes it or rolls it back if it has halted or is
+     * paused. Returns whether it is done.
+     */
     boolean driveToEnd() {
         observe();
         boolean stopped =
                 progress.contains("progress=halted") || progress.contains("progress=paused");
-        if (stopped && history.now() - orderedAt > REORDER_MS) {
-            orderedAt = history.now();
+        if (stopped && history.now() - lastOrderAtMs > ORDER_RETRY_MS) {
+            lastOrderAtMs = history.now();
             boolean rollBack =
                     rollout.onHalt() == Scenario.OnHalt.ROLL_BACK
                             && !rolledBack
@@ -101,10 +104,13 @@
         return isDone();
     }
 
-    /** Which version a member has in the end: {@code old}, {@code new}, or what else it is. */
+    /**
+     * Returns the version that a member runs: {@code old} for the initial one, {@code new} for the
+     * one rolled out, else the version itself.
+     */
     String versionOf(FormAttributes member) {
         String version = member.get(programs.rollsOutProgram() ? "program" : "config");
-        if (version.equals(firstVersion())) {
+        if (version.equals(initialVersion())) {
             return "old";
         }
         return version.equals(rolledOutVersion()) ? "new" : version;
--- a/src/main/java/reeldeal/faultinjection/ScenarioRunner.java
+++ b/src/main/java/reeldeal/faultinjection/ScenarioRunner.java
@@ -11,26 +11,26 @@
 import reeldeal.fleet.FormAttributes;
 
 /**
- * Runs one scenario with one seed and leaves a folder with the history, the report and all that the
- * nodes wrote. One thread uses it; clients, searchers and proxies have threads of their own and
- * report to the {@link History}.
+ * Runs one scenario with one seed and leaves a folder with the history, the report and the nodes'
+ * files. Used by a single thread. Clients, searchers and proxies have their own threads and write
+ * to the {@link History}.
  */
 public final class ScenarioRunner implements AutoCloseable {
     private static final int START_TIMEOUT_MS = 60_000;
     private static final int ROLLOUT_TIMEOUT_MS = 240_000;
     private static final int SETTLE_MS = 2_000;
-    private static final int SHARDS = 12;
-    private static final int CLIENTS = 8;
+    private static final int SHARD_COUNT = 12;
+    private static final int CLIENT_COUNT = 8;
     private static final int REPORT_TIMEOUT_MS = 5_000;
     private static final String HISTORY = "history.txt";
-    private static final String AUDITED_CLASS = "classes.audit-report";
+    private static final String AUDIT_CLASS_KEY = "classes.audit-report";
 
     /**
-     * How a scenario ended.
+     * The result of a scenario.
      *
-     * @param violations of the invariants, empty where all hold
-     * @param figures what was counted, by name
-     * @param folder where everything lies
+     * @param violations the violated invariants, empty if all hold
+     * @param figures the counted figures by name
+     * @param folder the folder with the history, the report and the nodes' files
      */
     public record Result(List<String> violations, Map<String, String> figures, Path folder) {}
 
@@ -48,13 +48,13 @@
     private IdempotentLoadGenerator keyedLoad;
 
     /**
-     * A fleet that has not been started.
+     * Creates the runner of a scenario without starting the fleet.
      *
-     * @param jar the program, or null for this JVM's own class path
-     * @param from the program that the fleet starts with where the rollout brings {@code jar}, or
-     *     null
+     * @param jar the program, or null for the class path of this JVM
+     * @param initialJar the program that the fleet starts with if the rollout installs {@code jar},
+     *     else null
      */
-    public ScenarioRunner(Scenario scenario, long seed, Path folder, Path jar, Path from)
+    public ScenarioRunner(Scenario scenario, long seed, Path folder, Path jar, Path initialJar)
             throws IOException {
         this.scenario = scenario;
         this.folder = folder;
@@ -68,8 +68,8 @@
         NodeFiles files = new NodeFiles(folder, scenario, voters);
         files.writeZone(searchers.zoneRecords());
         files.writeBrokerConfig();
-        Programs programs = new Programs(jar, from);
-        fleet = new ProcessFleet(scenario, files, programs.first(), random, history);
+        Programs programs = new Programs(jar, initialJar);
+        fleet = new ProcessFleet(scenario, files, programs.initialCommand(), random, history);
         console = new OperatorConsole(fleet, history);
         supervisor = new Supervisor(fleet, searchers, console, programs, history);
         rollout = new RolloutScript(scenario.rollout(), files, programs, console, history);
@@ -78,10 +78,10 @@
         schedule = new FaultSchedule(scenario, folder, context, random, history);
     }
 
-    /** Runs it to its end, checks the invariants and writes the report. */
+    /** Runs the scenario to its end, checks the invariants and writes the report. */
     public Result play() throws Exception {
         fleet.start();
-        supervisor.await(START_TIMEOUT_MS, "the fleet serves", this::isFleetServing);
+        supervisor.await(START_TIMEOUT_MS, "all brokers are serving", this::isFleetServing);
         setPolicy();
         startLoad();
         Thread.sleep(SETTLE_MS);
@@ -91,17 +91,14 @@
         injectFaults();
         awaitRecovery();
         if (scenario.rollout().enabled()) {
-            supervisor.await(ROLLOUT_TIMEOUT_MS, "the release ends", rollout::driveToEnd);
+            supervisor.await(ROLLOUT_TIMEOUT_MS, "the rollout is done", rollout::driveToEnd);
         }
         finish();
         history.close();
         return check(folder, scenario.name());
     }
 
-    /**
-     * Checks the history that a scenario has left in a folder once more, and writes its report
-     * anew.
-     */
+    /** Checks again the history that a scenario has left in a folder, and rewrites its report. */
     public static Result check(Path folder) throws IOException {
         return check(folder, folder.getFileName().toString());
     }
@@ -133,14 +130,14 @@
     }
 
     private void startLoad() {
-        boolean power = scenario.power().modelled();
+        boolean modelsPowerLoss = scenario.power().modelled();
         load =
                 new LoadGenerator(
                         List.copyOf(fleet.brokers()),
-                        SHARDS,
+                        SHARD_COUNT,
                         scenario.load().queriesPerSecond(),
-                        power ? 2 * CLIENTS : CLIENTS,
-                        power,
+                        modelsPowerLoss ? 2 * CLIENT_COUNT : CLIENT_COUNT,
+                        modelsPowerLoss,
                         history);
         supervisor.supervise(load);
         Scenario.KeyedRequests keyed = scenario.load().keyed();
@@ -148,19 +145,19 @@
             keyedLoad =
                     new IdempotentLoadGenerator(
                             load::healthy,
-                            SHARDS,
+                            SHARD_COUNT,
                             keyed.perSecond(),
-                            keyed.takeover().containsKey(AUDITED_CLASS),
+                            keyed.takeover().containsKey(AUDIT_CLASS_KEY),
                             random.nextLong(),
                             history);
         }
     }
 
     private void injectFaults() throws Exception {
-        long began = history.now();
+        long startMs = history.now();
         fleet.inject(scenario.faults().frames());
-        while (!schedule.isEmpty() || faultsGoOn(history.now() - began)) {
-            schedule.runDue(history.now() - began);
+        while (!schedule.isEmpty() || faultPhaseContinues(history.now() - startMs)) {
+            schedule.runDue(history.now() - startMs);
             supervisor.supervise();
             rollout.observe();
             Thread.sleep(Supervisor.POLL_MS / 2);
@@ -171,7 +168,7 @@
         }
     }
 
-    private boolean faultsGoOn(long elapsedMs) {
+    private boolean faultPhaseContinues(long elapsedMs) {
         boolean rolloutDone = scenario.rollout().enabled() && rollout.isDone();
         return elapsedMs < scenario.faults().durationMs() && !rolloutDone;
     }
@@ -179,18 +176,24 @@
     private void awaitRecovery() throws Exception {
         supervisor.await(
                 START_TIMEOUT_MS,
-                "all that was paused or cut is well again",
+                "all stopped, paused and partitioned processes are restored",
                 () -> {
                     rollout.observe();
                     return fleet.isHealed() && searchers.isHealed();
                 });
     }
 
-    // ---- the end ----
+    // ---- end of the scenario ----
 
     private void finish() throws Exception {
-        supervisor.await(START_TIMEOUT_MS, "all serve at the end", this::isFleetUndisturbed);
-        supervisor.await(START_TIMEOUT_MS, "the way back is over", this::isRecoveryOver);
+        supervisor.await(
+                START_TIMEOUT_MS,
+                "all brokers are serving and hold no permit at the end",
+                this::isFleetUndisturbed);
+        supervisor.await(
+                START_TIMEOUT_MS,
+                "the recovery after the power loss has ended",
+                this::isRecoveryOver);
         for (FormAttributes member : console.list("fleet members")) {
             history.add(
                     member.get("name"),
@@ -221,7 +224,7 @@
     }
 
     private boolean isRecoveryOver() {
-        // Refused, and so empty, where no steps are set.
+        // The request is refused, so the list is empty, if no recovery steps are configured.
         List<FormAttributes> recovery = console.list("fleet recovery show");
         return recovery.isEmpty() || !recovery.get(0).get("ended").equals("false");
     }
@@ -236,7 +239,7 @@
         }
     }
 
-    /** Adds the commits of the voter whose log holds most. */
+    /** Adds to the history the commits of the voter whose log holds the most commits. */
     private void recordCommits() throws IOException {
         List<String> longest = new ArrayList<>();
         for (String voter : fleet.voters()) {
--- a/src/main/java/reeldeal/faultinjection/SearcherFleet.java
+++ b/src/main/java/reeldeal/faultinjection/SearcherFleet.java
@@ -11,13 +11,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The fake searchers of a scenario, listed in a zone. Used by the scenario's thread; searchers
- * report their overload from threads of their own.
+ * The fake searchers of a scenario, which a zone lists. Used by the thread of the scenario.
+ * Searchers report an overload from their own threads.
  */
 final class SearcherFleet implements AutoCloseable {
     private static final int CELLS = 4;
     private static final int SHORTEST_SERVICE_MS = 3;
-    private static final int SERVICE_SPREAD_MS = 5;
+    private static final int SERVICE_JITTER_MS = 5;
     private static final double SLOW_START_SHARE = 0.2;
     private static final double OVERLOAD_FACTOR = 2.5;
     private static final int OVERLOAD_WINDOW_MS = 3_000;
@@ -29,9 +29,9 @@
     private final List<FakeSearcher> searchers = new ArrayList<>();
     private final IdempotencyKeys keys;
     private final Map<FakeSearcher, Long> restartAt = new ConcurrentHashMap<>();
-    private final Set<FakeSearcher> unlistedStarts = new HashSet<>();
+    private final Set<FakeSearcher> unpublishedStarts = new HashSet<>();
 
-    /** Searchers that run at once. */
+    /** Starts all searchers of a scenario. */
     SearcherFleet(Scenario scenario, SplittableRandom random, History history) throws IOException {
         this.history = history;
         Scenario.KeyedRequests keyed = scenario.load().keyed();
@@ -44,7 +44,7 @@
             int serviceMs =
                     keyed.serviceMs() > 0
                             ? keyed.serviceMs()
-                            : SHORTEST_SERVICE_MS + random.nextInt(SERVICE_SPREAD_MS);
+                            : SHORTEST_SERVICE_MS + random.nextInt(SERVICE_JITTER_MS);
             FakeSearcher searcher =
                     new FakeSearcher(serviceMs, part -> history.add(name, "part", part), keys);
             searchers.add(searcher);
@@ -70,7 +70,7 @@
         searcher.limitCapacity(capacity, onOverload, () -> history.add(name, "conn", ""));
     }
 
-    /** The zone of a searcher or node by its number. */
+    /** Returns the zone of the searcher or node with a number. */
     static String zoneOf(int number) {
         return number % 2 == 0 ? "a" : "b";
     }
@@ -83,12 +83,12 @@
         return searchers.indexOf(searcher) + 1;
     }
 
-    /** Where a searcher listens, by its number from 1. */
+    /** Returns the port of a searcher. Searchers are numbered from 1. */
     int port(int number) {
         return searchers.get(number - 1).port();
     }
 
-    /** The zone file that lists all searchers. */
+    /** Returns the records of the zone file that lists all searchers. */
     String zoneRecords() {
         StringBuilder zone =
                 new StringBuilder("$TTL 60\n@ SOA ns ops 1 3600 1 86400 30\n@ NS ns\n");
@@ -110,8 +110,8 @@
     }
 
     /**
-     * All searchers, or those of one zone, lose power and come back in any order within this time,
-     * ms.
+     * Stops all searchers, or those of one zone if {@code zone} is not empty, as a power loss
+     * would. Each restarts after the shortest outage plus a random time below {@code withinMs}.
      */
     void losePower(String zone, long withinMs, SplittableRandom random) throws IOException {
         for (FakeSearcher searcher : searchers) {
@@ -123,36 +123,36 @@
         }
     }
 
-    /** One searcher forgets the idempotency keys that it served. */
+    /** Makes a random searcher forget the idempotency keys that it has served. */
     void forgetKeys(SplittableRandom random) {
         FakeSearcher searcher = searchers.get(random.nextInt(searchers.size()));
         history.add(nameOf(searcher), "forget", "");
         keys.forget(searcher);
     }
 
-    /** Restarts what is due, and has the zone tell of each new start. */
+    /** Restarts the searchers that are due, and publishes the time of each restart in the zone. */
     void supervise(Collection<BrokerProcess> brokers) throws IOException {
         for (Map.Entry<FakeSearcher, Long> due : Map.copyOf(restartAt).entrySet()) {
             if (history.now() >= due.getValue()) {
                 restartAt.remove(due.getKey());
                 due.getKey().restart();
                 history.add(nameOf(due.getKey()), "up", "");
-                unlistedStarts.add(due.getKey());
+                unpublishedStarts.add(due.getKey());
             }
         }
-        unlistedStarts.removeIf(searcher -> listStart(searcher, brokers));
+        unpublishedStarts.removeIf(searcher -> publishStart(searcher, brokers));
     }
 
-    /** Whether all run and the zone tells when each was started. */
+    /** Returns whether all searchers run and the zone lists the time of each restart. */
     boolean isHealed() {
-        return restartAt.isEmpty() && unlistedStarts.isEmpty();
+        return restartAt.isEmpty() && unpublishedStarts.isEmpty();
     }
 
     /**
-     * What searchers' own agent does: has the zone tell when the process started; true once a node
-     * has taken the update.
+     * Publishes the start time of a searcher in the zone, as the agent on a searcher's host does.
+     * Returns whether a node has accepted the update.
      */
-    private boolean listStart(FakeSearcher searcher, Collection<BrokerProcess> brokers) {
+    private boolean publishStart(FakeSearcher searcher, Collection<BrokerProcess> brokers) {
         String name = nameOf(searcher);
         byte[] update =
                 ZoneClient.update(
@@ -170,13 +170,14 @@
                 try (ZoneClient client = new ZoneClient(broker.dnsPort)) {
                     client.setTimeoutMs(UPDATE_TIMEOUT_MS);
                     history.add(
-                            name, "listing", ""); // from this moment the new process may be listed
+                            name, "listing",
+                            ""); // recorded before the update: it may take effect at once
                     client.send(update);
                     client.read();
                     history.add(name, "listed", "since=" + searcher.startedAt());
                     return true;
                 } catch (IOException e) {
-                    return false; // no majority yet: retried at the next round
+                    return false; // the store has no majority yet; retried by the next supervise()
                 }
             }
         }
--- a/src/main/java/reeldeal/faultinjection/Supervisor.java
+++ b/src/main/java/reeldeal/faultinjection/Supervisor.java
@@ -3,11 +3,11 @@
 import reeldeal.fleet.FormAttributes;
 
 /**
- * What goes on while a scenario waits for something: processes and searchers are started again when
- * they are due, load returns to its usual rate. Used by the scenario's thread alone.
+ * The periodic work of a scenario, also while it waits for a condition: restarts processes and
+ * searchers that are due, and ends a raised load. Used only by the thread of the scenario.
  */
 final class Supervisor {
-    /** How often conditions are looked at, ms. */
+    /** The interval between checks of a condition, ms. */
     static final int POLL_MS = 200;
 
     private final ProcessFleet fleet;
@@ -16,7 +16,7 @@
     private final OperatorConsole console;
     private final Programs programs;
     private LoadGenerator load;
-    private long raisedLoadUntil;
+    private long raisedLoadUntilMs;
 
     Supervisor(
             ProcessFleet fleet,
@@ -31,42 +31,45 @@
         this.history = history;
     }
 
-    /** Something to wait for. */
+    /** A condition to wait for. */
     interface Condition {
-        /** Whether it holds now. */
+        /** Returns whether the condition holds now. */
         boolean holds() throws Exception;
     }
 
-    /** The load whose rate is raised by {@link #raiseLoad}. */
+    /** Sets the load generator whose rate {@link #raiseLoad} raises. */
     void supervise(LoadGenerator generator) {
         load = generator;
     }
 
-    /** Has clients send so many times as much for so long, ms. */
+    /** Multiplies the rate of the load by a factor for a time in ms. */
     void raiseLoad(int factor, long forMs) {
         load.setRateFactor(factor);
-        raisedLoadUntil = history.now() + forMs;
+        raisedLoadUntilMs = history.now() + forMs;
     }
 
-    /** One round. */
+    /** Runs one round of the periodic work. */
     void supervise() throws Exception {
         fleet.supervise(this::installProgram);
-        if (load != null && raisedLoadUntil > 0 && history.now() > raisedLoadUntil) {
-            raisedLoadUntil = 0;
+        if (load != null && raisedLoadUntilMs > 0 && history.now() > raisedLoadUntilMs) {
+            raisedLoadUntilMs = 0;
             load.setRateFactor(1);
         }
         searchers.supervise(fleet.brokers());
     }
 
     /**
-     * Supervises until a condition holds; a violation goes into the history where it does not in
-     * time.
+     * Supervises until a condition holds. Adds a violation to the history if it does not hold
+     * within the timeout.
      */
-    void await(long timeoutMs, String what, Condition condition) throws Exception {
-        long until = history.now() + timeoutMs;
+    void await(long timeoutMs, String description, Condition condition) throws Exception {
+        long deadlineMs = history.now() + timeoutMs;
         while (!condition.holds()) {
-            if (history.now() > until) {
-                history.add("drill", "broken", "waited " + timeoutMs + " ms in vain: " + what);
+            if (history.now() > deadlineMs) {
+                history.add(
+                        "drill",
+                        "broken",
+                        "condition not met within " + timeoutMs + " ms: " + description);
                 return;
             }
             supervise();
@@ -75,8 +78,8 @@
     }
 
     /**
-     * What the operators' deployment does: where a rollout restarts a broker, the program of that
-     * way is installed first.
+     * Installs the program before a rollout restarts a broker, as the operators' deployment does:
+     * the initial program if the rollout goes back, else the one rolled out.
      */
     private void installProgram(BrokerProcess broker) {
         if (!programs.rollsOutProgram()) {
@@ -85,7 +88,9 @@
         for (FormAttributes step : console.list("fleet release show")) {
             if (step.get("name").equals(broker.name) && step.get("stage").equals("restart")) {
                 broker.install(
-                        step.get("way").equals("back") ? programs.first() : programs.rolledOut());
+                        step.get("way").equals("back")
+                                ? programs.initialCommand()
+                                : programs.rolledOutCommand());
             }
         }
     }
--- a/src/main/java/reeldeal/faultinjection/TextCodec.java
+++ b/src/main/java/reeldeal/faultinjection/TextCodec.java
@@ -9,13 +9,13 @@
 import java.util.HexFormat;
 
 /**
- * What stand-ins read and write, as text: an HTTP message as its first words and its body, or a
- * frame.
+ * Converts between bytes on a connection and the text form that test doubles use: an HTTP message
+ * as the first words of its start line and its body, a frame, or hexadecimal.
  */
 public final class TextCodec {
     private TextCodec() {}
 
-    /** An HTTP head, or null at the end of the stream. */
+    /** Reads the head of an HTTP message, or returns null at the end of the stream. */
     public static String head(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
@@ -29,8 +29,8 @@
     }
 
     /**
-     * A response as {@code STATUS [retry-after=T] BODY}, or a request as {@code METHOD TARGET
-     * BODY}.
+     * Reads an HTTP message. Returns a response as {@code STATUS [retry-after=T] BODY}, a request
+     * as {@code METHOD TARGET BODY}, and {@code EOF} at the end of the stream.
      */
     public static String http(InputStream in) throws IOException {
         String head = head(in);
@@ -38,24 +38,24 @@
             return "EOF";
         }
         int length = 0;
-        String retry = "";
+        String retryAfter = "";
         String[] lines = head.split("\r\n");
         for (String line : lines) {
             if (line.startsWith("Content-Length: ")) {
                 length = Integer.parseInt(line.substring(16));
             } else if (line.startsWith("Retry-After: ")) {
-                retry = " retry-after=" + line.substring(13);
+                retryAfter = " retry-after=" + line.substring(13);
             }
         }
         String body = new String(in.readNBytes(length), StandardCharsets.UTF_8);
-        String[] words = lines[0].split(" ");
-        return (words[0].startsWith("HTTP") ? words[1] : words[0] + " " + words[1])
-                + retry
+        String[] startLine = lines[0].split(" ");
+        return (startLine[0].startsWith("HTTP") ? startLine[1] : startLine[0] + " " + startLine[1])
+                + retryAfter
                 + " "
                 + body;
     }
 
-    /** A request with a body. */
+    /** Returns the bytes of an HTTP request with a body. */
     public static byte[] request(String method, String target, String headers, String body) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         return (method
@@ -70,7 +70,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A response with a body. */
+    /** Returns the bytes of an HTTP response with a body. */
     public static byte[] response(int status, String body) {
         return ("HTTP/1.1 "
                         + status
@@ -81,7 +81,10 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A frame as its letter, a space and the rest. */
+    /**
+     * Reads a frame. Returns its kind letter, a space and its payload, or {@code EOF} at the end of
+     * the stream.
+     */
     public static String frame(InputStream in) throws IOException {
         int first = in.read();
         if (first < 0) {
@@ -93,29 +96,38 @@
         return (char) frame[0] + " " + new String(frame, 1, length - 1, StandardCharsets.UTF_8);
     }
 
-    /** A frame from its letter, a space and the rest. */
+    /** Returns the bytes of a frame, given as its kind letter, a space and its payload. */
     public static byte[] frame(String text) {
-        byte[] rest = text.substring(2).getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.allocate(5 + rest.length)
-                .putInt(1 + rest.length)
+        byte[] payload = text.substring(2).getBytes(StandardCharsets.UTF_8);
+        return ByteBuffer.allocate(5 + payload.length)
+                .putInt(1 + payload.length)
                 .put((byte) text.charAt(0))
-                .put(rest)
+                .put(payload)
                 .array();
     }
 
-    /** A message with two bytes of length, as hexadecimal. */
+    /**
+     * Reads a message that begins with its length in two bytes, and returns the rest as
+     * hexadecimal.
+     */
     public static String hex(InputStream in) throws IOException {
         DataInputStream data = new DataInputStream(in);
         return HexFormat.of().formatHex(data.readNBytes(data.readUnsignedShort()));
     }
 
-    /** Such a message from hexadecimal in which quotes hold text. */
+    /**
+     * Returns a message that begins with its length in two bytes, given as hexadecimal with quoted
+     * text.
+     */
     public static byte[] hex(String text) {
-        byte[] all = bytes(text);
-        return ByteBuffer.allocate(2 + all.length).putShort((short) all.length).put(all).array();
+        byte[] message = bytes(text);
+        return ByteBuffer.allocate(2 + message.length)
+                .putShort((short) message.length)
+                .put(message)
+                .array();
     }
 
-    /** Bytes from hexadecimal in which quotes hold text. */
+    /** Parses hexadecimal in which text between quotes stands for its Latin-1 bytes. */
     public static byte[] bytes(String text) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         String[] pieces = text.split("\"", -1);
--- a/src/test/java/reeldeal/faultinjection/ScenarioRunnerTest.java
+++ b/src/test/java/reeldeal/faultinjection/ScenarioRunnerTest.java
@@ -15,16 +15,16 @@
 import reeldeal.config.BrokerConfig;
 
 /**
- * Real processes: the short form of the drill, and the checker on histories that hold and that do
- * not.
+ * Runs short scenarios with real processes, and checks the invariant checker on valid and on broken
+ * histories.
  */
 public class ScenarioRunnerTest {
     private static final Path RESOURCES = Path.of("src/test/resources/drill");
-    private static final String WORK = "work/k=%2Bworth%3D1+state%3DOPEN+";
+    private static final String OPEN_RECORD = "work/k=%2Bworth%3D1+state%3DOPEN+";
     private Path folder;
 
     @After
-    public void clean() throws IOException {
+    public void deleteFolder() throws IOException {
         if (folder != null) {
             try (Stream<Path> files = Files.walk(folder)) {
                 for (Path f : files.sorted(Comparator.reverseOrder()).toList()) {
@@ -34,7 +34,7 @@
         }
     }
 
-    private List<History.Event> play(String name) throws Exception {
+    private List<History.Event> runScenario(String name) throws Exception {
         folder = Files.createTempDirectory("drill");
         try (ScenarioRunner drill =
                 new ScenarioRunner(
@@ -51,10 +51,10 @@
     }
 
     @Test
-    public void aReleaseSurvivesItsLeadersDeathAndLostFrames() throws Exception {
-        List<History.Event> events = play("short");
+    public void rolloutCompletesWhenLeaderIsKilledAndFramesAreLost() throws Exception {
+        List<History.Event> events = runScenario("short");
         assertEquals(
-                "each was restarted once",
+                "each broker was restarted once by the rollout",
                 5,
                 events.stream().filter(e -> e.rest().startsWith("fleet: ends: release")).count());
         assertEquals(
@@ -68,55 +68,55 @@
     }
 
     @Test
-    public void threeThatAreKilledAndAloneServeFromOldCopiesAndKnowWhoIsDrained() throws Exception {
-        List<History.Event> events = play("apart");
+    public void killedAndIsolatedBrokersServeFromStaleReplicasAndKeepDrains() throws Exception {
+        List<History.Event> events = runScenario("apart");
         assertEquals(
                 3,
                 events.stream()
                         .filter(e -> e.rest().contains("going on from the copy here"))
                         .count());
-        long apart =
+        long isolatedAt =
                 events.stream()
                         .filter(e -> e.rest().contains("going on from the copy here"))
                         .mapToLong(History.Event::at)
                         .max()
                         .orElseThrow();
-        long heals =
+        long healedAt =
                 events.stream()
                         .filter(e -> e.what().equals("heal"))
                         .mapToLong(History.Event::at)
                         .min()
                         .orElseThrow();
         assertTrue(
-                "they serve meanwhile",
+                "complete answers while the three brokers are isolated",
                 events.stream()
                                 .filter(
                                         e ->
                                                 e.what().equals("answer")
-                                                        && e.at() > apart
-                                                        && e.at() < heals
+                                                        && e.at() > isolatedAt
+                                                        && e.at() < healedAt
                                                         && e.rest().contains("whole=true"))
                                 .count()
                         > 20);
     }
 
     @Test
-    public void whatABrokerHadInHandWhenItWasKilledOrPausedEndsOnceElsewhere() throws Exception {
-        List<History.Event> events = play("work");
+    public void inFlightRequestsOfKilledOrPausedBrokersEndOnceOnOtherBrokers() throws Exception {
+        List<History.Event> events = runScenario("work");
         assertEquals(
-                "each client knows how its request ended",
+                "no client gave up before it learned the outcome of its request",
                 0,
                 events.stream().filter(e -> e.what().equals("givesup")).count());
         assertTrue(
-                "others ran what was left",
+                "another broker ran the remaining shard requests",
                 events.stream().anyMatch(e -> e.what().equals("part") && e.rest().contains("~2.")));
         assertTrue(events.stream().filter(e -> e.what().equals("want")).count() > 200);
     }
 
     @Test
-    public void afterALossOfPowerServiceReturnsByStepsWithTheReleaseHaltedAndTheDrainKept()
+    public void serviceRecoversInStepsAfterPowerLossWithRolloutHaltedAndDrainKept()
             throws Exception {
-        List<History.Event> events = play("power");
+        List<History.Event> events = runScenario("power");
         assertEquals(
                 1,
                 events.stream()
@@ -128,86 +128,90 @@
                         .filter(e -> e.rest().startsWith("fleet: recovery 1 is over"))
                         .count());
         assertEquals(
-                "torn logs are cut",
+                "nodes that truncated a torn write from their log",
                 5,
                 events.stream()
                         .filter(e -> e.rest().startsWith("store: cut a torn write"))
                         .count());
-        long lost =
+        long powerLostAt =
                 events.stream()
                         .filter(e -> e.what().equals("power"))
                         .mapToLong(History.Event::at)
                         .findFirst()
                         .orElseThrow();
         assertTrue(
-                "the release is halted, by the loss or by the budget that went before it was judged",
+                "the rollout is halted, by the power loss or by the budget used up before the loss was detected",
                 events.stream()
                         .anyMatch(
                                 e ->
-                                        e.at() > lost
+                                        e.at() > powerLostAt
                                                 && e.what().equals("progress")
                                                 && e.rest().contains("progress=halted")));
-        long listed =
+        long listedAt =
                 events.stream()
                         .filter(e -> e.what().equals("listing") && e.who().equals("s12"))
                         .mapToLong(History.Event::at)
                         .findFirst()
                         .orElseThrow();
         assertEquals(
-                "the drain outlives the loss until a newer process is listed",
+                "shard requests to the drained searcher before its new process is listed",
                 0,
                 events.stream()
                         .filter(
                                 e ->
                                         e.what().equals("part")
                                                 && e.who().equals("s12")
-                                                && e.at() > lost
-                                                && e.at() < listed)
+                                                && e.at() > powerLostAt
+                                                && e.at() < listedAt)
                         .count());
     }
 
     @Test
-    public void aVoterWhoseFolderWentBackIsToldApartBeforeItVotesAndReplacedByCommand()
+    public void voterWithRolledBackFolderIsDetectedBeforeItVotesAndReplacedByCommand()
             throws Exception {
-        List<History.Event> events = play("folders");
-        long lost =
+        List<History.Event> events = runScenario("folders");
+        long powerLostAt =
                 events.stream()
                         .filter(e -> e.what().equals("power"))
                         .mapToLong(History.Event::at)
                         .findFirst()
                         .orElseThrow();
-        List<History.Event> back =
+        List<History.Event> rolledBack =
                 events.stream()
                         .filter(e -> e.rest().startsWith("store: this folder went back"))
                         .toList();
-        assertEquals(1, back.size());
-        assertEquals("b1", back.get(0).who());
-        long leads =
+        assertEquals(1, rolledBack.size());
+        assertEquals("b1", rolledBack.get(0).who());
+        long leaderElectedAt =
                 events.stream()
-                        .filter(e -> e.at() > lost && e.rest().contains(" leads, term "))
+                        .filter(e -> e.at() > powerLostAt && e.rest().contains(" leads, term "))
                         .mapToLong(History.Event::at)
                         .findFirst()
                         .orElseThrow();
-        long third =
+        long othersStartedAt =
                 events.stream()
                         .filter(
                                 e ->
-                                        e.at() > lost
+                                        e.at() > powerLostAt
                                                 && e.what().equals("start")
                                                 && e.who().matches("b[02]"))
                         .mapToLong(History.Event::at)
                         .max()
                         .orElseThrow();
         assertTrue(
-                "nobody leads before two others are there: " + leads + " " + third, leads > third);
+                "a leader was elected before the two other voters had started: elected at "
+                        + leaderElectedAt
+                        + " ms, started at "
+                        + othersStartedAt,
+                leaderElectedAt > othersStartedAt);
         assertEquals(
-                "torn logs are cut",
+                "nodes that truncated a torn write from their log",
                 3,
                 events.stream()
                         .filter(e -> e.rest().startsWith("store: cut a torn write"))
                         .count());
         assertEquals(
-                "a spare serves in its place",
+                "a spare serves in place of b1",
                 List.of("b0", "b2", "b3", "b4"),
                 events.stream()
                         .filter(
@@ -222,19 +226,19 @@
     private static List<History.Event> events(String... lines) {
         List<History.Event> events = new ArrayList<>();
         for (String line : lines) {
-            String[] words = line.split(" ", 4);
+            String[] fields = line.split(" ", 4);
             events.add(
                     new History.Event(
-                            Long.parseLong(words[0]),
-                            words[1],
-                            words[2],
-                            words.length > 3 ? words[3] : ""));
+                            Long.parseLong(fields[0]),
+                            fields[1],
+                            fields[2],
+                            fields.length > 3 ? fields[3] : ""));
         }
         return events;
     }
 
     @Test
-    public void theCheckerTellsBrokenHistories() {
+    public void invariantCheckerReportsEveryBrokenHistory() {
         assertEquals(
                 List.of(),
                 InvariantChecker.check(
@@ -287,13 +291,13 @@
             },
             {
                 "1 log commit version=1 fleet/boot/a=%2Bboot%3Da "
-                        + WORK
+                        + OPEN_RECORD
                         + "owner%3Da+incarnation%3D1",
-                "2 log commit version=2 " + WORK + "owner%3Db+incarnation%3D2"
+                "2 log commit version=2 " + OPEN_RECORD + "owner%3Db+incarnation%3D2"
             },
             {
-                "1 log commit version=1 " + WORK.replace("OPEN", "DONE") + "owner%3Da",
-                "2 log commit version=2 " + WORK + "owner%3Da"
+                "1 log commit version=1 " + OPEN_RECORD.replace("OPEN", "DONE") + "owner%3Da",
+                "2 log commit version=2 " + OPEN_RECORD + "owner%3Da"
             }
         };
         for (String[] history : broken) {
@@ -304,13 +308,14 @@
     }
 
     @Test
-    public void aCallsPartsAreReadByTheirLengths() {
+    public void shardRequestNamesAreReadByTextLength() {
         assertEquals(
-                List.of("q.1", "q.2"), FakeSearcher.names("q.1 1 d=3 1\nxq.2 2 d=3,k=y 2\nzz"));
+                List.of("q.1", "q.2"),
+                FakeSearcher.shardRequestNames("q.1 1 d=3 1\nxq.2 2 d=3,k=y 2\nzz"));
     }
 
     @Test
-    public void aScenarioThatCannotBeUsedNamesThePlace() throws Exception {
+    public void invalidScenarioErrorNamesTheKey() throws Exception {
         folder = Files.createTempDirectory("drill");
         Path file =
                 Files.writeString(
@@ -318,7 +323,7 @@
                         "{\"voters\": 3, \"actions\": [{\"verb\": \"explode\"}]}");
         try {
             ScenarioReader.read(file);
-            assertTrue("it was taken", false);
+            assertTrue("invalid scenario was accepted", false);
         } catch (BrokerConfig.InvalidConfigException e) {
             assertTrue(e.getMessage(), e.getMessage().contains("actions.0.verb: expected one of"));
         }
