--- a/src/main/java/reeldeal/core/AttemptEnd.java
+++ b/src/main/java/reeldeal/core/AttemptEnd.java
@@ -80,7 +80,7 @@
     }
 
     /** The broker did not send the attempt, because its own rules did not allow it. */
-    record Fenced() implements AttemptEnd {
+    record NeverSent() implements AttemptEnd {
         @Override
         public Outcome outcome() {
             return Outcome.NEVER_SENT;
--- a/src/main/java/reeldeal/core/Effect.java
+++ b/src/main/java/reeldeal/core/Effect.java
@@ -82,9 +82,9 @@
      * Queues an event after a delay.
      *
      * @param delayMs milliseconds from now
-     * @param due the event to queue
+     * @param event the event to queue
      */
-    record ScheduleTimer(double delayMs, Event due) implements Effect {}
+    record ScheduleTimer(double delayMs, Event event) implements Effect {}
 
     /** Writes a line to the operators' log. */
     record Log(String line) implements Effect {}
--- a/src/main/java/reeldeal/core/Reducer.java
+++ b/src/main/java/reeldeal/core/Reducer.java
@@ -95,7 +95,7 @@
      * Returns the names of the searchers that the decision module has ejected for their failures.
      */
     public Set<String> ejected() {
-        return searchers.namesOf(EjectionView.of(engine));
+        return searchers.namesOf(EjectionView.ejectedServerIds(engine));
     }
 
     /** Returns the decision module's observations of searchers, by their names. */
@@ -222,7 +222,7 @@
     private void onProbed(Event.Probed event) {
         Long id = searchers.findId(event.searcher());
         if (id != null) {
-            engine.probed(now, id, event.outcome(), event.elapsedMs(), event.load());
+            engine.probeOutcome(now, id, event.outcome(), event.elapsedMs(), event.load());
         }
     }
 
@@ -241,8 +241,8 @@
     }
 
     private void onAdmissionQuotaChanged(Event.AdmissionQuotaChanged quota) {
-        engine.admission().setQuota(quota.share(), quota.retryAfterMs());
-        engine.admission().brokerScale(settings.brokers(), quota.brokers());
+        engine.recoveryAdmission().setQuota(quota.share(), quota.retryAfterMs());
+        engine.recoveryAdmission().setBrokerCounts(settings.brokers(), quota.brokers());
         if (searchers.assumeRestart(quota.restartedAtMs(), quota.restartedZone())) {
             onEndpointsChanged(EndpointListKind.CHANGES, searchers.all());
         }
@@ -413,7 +413,7 @@
     private void endUnsent(long shardRequestId, int attempt) {
         unsentEnds.add(
                 new Event.AttemptEnded(
-                        shardRequestId, attempt, new AttemptEnd.Fenced(), NO_LOAD_REPORT));
+                        shardRequestId, attempt, new AttemptEnd.NeverSent(), NO_LOAD_REPORT));
     }
 
     private void schedule(double delayMs, Event event) {
--- a/src/main/java/reeldeal/core/SearcherStats.java
+++ b/src/main/java/reeldeal/core/SearcherStats.java
@@ -24,7 +24,7 @@
     /** Returns the decision module's observations by name of the searcher. */
     Map<String, Event.ImportedServerStats> exportStats() {
         Map<String, Event.ImportedServerStats> exported = new TreeMap<>();
-        ServerStatsSnapshot.of(engine)
+        ServerStatsSnapshot.exportStats(engine)
                 .forEach(
                         (id, stats) -> {
                             Searcher searcher = searchers.find(id);
--- a/src/main/java/reeldeal/decision/DecisionEngine.java
+++ b/src/main/java/reeldeal/decision/DecisionEngine.java
@@ -195,7 +195,7 @@
     }
 
     @Override
-    public void probed(double now, long server, Outcome outcome, double elapsedMs, double[] load) {
+    public void probeOutcome(double now, long server, Outcome outcome, double elapsedMs, double[] load) {
         advance(now);
     }
 
@@ -228,7 +228,7 @@
      * Returns the limiter of admitted queries while a fleet recovers from an outage. It may be used
      * only by the engine's thread.
      */
-    public RecoveryAdmission admission() {
+    public RecoveryAdmission recoveryAdmission() {
         return recoveryAdmission;
     }
 
--- a/src/main/java/reeldeal/decision/DecisionModule.java
+++ b/src/main/java/reeldeal/decision/DecisionModule.java
@@ -351,7 +351,7 @@
             double[] load);
 
     /** Reports the outcome of a probe; for {@code load} see {@link #outcome}. */
-    void probed(double now, long server, Outcome outcome, double elapsedMs, double[] load);
+    void probeOutcome(double now, long server, Outcome outcome, double elapsedMs, double[] load);
 
     /** Reports that a query's client has disconnected or the query ended for another reason. */
     void clientDisconnected(double now, long query);
--- a/src/main/java/reeldeal/decision/RecoveryAdmission.java
+++ b/src/main/java/reeldeal/decision/RecoveryAdmission.java
@@ -55,7 +55,7 @@
     }
 
     /** Sets the scale from the configured number of brokers and the number that serve now. */
-    public void brokerScale(int configuredBrokers, int servingBrokers) {
+    public void setBrokerCounts(int configuredBrokers, int servingBrokers) {
         double scale = (double) configuredBrokers / Math.max(1, servingBrokers);
         brokerScale = Math.max(MIN_BROKER_SCALE, Math.min(MAX_BROKER_SCALE, scale));
     }
--- a/src/main/java/reeldeal/decision/ServerStatsSnapshot.java
+++ b/src/main/java/reeldeal/decision/ServerStatsSnapshot.java
@@ -24,7 +24,7 @@
     public record ServerStats(boolean ejected, boolean unresponsive, double relativeLatency) {}
 
     /** Returns the observations of ready servers that are ejected or slow, by server id. */
-    public static Map<Long, ServerStats> of(DecisionEngine engine) {
+    public static Map<Long, ServerStats> exportStats(DecisionEngine engine) {
         Map<Long, ServerStats> stats = new TreeMap<>();
         for (ServerState server : engine.registry().servers()) {
             ServerHealth health = server.health;
--- a/src/main/java/reeldeal/opensearch/OpenSearchTransport.java
+++ b/src/main/java/reeldeal/opensearch/OpenSearchTransport.java
@@ -159,7 +159,7 @@
             if (send.mayBeWritten(now) && (fence == null || fence.test(send))) {
                 sends.add(send);
             } else {
-                reportEnd(send, new AttemptEnd.Fenced());
+                reportEnd(send, new AttemptEnd.NeverSent());
             }
         }
         connection.pending = sends;
@@ -252,7 +252,7 @@
         for (Connection connection : connections()) {
             int index = connection.indexOf(withdraw.shardRequestId(), withdraw.attempt());
             if (index >= 0 && !connection.bodyWritten) {
-                reportEnd(connection.remove(index), new AttemptEnd.Fenced());
+                reportEnd(connection.remove(index), new AttemptEnd.NeverSent());
             }
         }
     }
--- a/src/main/java/reeldeal/searchers/SearcherConnection.java
+++ b/src/main/java/reeldeal/searchers/SearcherConnection.java
@@ -175,7 +175,7 @@
             (send.mayBeWritten(now) && listener.maySend(send) ? sends : fenced).add(send);
         }
         for (Effect.Send send : fenced) {
-            endUnwritten(send, new AttemptEnd.Fenced());
+            endUnwritten(send, new AttemptEnd.NeverSent());
         }
         if (sends.isEmpty()) {
             return;
@@ -256,7 +256,7 @@
                 if (send.shardRequestId() == withdraw.shardRequestId()
                         && send.attempt() == withdraw.attempt()) {
                     call.remove(send);
-                    endUnwritten(send, new AttemptEnd.Fenced());
+                    endUnwritten(send, new AttemptEnd.NeverSent());
                 }
             }
         }
--- a/src/main/java/reeldeal/searchers/SearcherTransport.java
+++ b/src/main/java/reeldeal/searchers/SearcherTransport.java
@@ -33,7 +33,7 @@
 
     /**
      * Sets a predicate that is tested immediately before an attempt is written. An attempt that
-     * does not satisfy it is not written, and ends as {@link reeldeal.core.AttemptEnd.Fenced}.
+     * does not satisfy it is not written, and ends as {@link reeldeal.core.AttemptEnd.NeverSent}.
      */
     void setFence(Predicate<Effect.Send> maySend);
 
--- a/src/main/java/reeldeal/server/BrokerServer.java
+++ b/src/main/java/reeldeal/server/BrokerServer.java
@@ -470,7 +470,7 @@
             }
         } else if (effect instanceof Effect.ScheduleTimer timer) {
             loop.schedule(
-                    () -> enqueue(timer.due()),
+                    () -> enqueue(timer.event()),
                     (long) (Math.max(0, timer.delayMs()) * 1e6),
                     TimeUnit.NANOSECONDS);
         } else if (effect instanceof Effect.StopSending stop) {
--- a/src/main/java/reeldeal/server/JitWarmUp.java
+++ b/src/main/java/reeldeal/server/JitWarmUp.java
@@ -139,7 +139,7 @@
             if (effect instanceof Effect.Call call) {
                 pendingEvents.addAll(reeldeal.searchers.CodecWarmUp.roundTrip(call, now));
             } else if (effect instanceof Effect.ScheduleTimer timer && timer.delayMs() <= 0) {
-                pendingEvents.add(timer.due());
+                pendingEvents.add(timer.event());
             } else if (effect instanceof Effect.Answer answer
                     && replies.containsKey(answer.requestId())) {
                 replies.remove(answer.requestId()).accept(answer.reply());
--- a/src/main/java/reeldeal/simulator/InstanceHost.java
+++ b/src/main/java/reeldeal/simulator/InstanceHost.java
@@ -106,7 +106,7 @@
             case EventRecord.LIST_CHANGED -> changeServerList(now, event, instance);
             case EventRecord.PROBE_ENDED ->
                     instance.module(now)
-                            .probed(
+                            .probeOutcome(
                                     now,
                                     event.probedServer(),
                                     event.probeOutcome(),
--- a/src/test/java/reeldeal/core/AttemptEndTest.java
+++ b/src/test/java/reeldeal/core/AttemptEndTest.java
@@ -12,7 +12,7 @@
         assertEquals(Outcome.OK, new AttemptEnd.Served(1, "v").outcome());
         assertEquals(Outcome.ERROR, new AttemptEnd.Failed().outcome());
         assertEquals(Outcome.REJECTED, new AttemptEnd.Rejected().outcome());
-        assertEquals(Outcome.NEVER_SENT, new AttemptEnd.Fenced().outcome());
+        assertEquals(Outcome.NEVER_SENT, new AttemptEnd.NeverSent().outcome());
     }
 
     @Test
--- a/src/test/java/reeldeal/decision/RecoveryAdmissionTest.java
+++ b/src/test/java/reeldeal/decision/RecoveryAdmissionTest.java
@@ -101,9 +101,9 @@
         fleet.brokers
                 .get(broker)
                 .engine
-                .admission()
+                .recoveryAdmission()
                 .setQuota(stepwise ? QUOTA_STEPS[step] : 1, 500);
-        fleet.brokers.get(broker).engine.admission().brokerScale(BROKERS, servingBrokers);
+        fleet.brokers.get(broker).engine.recoveryAdmission().setBrokerCounts(BROKERS, servingBrokers);
     }
 
     @Test
--- a/src/test/java/reeldeal/searchers/ConnectionPoolTest.java
+++ b/src/test/java/reeldeal/searchers/ConnectionPoolTest.java
@@ -122,7 +122,7 @@
                     fenced.add(1L);
                 });
         assertEquals(
-                new Event.AttemptEnded(1, 0, new AttemptEnd.Fenced(), new double[0]).end(),
+                new Event.AttemptEnded(1, 0, new AttemptEnd.NeverSent(), new double[0]).end(),
                 ((Event.AttemptEnded) nextEvent()).end());
         assertNextFrame(server.accept(), "Qq2.3 3 d=500 1\nx");
     }
@@ -184,7 +184,7 @@
                     // As if the client had disconnected before the connection was established.
                     pool.withdraw(new Effect.Withdraw(1, 0));
                 });
-        assertEquals(new AttemptEnd.Fenced(), ((Event.AttemptEnded) nextEvent()).end());
+        assertEquals(new AttemptEnd.NeverSent(), ((Event.AttemptEnded) nextEvent()).end());
         Socket socket = server.accept();
         assertNextFrame(socket, "Qq2.3 3 d=500 1\nx");
         onEventLoop(() -> pool.withdraw(new Effect.Withdraw(2, 0)));
@@ -209,7 +209,7 @@
         Event.AttemptEnded second = (Event.AttemptEnded) nextEvent();
         assertEquals(List.of(1L, 3L), List.of(first.shardRequestId(), second.shardRequestId()));
         assertEquals(
-                List.of(new AttemptEnd.Fenced(), new AttemptEnd.Fenced()),
+                List.of(new AttemptEnd.NeverSent(), new AttemptEnd.NeverSent()),
                 List.of(first.end(), second.end()));
         assertNextFrame(server.accept(), "Qq2.3 3 d=350 1\nx");
     }
