--- a/src/main/java/reeldeal/cli/DnsClient.java
+++ b/src/main/java/reeldeal/cli/DnsClient.java
@@ -36,7 +36,7 @@
         this.server = server;
         this.key = key;
         this.timeoutMs = timeoutMs;
-        this.link = PeerLink.over(group).connect(server, this);
+        this.link = PeerLink.connector(group).connect(server, this);
         try {
             awaitEvent();
         } catch (Commands.CommandFailedException e) {
--- a/src/main/java/reeldeal/endpoints/EndpointFeed.java
+++ b/src/main/java/reeldeal/endpoints/EndpointFeed.java
@@ -90,7 +90,7 @@
                         + ": using serial "
                         + zone.serial()
                         + " from an old copy on disk; the store is unreachable");
-        zone(zone, null);
+        updateZone(zone, null);
         staleZones.add(zone.origin);
     }
 
@@ -100,7 +100,7 @@
      * @param updated the zone with its present content
      * @param changedNames the names that changed, or null if any name may have changed
      */
-    public void zone(Zone updated, Set<String> changedNames) {
+    public void updateZone(Zone updated, Set<String> changedNames) {
         boolean wasStale = staleZones.remove(updated.origin);
         if (wasStale) {
             view.forgetVersion(updated.origin);
@@ -132,13 +132,13 @@
     }
 
     /** Drops the reports of a zone whose secondary copy has expired. */
-    public void expired(String origin) {
+    public void expireZone(String origin) {
         view.expireSource(clock.getAsLong(), origin);
         publish();
     }
 
     /** Passes an endpoint list from discovery, or changes to it, to the view. */
-    public void discovery(Event.EndpointsChanged event) {
+    public void updateFromDiscovery(Event.EndpointsChanged event) {
         if (event.kind() == EndpointListKind.COMPLETE) {
             discoveryReports.clear();
         }
@@ -170,7 +170,7 @@
     }
 
     /** Returns the entries of the view, with the reasons for their states. */
-    public List<EndpointView.Entry> view() {
+    public List<EndpointView.Entry> entries() {
         return view.entries();
     }
 
--- a/src/main/java/reeldeal/server/ZoneWiring.java
+++ b/src/main/java/reeldeal/server/ZoneWiring.java
@@ -58,7 +58,7 @@
                         System::currentTimeMillis,
                         this::deliver,
                         BrokerServer::log,
-                        departed -> ZoneService.keepLeft(store, departed));
+                        departed -> ZoneService.storeDepartedEndpoints(store, departed));
         Notifier notifier =
                 new Notifier(
                         stateGroup,
@@ -72,7 +72,7 @@
                         config,
                         store,
                         stateGroup.next(),
-                        PeerLink.over(stateGroup),
+                        PeerLink.connector(stateGroup),
                         notifier,
                         System::currentTimeMillis,
                         feed,
@@ -116,7 +116,7 @@
 
     /** Passes discovery's list to the endpoint feed, as one of its sources. */
     void onDiscovery(Event.EndpointsChanged event) {
-        stateGroup.next().execute(() -> feed.discovery(event));
+        stateGroup.next().execute(() -> feed.updateFromDiscovery(event));
     }
 
     /**
@@ -124,12 +124,12 @@
      * changes nothing.
      */
     void readOverrides() {
-        if (config.words() == null) {
+        if (config.overridesFile() == null) {
             return;
         }
         try {
             Map<String, EndpointView.AdministrativeOverride> overrides =
-                    AdministrativeOverridesFile.read(config.words());
+                    AdministrativeOverridesFile.read(config.overridesFile());
             stateGroup
                     .next()
                     .execute(
@@ -190,6 +190,6 @@
      * loop.
      */
     List<EndpointView.Entry> view() {
-        return feed.view();
+        return feed.entries();
     }
 }
--- a/src/main/java/reeldeal/zones/EndpointViewRecords.java
+++ b/src/main/java/reeldeal/zones/EndpointViewRecords.java
@@ -36,7 +36,7 @@
         if (!pageNumber.matches("[0-9]{1,6}")) {
             return responder.code(Rcode.REFUSED);
         }
-        List<EndpointView.Entry> view = feed.view();
+        List<EndpointView.Entry> view = feed.entries();
         int firstIndex = Integer.parseInt(pageNumber) * ENTRIES_PER_PAGE;
         if (firstIndex >= Math.max(1, view.size())) {
             return responder.code(Rcode.NXDOMAIN);
--- a/src/main/java/reeldeal/zones/PeerLink.java
+++ b/src/main/java/reeldeal/zones/PeerLink.java
@@ -51,7 +51,7 @@
     }
 
     /** Returns a connector whose connections run on this event loop group. */
-    public static Connector over(EventLoopGroup group) {
+    public static Connector connector(EventLoopGroup group) {
         return (address, listener) -> {
             PeerLink link = new PeerLink(listener);
             ChannelFuture connecting =
--- a/src/main/java/reeldeal/zones/ZoneService.java
+++ b/src/main/java/reeldeal/zones/ZoneService.java
@@ -161,9 +161,9 @@
                 continue;
             }
             if (zone.entry.searchers() && zone.expired()) {
-                feed.expired(zone.entry.origin());
+                feed.expireZone(zone.entry.origin());
             } else if (zone.entry.searchers()) {
-                feed.zone(zone.zone(), changedNames);
+                feed.updateZone(zone.zone(), changedNames);
             }
             if (store.acceptsWrites()) {
                 notifier.onZoneChanged(zone.zone(), zone.entry.secondaries());
@@ -253,7 +253,7 @@
     }
 
     /** Stores the departed endpoints if this node accepts writes. */
-    public static void keepLeft(StoreNode store, String departed) {
+    public static void storeDepartedEndpoints(StoreNode store, String departed) {
         if (store.acceptsWrites()) {
             store.write(List.of(new Change(DEPARTED_KEY, departed)), result -> {});
         }
--- a/src/main/java/reeldeal/zones/ZonesConfig.java
+++ b/src/main/java/reeldeal/zones/ZonesConfig.java
@@ -16,7 +16,7 @@
  * @param maxConnections the limit of open TCP connections, 1 to 10,000
  * @param idleMs how long an idle TCP connection stays open, in ms
  * @param rules the rules by which the endpoint view lists searchers
- * @param words the file with the administrative overrides for searchers, or null
+ * @param overridesFile the file with the administrative overrides for searchers, or null
  */
 public record ZonesConfig(
         InetSocketAddress listen,
@@ -25,7 +25,7 @@
         int maxConnections,
         long idleMs,
         EndpointView.Rules rules,
-        Path words) {
+        Path overridesFile) {
 
     /** A primary or secondary server, and the name of the key for messages with it, or null. */
     public record Peer(InetSocketAddress address, String key) {}
--- a/src/test/java/reeldeal/zones/ZoneFixture.java
+++ b/src/test/java/reeldeal/zones/ZoneFixture.java
@@ -97,7 +97,7 @@
                         System::currentTimeMillis,
                         endpointEvents::add,
                         log::add,
-                        left -> ZoneService.keepLeft(store, left));
+                        left -> ZoneService.storeDepartedEndpoints(store, left));
         Notifier notifier =
                 new Notifier(group, group.next(), keys, System::currentTimeMillis, log::add);
         ZoneService service =
@@ -105,7 +105,7 @@
                         config,
                         store,
                         group.next(),
-                        PeerLink.over(group),
+                        PeerLink.connector(group),
                         notifier,
                         System::currentTimeMillis,
                         feed,
