--- a/src/main/java/reeldeal/cli/StoreCommands.java
+++ b/src/main/java/reeldeal/cli/StoreCommands.java
@@ -90,13 +90,13 @@
                             groupAndNode,
                             GroupConfiguration.of(groupAndNode.isEmpty() ? "?" : groupAndNode),
                             4 << 20)) {
-                if (dataDirectory.opened().cutBytes() > 0) {
+                if (dataDirectory.openResult().truncatedBytes() > 0) {
                     findings.add(
                             "a torn write of "
-                                    + dataDirectory.opened().cutBytes()
+                                    + dataDirectory.openResult().truncatedBytes()
                                     + " bytes at the end, which the next start cuts off");
                 }
-                return dataDirectory.opened().state();
+                return dataDirectory.openResult().state();
             }
         } catch (IOException e) {
             throw new Commands.CommandFailedException(
--- a/src/main/java/reeldeal/consensus/MembershipChangeRules.java
+++ b/src/main/java/reeldeal/consensus/MembershipChangeRules.java
@@ -45,7 +45,7 @@
     private MembershipChangeRules() {}
 
     /** Decides whether a change of one node may be made to {@code current}. */
-    public static Decision judge(
+    public static Decision evaluate(
             GroupConfiguration current, Change change, String node, ProgressView view) {
         return switch (change) {
             case ADD -> add(current, node);
--- a/src/main/java/reeldeal/consensus/Outbox.java
+++ b/src/main/java/reeldeal/consensus/Outbox.java
@@ -34,7 +34,7 @@
     }
 
     void logLine(String line) {
-        ready.notes.add(line);
+        ready.logLines.add(line);
     }
 
     /** Returns the output collected since the last call. */
--- a/src/main/java/reeldeal/consensus/PeerProgress.java
+++ b/src/main/java/reeldeal/consensus/PeerProgress.java
@@ -20,7 +20,7 @@
     boolean probing = true;
 
     /** Whether a probe request is unanswered, so that no other may be sent. */
-    boolean paused;
+    boolean probeInFlight;
 
     /** The snapshot being sent, or null. */
     Snapshot snapshot;
@@ -56,13 +56,13 @@
 
     /** Whether another append request may be sent; {@code window} limits the unanswered ones. */
     boolean maySend(int window) {
-        return !paused && inFlight.size() < window;
+        return !probeInFlight && inFlight.size() < window;
     }
 
     /** Records that an append request of {@code count} entries was sent. */
     void onRequestSent(int count) {
         if (probing) {
-            paused = true;
+            probeInFlight = true;
         } else {
             nextIndex += count;
             inFlight.add(nextIndex - 1);
@@ -81,14 +81,14 @@
     void probeFrom(long index) {
         nextIndex = index;
         probing = true;
-        paused = false;
+        probeInFlight = false;
         inFlight.clear();
     }
 
     /** Records that the follower has the log up to an index on its disk. */
     void onAcknowledged(long index) {
         matchIndex = Math.max(matchIndex, index);
-        paused = false;
+        probeInFlight = false;
         if (snapshot != null && matchIndex >= snapshot.index()) {
             snapshot = null;
             probing = true;
@@ -111,7 +111,7 @@
     boolean onHeartbeatAcknowledged(long round) {
         boolean isNew = round > acknowledgedRound;
         acknowledgedRound = Math.max(acknowledgedRound, round);
-        paused = false;
+        probeInFlight = false;
         return isNew;
     }
 
--- a/src/main/java/reeldeal/consensus/RaftNode.java
+++ b/src/main/java/reeldeal/consensus/RaftNode.java
@@ -189,7 +189,7 @@
     }
 
     /** Whether this node leads and has committed all entries committed in earlier terms. */
-    public boolean hasQuorumLease() {
+    public boolean hasCommittedAsLeader() {
         return election.isLeader() && context.committedInCurrentTerm();
     }
 
@@ -320,7 +320,7 @@
      * Notifies a follower that an entry is committed as soon as the follower has the entry, without
      * waiting for the next regular message. Costs one heartbeat and its response.
      */
-    public void prioritizeReplication(String node, long index) {
+    public void prioritizeCommitNotification(String node, long index) {
         PeerProgress peer = followerOf(node);
         if (peer != null) {
             replication.prioritizeCommit(node, peer, index);
--- a/src/main/java/reeldeal/consensus/Ready.java
+++ b/src/main/java/reeldeal/consensus/Ready.java
@@ -32,7 +32,7 @@
             boolean discardsLog) {}
 
     /** A read that may be answered once the entries up to this index are applied. */
-    public record ReadReady(long read, long index) {}
+    public record ReadReady(long readId, long index) {}
 
     /** Disk requests, in the order in which they must be carried out. */
     public final List<Persist> persists = new ArrayList<>();
@@ -53,7 +53,7 @@
     public final List<Long> failedReads = new ArrayList<>();
 
     /** Lines for the program's log, such as changes of leadership. */
-    public final List<String> notes = new ArrayList<>();
+    public final List<String> logLines = new ArrayList<>();
 
     Snapshot install;
 
--- a/src/main/java/reeldeal/faultinjection/CommitLogReader.java
+++ b/src/main/java/reeldeal/faultinjection/CommitLogReader.java
@@ -29,7 +29,7 @@
         List<String> commits = new ArrayList<>();
         try (DataDirectory directory =
                 DataDirectory.open(folder, identity, GroupConfiguration.of(node), 4 << 20)) {
-            RaftNode.PersistentState persisted = directory.opened().state();
+            RaftNode.PersistentState persisted = directory.openResult().state();
             KeyValueState state = KeyValueState.fromBytes(persisted.snapshot().data());
             for (Entry entry : persisted.entries()) {
                 List<Change> changed = new ArrayList<>();
--- a/src/main/java/reeldeal/storage/DataDirectory.java
+++ b/src/main/java/reeldeal/storage/DataDirectory.java
@@ -32,9 +32,9 @@
      * The content of a directory when it was opened.
      *
      * @param state the term, vote, snapshot and log
-     * @param cutBytes how many bytes of a torn tail were truncated from the log
+     * @param truncatedBytes how many bytes of a torn tail were truncated from the log
      */
-    public record OpenResult(RaftNode.PersistentState state, long cutBytes) {}
+    public record OpenResult(RaftNode.PersistentState state, long truncatedBytes) {}
 
     /** The size of the log's files and their number. */
     public record LogSize(long bytes, int files) {}
@@ -102,7 +102,7 @@
     }
 
     /** Returns what the directory contained when it was opened. */
-    public OpenResult opened() {
+    public OpenResult openResult() {
         return openResult;
     }
 
--- a/src/main/java/reeldeal/store/KeyValueState.java
+++ b/src/main/java/reeldeal/store/KeyValueState.java
@@ -33,7 +33,7 @@
      * The prefix of the keys of quotas: the value of {@code quota/PREFIX} limits the bytes stored
      * under the keys with that prefix.
      */
-    public static final String QUOTA = "quota/";
+    public static final String QUOTA_PREFIX = "quota/";
 
     /**
      * The key of the feature level, which determines the commands and rules in effect; the level is
@@ -282,7 +282,7 @@
     }
 
     private long quotaOf(String prefix) {
-        Value quota = values.get(QUOTA + prefix);
+        Value quota = values.get(QUOTA_PREFIX + prefix);
         return quota != null && quota.text().matches("[0-9]{1,15}")
                 ? Long.parseLong(quota.text())
                 : DEFAULT_QUOTA_BYTES;
--- a/src/main/java/reeldeal/store/PeerConnections.java
+++ b/src/main/java/reeldeal/store/PeerConnections.java
@@ -128,9 +128,9 @@
      * Returns the protocol level that a node announced on the present connection, or 0 if it is not
      * known.
      */
-    int level(String node) {
+    int protocolLevel(String node) {
         OutgoingConnection connection = outgoing.get(node);
-        return connection == null ? 0 : connection.level;
+        return connection == null ? 0 : connection.protocolLevel;
     }
 
     /**
@@ -138,7 +138,7 @@
      * announced at least that level; every node reads level 1.
      */
     boolean supportsLevel(String node, int logLevel) {
-        return logLevel < PEER_MESSAGE_LEVEL || level(node) >= logLevel;
+        return logLevel < PEER_MESSAGE_LEVEL || protocolLevel(node) >= logLevel;
     }
 
     /** Sends a consensus message, which is dropped if there is no connection to its receiver. */
@@ -156,7 +156,7 @@
     boolean send(String node, PeerMessage message) {
         OutgoingConnection connection = outgoing.get(node);
         return connection != null
-                && connection.level >= PEER_MESSAGE_LEVEL
+                && connection.protocolLevel >= PEER_MESSAGE_LEVEL
                 && connection.send(PeerMessageCodec.write(groupName, message));
     }
 
@@ -182,7 +182,7 @@
         private Channel channel;
         private boolean connected;
         private boolean dropped;
-        private int level;
+        private int protocolLevel;
 
         OutgoingConnection(String node, InetSocketAddress address) {
             this.node = node;
@@ -218,7 +218,7 @@
 
         private void onClosed() {
             connected = false;
-            level = 0;
+            protocolLevel = 0;
             eventLoopGroup
                     .next()
                     .schedule(this::connect, RECONNECT_DELAY_MS, TimeUnit.MILLISECONDS);
@@ -257,7 +257,7 @@
             for (byte[] frame = frames.next(); frame != null; frame = frames.next()) {
                 if (PeerMessageCodec.read(groupName, frame) instanceof PeerMessage.Hello hello
                         && hello.node().equals(connection.node)) {
-                    connection.level = hello.level();
+                    connection.protocolLevel = hello.level();
                 }
             }
             if (frames.malformed()) {
--- a/src/main/java/reeldeal/store/PeerMessageRouter.java
+++ b/src/main/java/reeldeal/store/PeerMessageRouter.java
@@ -103,7 +103,7 @@
         if (result instanceof StoreNode.Committed committed) {
             // The node that forwarded the write waits until it has applied the entry itself, so it
             // gets the entry first.
-            raft.prioritizeReplication(forward.from(), committed.version());
+            raft.prioritizeCommitNotification(forward.from(), committed.version());
         }
         connections.send(
                 forward.from(),
--- a/src/main/java/reeldeal/store/RaftDriver.java
+++ b/src/main/java/reeldeal/store/RaftDriver.java
@@ -190,7 +190,7 @@
     }
 
     private void process(Ready ready) {
-        ready.notes.forEach(note -> log.accept("store: " + note));
+        ready.logLines.forEach(note -> log.accept("store: " + note));
         disk.add(ready.persists);
         for (Message message : ready.messages) {
             if (connections.supportsLevel(message.to(), applier.state().level())) {
@@ -202,7 +202,7 @@
         }
         ready.failedReads.forEach(confirmations::remove);
         for (Ready.ReadReady read : ready.reads) {
-            Runnable whenConfirmed = confirmations.remove(read.read());
+            Runnable whenConfirmed = confirmations.remove(read.readId());
             if (whenConfirmed != null) {
                 loop.execute(whenConfirmed);
             }
@@ -266,7 +266,7 @@
      */
     private void transferToNewerProgram() {
         raft.configuration().voters().stream()
-                .filter(voter -> connections.level(voter) > PeerMessage.LEVEL)
+                .filter(voter -> connections.protocolLevel(voter) > PeerMessage.LEVEL)
                 .findFirst()
                 .ifPresent(raft::transferLeadership);
     }
--- a/src/main/java/reeldeal/store/StoreNode.java
+++ b/src/main/java/reeldeal/store/StoreNode.java
@@ -92,7 +92,7 @@
         loop = new StoreLoop(group);
         identity = NodeIdentity.ofNewIncarnation(config.node());
         directory = openDirectory();
-        RaftNode.PersistentState persistedState = directory.opened().state();
+        RaftNode.PersistentState persistedState = directory.openResult().state();
         raft =
                 new RaftNode(
                         config.node(),
@@ -136,11 +136,11 @@
         DataDirectory opened =
                 DataDirectory.open(
                         config.directory(), owner, config.firstConfiguration(), SEGMENT_BYTES);
-        if (opened.opened().cutBytes() > 0) {
-            RaftNode.PersistentState persistedState = opened.opened().state();
+        if (opened.openResult().truncatedBytes() > 0) {
+            RaftNode.PersistentState persistedState = opened.openResult().state();
             log.accept(
                     "store: cut a torn write of "
-                            + opened.opened().cutBytes()
+                            + opened.openResult().truncatedBytes()
                             + " bytes after version "
                             + (persistedState.snapshot().index()
                                     + persistedState.entries().size()));
@@ -432,7 +432,7 @@
 
     /** Returns the level that a node announced, 0 if unknown; for this node its program's level. */
     public int levelOf(String node) {
-        return node.equals(config.node()) ? PeerMessage.LEVEL : connections.level(node);
+        return node.equals(config.node()) ? PeerMessage.LEVEL : connections.protocolLevel(node);
     }
 
     RaftNode.NodeProgress progressOf(String node) {
--- a/src/main/java/reeldeal/store/StoreStatus.java
+++ b/src/main/java/reeldeal/store/StoreStatus.java
@@ -83,7 +83,7 @@
      */
     Transition update(RaftNode raft, boolean applied) {
         boolean leads = raft.role() == RaftNode.Role.LEADER;
-        boolean mayWrite = leads && raft.hasQuorumLease() && applied;
+        boolean mayWrite = leads && raft.hasCommittedAsLeader() && applied;
         boolean becameWriter = mayWrite && !writer;
         writer = leads && (writer || mayWrite);
         boolean isCurrentNow = raft.isCurrent() && (writer || applied);
--- a/src/test/java/reeldeal/consensus/ConsensusSimulation.java
+++ b/src/test/java/reeldeal/consensus/ConsensusSimulation.java
@@ -182,9 +182,9 @@
             }
             ready.committed.forEach(this::apply);
             for (Ready.ReadReady read : ready.reads) {
-                ClientCall call = reads.remove(read.read());
+                ClientCall call = reads.remove(read.readId());
                 if (call != null) {
-                    confirmedReads.put(new ReadPosition(read.index(), read.read()), call);
+                    confirmedReads.put(new ReadPosition(read.index(), read.readId()), call);
                 }
             }
             confirmedReads.entrySet().removeIf(read -> answerRead(read.getKey(), read.getValue()));
@@ -245,7 +245,7 @@
             }
             if (entry.term() == raft.term() && text.equals(call.key + " " + call.value)) {
                 answer(call);
-                raft.prioritizeReplication("n" + entry.index() % nextNode, entry.index());
+                raft.prioritizeCommitNotification("n" + entry.index() % nextNode, entry.index());
             } else {
                 call.abandon();
             }
--- a/src/test/java/reeldeal/consensus/LogReplicationTest.java
+++ b/src/test/java/reeldeal/consensus/LogReplicationTest.java
@@ -71,10 +71,10 @@
         group.deliver();
         long last = leader.lastIndex();
         leader.receive(new Message.AppendResponse("b", "a", leader.term(), false, last, 0, 0));
-        assertEquals("a stale rejection is ignored", List.of(), leader.takeReady().notes);
+        assertEquals("a stale rejection is ignored", List.of(), leader.takeReady().logLines);
         loseRequest(leader);
         leader.receive(new Message.AppendResponse("b", "a", leader.term(), false, last, 0, 0));
-        List<String> notes = leader.takeReady().notes;
+        List<String> notes = leader.takeReady().logLines;
         assertEquals(1, notes.size());
         assertTrue(notes.get(0), notes.get(0).startsWith("b has lost entries"));
     }
--- a/src/test/java/reeldeal/consensus/MembershipChangeRulesTest.java
+++ b/src/test/java/reeldeal/consensus/MembershipChangeRulesTest.java
@@ -19,7 +19,7 @@
     private final Map<String, RaftNode.NodeProgress> progress = new HashMap<>();
 
     private Decision evaluate(Change change, String node) {
-        return MembershipChangeRules.judge(
+        return MembershipChangeRules.evaluate(
                 CURRENT,
                 change,
                 node,
--- a/src/test/java/reeldeal/consensus/RaftNodeTest.java
+++ b/src/test/java/reeldeal/consensus/RaftNodeTest.java
@@ -26,7 +26,7 @@
                 "not known to be committed on a follower",
                 index - 1,
                 group.node("b").commitIndex());
-        leader.prioritizeReplication("b", index);
+        leader.prioritizeCommitNotification("b", index);
         group.deliver();
         assertEquals(index, group.node("b").commitIndex());
     }
@@ -36,8 +36,8 @@
         RaftNode leader = group.electLeader();
         long index = leader.propose("x".getBytes(UTF_8));
         group.deliver();
-        leader.prioritizeReplication("b", index);
-        leader.prioritizeReplication("c", index + 1);
+        leader.prioritizeCommitNotification("b", index);
+        leader.prioritizeCommitNotification("c", index + 1);
         group.deliver();
         assertEquals(index - 1, group.node("c").commitIndex());
         leader.propose("y".getBytes(UTF_8));
--- a/src/test/java/reeldeal/storage/DataDirectoryTest.java
+++ b/src/test/java/reeldeal/storage/DataDirectoryTest.java
@@ -102,7 +102,7 @@
 
     private static RaftNode.PersistentState read(Path path, int segmentBytes) throws IOException {
         try (DataDirectory directory = open(path, segmentBytes)) {
-            return directory.opened().state();
+            return directory.openResult().state();
         }
     }
 
--- a/src/test/java/reeldeal/store/KeyValueStateTest.java
+++ b/src/test/java/reeldeal/store/KeyValueStateTest.java
@@ -87,7 +87,7 @@
 
     @Test
     public void aQuotaLimitsTheBytesUnderItsPrefix() {
-        put(KeyValueState.QUOTA + "p", "10");
+        put(KeyValueState.QUOTA_PREFIX + "p", "10");
         assertTrue(put("p/1", "1234567").isApplied());
         assertEquals("quota: p may hold 10 bytes", put("p/2", "1").rejection());
         assertEquals(10, state.bytesUnder("p"));
--- a/src/test/java/reeldeal/store/StoredDataTest.java
+++ b/src/test/java/reeldeal/store/StoredDataTest.java
@@ -42,8 +42,8 @@
         }
         try (DataDirectory opened =
                 DataDirectory.open(copy, node, GroupConfiguration.of("nobody"), SEGMENT_BYTES)) {
-            assertEquals("no torn write is cut", 0, opened.opened().cutBytes());
-            return opened.opened().state();
+            assertEquals("no torn write is cut", 0, opened.openResult().truncatedBytes());
+            return opened.openResult().state();
         }
     }
 
--- a/src/test/java/reeldeal/store/StoredIdentifiersTest.java
+++ b/src/test/java/reeldeal/store/StoredIdentifiersTest.java
@@ -93,7 +93,7 @@
         assertEquals("learned/", ServerStatsExchange.ROOT);
         assertEquals("session/", LocalMember.SESSION_PREFIX);
         assertEquals("session/", KeyValueState.PINNED_SESSION_PREFIX);
-        assertEquals("quota/", KeyValueState.QUOTA);
+        assertEquals("quota/", KeyValueState.QUOTA_PREFIX);
         assertEquals("feature/level", KeyValueState.LEVEL_KEY);
         assertEquals("node/", StoreNode.NODE_KEY_PREFIX);
     }
