--- a/src/main/java/reeldeal/faultinjection/CommitChecker.java
+++ b/src/main/java/reeldeal/faultinjection/CommitChecker.java
@@ -106,8 +106,8 @@
     private static long allowedOut(FleetView fleet, Kind kind) {
         DisruptionPolicy policy = fleet.policy();
         return kind == Kind.BROKER
-                ? DisruptionPolicy.parse(policy.brokersOut(), fleet.members().size())
-                : DisruptionPolicy.parse(policy.searchersOut(), fleet.searchers().size());
+                ? DisruptionPolicy.resolveLimit(policy.brokersOut(), fleet.members().size())
+                : DisruptionPolicy.resolveLimit(policy.searchersOut(), fleet.searchers().size());
     }
 
     private void checkFreedSlots(FleetView before, FleetView after, Kind kind, long version) {
@@ -117,7 +117,7 @@
             if (!isFreed || kind != Kind.BROKER || member == null) {
                 continue;
             }
-            boolean sameProcess = member.boot().equals(permit.processMark());
+            boolean sameProcess = member.bootId().equals(permit.processMark());
             boolean undrained = sameProcess && after.drainMark(kind, permit.name()) == null;
             if (member.state() != State.SERVING || (sameProcess && !undrained)) {
                 addViolation(
--- a/src/main/java/reeldeal/faultinjection/RequestRecordChecker.java
+++ b/src/main/java/reeldeal/faultinjection/RequestRecordChecker.java
@@ -43,7 +43,7 @@
     }
 
     private void applyChange(String storeKey, String change, long version, FleetView fleet) {
-        String clientKey = RequestRecord.clientKey(storeKey);
+        String clientKey = RequestRecord.requestKey(storeKey);
         if (change.equals("-")) {
             records.remove(clientKey);
             return;
--- a/src/main/java/reeldeal/fleet/ConditionalWrite.java
+++ b/src/main/java/reeldeal/fleet/ConditionalWrite.java
@@ -16,7 +16,7 @@
         Map<String, Long> expectedVersions, Map<String, String> changes, String reason) {
 
     /** Returns a write without expectations or changes, to which both can be added. */
-    public static ConditionalWrite because(String reason) {
+    public static ConditionalWrite withReason(String reason) {
         return new ConditionalWrite(new TreeMap<>(), new TreeMap<>(), reason);
     }
 
--- a/src/main/java/reeldeal/fleet/DisruptionPolicy.java
+++ b/src/main/java/reeldeal/fleet/DisruptionPolicy.java
@@ -91,7 +91,7 @@
     /**
      * Returns how many of {@code total} members a limit allows to be out; the limit must be valid.
      */
-    public static long parse(String limit, long total) {
+    public static long resolveLimit(String limit, long total) {
         if (!limit.endsWith("%")) {
             return Long.parseLong(limit);
         }
--- a/src/main/java/reeldeal/fleet/FleetCodec.java
+++ b/src/main/java/reeldeal/fleet/FleetCodec.java
@@ -22,7 +22,7 @@
     /**
      * The data that a broker process registers in the store.
      *
-     * @param boot the unique identifier of the process
+     * @param bootId the unique identifier of the process
      * @param session the process's session in the store
      * @param zone the availability zone
      * @param program the program's version
@@ -32,7 +32,7 @@
      *     deregistering, otherwise 0
      */
     public record Registration(
-            String boot,
+            String bootId,
             String session,
             String zone,
             String program,
@@ -136,7 +136,7 @@
     /** Encodes a registration. */
     public static FormAttributes encode(Registration registration) {
         return new FormAttributes()
-                .with("boot", registration.boot())
+                .with("boot", registration.bootId())
                 .with("session", registration.session())
                 .with("zone", registration.zone())
                 .with("program", registration.program())
--- a/src/main/java/reeldeal/fleet/FleetView.java
+++ b/src/main/java/reeldeal/fleet/FleetView.java
@@ -23,7 +23,7 @@
     public static final String POLICY = ROOT + "policy";
 
     /** The prefix of broker registrations, followed by the name of the broker. */
-    public static final String BOOT = ROOT + "boot/";
+    public static final String REGISTRATION = ROOT + "boot/";
 
     /** The prefix of broker states, followed by the name of the broker. */
     public static final String STATE = ROOT + "state/";
@@ -34,7 +34,7 @@
     /**
      * The prefix of the configuration version each broker is to start with, followed by its name.
      */
-    public static final String TARGET = ROOT + "target/";
+    public static final String TARGET_CONFIG = ROOT + "target/";
 
     /** The prefix of configuration texts, followed by the {@link ConfigVersion}. */
     public static final String CONFIG = ROOT + "config/";
@@ -49,7 +49,7 @@
      * The key that is rewritten whenever a permit is granted or released, so that no two such
      * changes can be based on the same state.
      */
-    public static final String SERIAL = ROOT + "serial";
+    public static final String PERMIT_SERIAL = ROOT + "serial";
 
     private static final String PERMIT = ROOT + "permit/";
     private static final String DRAIN = ROOT + "drain/";
@@ -108,7 +108,7 @@
      * @param name the name of the broker, the same for all its processes
      * @param incarnation the version of the registering write, which is the fencing token of every
      *     write of this process
-     * @param boot the unique identifier of the process, which distinguishes a process that
+     * @param bootId the unique identifier of the process, which distinguishes a process that
      *     registers again from a new one
      * @param session the process's session in the store
      * @param zone the availability zone
@@ -123,7 +123,7 @@
     public record Member(
             String name,
             long incarnation,
-            String boot,
+            String bootId,
             String session,
             String zone,
             String program,
@@ -318,8 +318,8 @@
     }
 
     private void index(String key, Value value) {
-        if (key.startsWith(BOOT)) {
-            String name = key.substring(BOOT.length());
+        if (key.startsWith(REGISTRATION)) {
+            String name = key.substring(REGISTRATION.length());
             members.put(name, FleetCodec.decodeMember(name, value, values.get(STATE + name)));
         } else if (key.startsWith(PERMIT)) {
             indexPermit(key, value);
@@ -357,7 +357,7 @@
      * registered, 0 if not counted.
      */
     public long starts(String name) {
-        return FleetCodec.decodeStarts(get(BOOT + name));
+        return FleetCodec.decodeStarts(get(REGISTRATION + name));
     }
 
     /** Returns the limits on how many members may be out at the same time. */
@@ -407,7 +407,7 @@
     public String processMark(Kind kind, String name) {
         if (kind == Kind.BROKER) {
             Member member = members.get(name);
-            return member == null ? "" : member.boot();
+            return member == null ? "" : member.bootId();
         }
         KnownSearcher searcher = searchers.get(name);
         return searcher == null ? "" : String.valueOf(searcher.startedAtMs());
@@ -445,8 +445,8 @@
                         + " "
                         + state.stored().toLowerCase(Locale.ROOT)
                         + (reason.isEmpty() ? "" : ": " + reason);
-        return ConditionalWrite.because(description)
-                .expect(BOOT + member.name(), member.incarnation())
+        return ConditionalWrite.withReason(description)
+                .expect(REGISTRATION + member.name(), member.incarnation())
                 .expect(STATE + member.name(), member.stateVersion())
                 .expect(drainKey, version(drainKey))
                 .put(
--- a/src/main/java/reeldeal/fleet/disruption/BudgetLimits.java
+++ b/src/main/java/reeldeal/fleet/disruption/BudgetLimits.java
@@ -81,7 +81,7 @@
     /** Returns the limit that is exceeded while these brokers are out. */
     protected String brokerViolation(FleetView fleet, Set<String> out) {
         DisruptionPolicy policy = fleet.policy();
-        long allowed = DisruptionPolicy.parse(policy.brokersOut(), fleet.members().size());
+        long allowed = DisruptionPolicy.resolveLimit(policy.brokersOut(), fleet.members().size());
         if (out.size() > allowed) {
             return out.size() + " brokers out, " + allowed + " allowed: " + abbreviatedList(out);
         }
@@ -93,7 +93,7 @@
     String searcherViolation(FleetView fleet, Observations observations, Set<String> out) {
         DisruptionPolicy policy = fleet.policy();
         Map<String, KnownSearcher> all = fleet.searchers();
-        long allowed = DisruptionPolicy.parse(policy.searchersOut(), all.size());
+        long allowed = DisruptionPolicy.resolveLimit(policy.searchersOut(), all.size());
         if (out.size() > allowed) {
             return out.size() + " searchers out, " + allowed + " allowed: " + abbreviatedList(out);
         }
@@ -203,7 +203,7 @@
                 .filter(Objects::nonNull)
                 .forEach(member -> outByGroup.merge(groupOf.apply(member), 1L, Long::sum));
         for (Map.Entry<String, Long> group : outByGroup.entrySet()) {
-            long allowed = DisruptionPolicy.parse(limit, sizes.get(group.getKey()));
+            long allowed = DisruptionPolicy.resolveLimit(limit, sizes.get(group.getKey()));
             if (group.getValue() > allowed) {
                 return group.getValue()
                         + " "
--- a/src/main/java/reeldeal/fleet/disruption/DisruptionBudget.java
+++ b/src/main/java/reeldeal/fleet/disruption/DisruptionBudget.java
@@ -115,7 +115,7 @@
             return PermitDecision.reject(rejection);
         }
         ConditionalWrite write =
-                ConditionalWrite.because(
+                ConditionalWrite.withReason(
                                 kind.lowerCase()
                                         + " "
                                         + name
@@ -162,7 +162,7 @@
      * meanwhile invalidates the decision.
      */
     private static void expectAllStates(FleetView fleet, ConditionalWrite write, String name) {
-        write.expect(FleetView.BOOT + name, fleet.members().get(name).incarnation());
+        write.expect(FleetView.REGISTRATION + name, fleet.members().get(name).incarnation());
         for (Member member : fleet.members().values()) {
             write.expect(FleetView.STATE + member.name(), member.stateVersion());
         }
@@ -170,7 +170,7 @@
 
     /** Serializes a write with all other writes that grant or release permits. */
     protected void serializePermitChanges(FleetView fleet, ConditionalWrite write) {
-        write.expect(FleetView.SERIAL, fleet.version(FleetView.SERIAL)).put(FleetView.SERIAL, "");
+        write.expect(FleetView.PERMIT_SERIAL, fleet.version(FleetView.PERMIT_SERIAL)).put(FleetView.PERMIT_SERIAL, "");
     }
 
     // ---- observed returns and outages ----
@@ -185,7 +185,7 @@
         String permitKey = FleetView.permitKey(permit.kind(), permit.name());
         String drainKey = FleetView.drainKey(permit.kind(), permit.name());
         ConditionalWrite write =
-                ConditionalWrite.because(
+                ConditionalWrite.withReason(
                                 permit.kind().lowerCase()
                                         + " "
                                         + permit.name()
@@ -194,7 +194,7 @@
                         .expect(permitKey, permit.version());
         if (permit.kind() == Kind.BROKER) {
             Member member = fleet.members().get(permit.name());
-            write.expect(FleetView.BOOT + permit.name(), member.incarnation())
+            write.expect(FleetView.REGISTRATION + permit.name(), member.incarnation())
                     .expect(FleetView.STATE + permit.name(), member.stateVersion());
         }
         write.expect(drainKey, fleet.version(drainKey));
@@ -254,7 +254,7 @@
             if (observed.ready() && !listed.equals(known)) {
                 String key = FleetView.SEARCHER + observed.name();
                 writes.add(
-                        ConditionalWrite.because(
+                        ConditionalWrite.withReason(
                                         "searcher "
                                                 + observed.name()
                                                 + " was listed, process started at "
@@ -277,7 +277,7 @@
             if (observed.startedAtMs() > drainedStart) {
                 String key = FleetView.drainKey(Kind.SEARCHER, name);
                 writes.add(
-                        ConditionalWrite.because(
+                        ConditionalWrite.withReason(
                                         "searcher " + name + " was restarted, its drain ends")
                                 .expect(key, fleet.version(key))
                                 .put(key, null));
@@ -296,7 +296,7 @@
             String key = FleetView.permitKey(Kind.SEARCHER, known.name());
             String reason = observed == null ? "not listed any more" : "draining in the list";
             ConditionalWrite write =
-                    ConditionalWrite.because(
+                    ConditionalWrite.withReason(
                                     "searcher " + known.name() + " is out without a permit")
                             .expect(key, 0);
             serializePermitChanges(fleet, write);
--- a/src/main/java/reeldeal/fleet/disruption/ReturnEvidence.java
+++ b/src/main/java/reeldeal/fleet/disruption/ReturnEvidence.java
@@ -30,7 +30,7 @@
         if (member == null || !member.isServing()) {
             return null;
         }
-        if (!member.boot().equals(permit.processMark())) {
+        if (!member.bootId().equals(permit.processMark())) {
             return member.stateVersion() > permit.version()
                     ? "a newer process serves, incarnation " + member.incarnation()
                     : null;
--- a/src/main/java/reeldeal/fleet/leader/ConfigOperation.java
+++ b/src/main/java/reeldeal/fleet/leader/ConfigOperation.java
@@ -21,7 +21,7 @@
         }
         return new AdminResult.Write(
                 "kept: " + version,
-                ConditionalWrite.because("configuration " + version + " stored")
+                ConditionalWrite.withReason("configuration " + version + " stored")
                         .expect(key, 0)
                         .put(key, request.attributes().get("text")));
     }
--- a/src/main/java/reeldeal/fleet/leader/DrainOperations.java
+++ b/src/main/java/reeldeal/fleet/leader/DrainOperations.java
@@ -67,7 +67,7 @@
         String key = FleetView.drainKey(kind, name);
         return new AdminResult.Write(
                 "the drain of " + name + " is taken back",
-                ConditionalWrite.because("operator: the drain of " + name + " is taken back")
+                ConditionalWrite.withReason("operator: the drain of " + name + " is taken back")
                         .expect(key, fleet.version(key))
                         .put(key, null));
     }
--- a/src/main/java/reeldeal/fleet/leader/FleetController.java
+++ b/src/main/java/reeldeal/fleet/leader/FleetController.java
@@ -76,7 +76,7 @@
         writeInProgress = false;
         leaderlessMs = withoutLeaderMs;
         grantSeenAt = now;
-        lastSerial = fleet == null ? -1 : fleet.version(FleetView.SERIAL);
+        lastSerial = fleet == null ? -1 : fleet.version(FleetView.PERMIT_SERIAL);
         stageTimer.clear();
         health.clear();
         ejections.clear();
@@ -99,8 +99,8 @@
     /** Updates this node's copy of the fleet's state after the store has applied a change. */
     public void onFleetChanged(long now, FleetView newFleet) {
         fleet = newFleet;
-        if (newFleet.version(FleetView.SERIAL) != lastSerial) {
-            lastSerial = newFleet.version(FleetView.SERIAL);
+        if (newFleet.version(FleetView.PERMIT_SERIAL) != lastSerial) {
+            lastSerial = newFleet.version(FleetView.PERMIT_SERIAL);
             grantSeenAt = now;
         }
         leases.onFleetChanged(newFleet, now);
@@ -142,7 +142,7 @@
                 || !leases.recordHeartbeat(fleet, name, incarnation, appliedVersion, now)) {
             return false;
         }
-        String boot = fleet.members().get(name).boot();
+        String boot = fleet.members().get(name).bootId();
         ejections.record(name, ejectedSearchers);
         health.record(name, boot, now, counts);
         if (outageClassifier != null) {
@@ -156,10 +156,10 @@
      * such a heartbeat proves that the process is alive: any other one may have been delayed in the
      * network while its sender died.
      */
-    public void onHeartbeatAnswered(String name) {
+    public void onLivenessConfirmed(String name) {
         Member member = fleet == null ? null : fleet.members().get(name);
         if (outageClassifier != null && member != null) {
-            outageClassifier.recordHeartbeat(member.boot());
+            outageClassifier.recordHeartbeat(member.bootId());
         }
     }
 
--- a/src/main/java/reeldeal/fleet/leader/ForgetOperation.java
+++ b/src/main/java/reeldeal/fleet/leader/ForgetOperation.java
@@ -38,7 +38,7 @@
                             + "; stop it first");
         }
         ConditionalWrite write =
-                ConditionalWrite.because(
+                ConditionalWrite.withReason(
                         "operator forgets "
                                 + kind.lowerCase()
                                 + " "
@@ -51,7 +51,7 @@
                 write.put(key, null);
             }
         }
-        write.expect(FleetView.SERIAL, fleet.version(FleetView.SERIAL)).put(FleetView.SERIAL, "");
+        write.expect(FleetView.PERMIT_SERIAL, fleet.version(FleetView.PERMIT_SERIAL)).put(FleetView.PERMIT_SERIAL, "");
         return new AdminResult.Write("forgotten: " + name, write);
     }
 
@@ -63,9 +63,9 @@
                 ? List.of(
                         permitKey,
                         drainKey,
-                        FleetView.BOOT + name,
+                        FleetView.REGISTRATION + name,
                         FleetView.STATE + name,
-                        FleetView.TARGET + name)
+                        FleetView.TARGET_CONFIG + name)
                 : List.of(permitKey, drainKey, FleetView.SEARCHER + name);
     }
 }
--- a/src/main/java/reeldeal/fleet/leader/PolicyOperation.java
+++ b/src/main/java/reeldeal/fleet/leader/PolicyOperation.java
@@ -27,7 +27,7 @@
         }
         return new AdminResult.Write(
                 policy.toString(),
-                ConditionalWrite.because("policy: " + policy)
+                ConditionalWrite.withReason("policy: " + policy)
                         .expect(FleetView.POLICY, fleet.version(FleetView.POLICY))
                         .put(FleetView.POLICY, policy));
     }
--- a/src/main/java/reeldeal/fleet/membership/LocalMember.java
+++ b/src/main/java/reeldeal/fleet/membership/LocalMember.java
@@ -57,7 +57,7 @@
      * The attributes of the process that it registers with.
      *
      * @param name the name of the broker, the same for all its processes
-     * @param boot the unique identifier of the process
+     * @param bootId the unique identifier of the process
      * @param session the process's session in the store
      * @param zone the availability zone
      * @param program the program's version
@@ -66,7 +66,7 @@
      */
     public record Identity(
             String name,
-            String boot,
+            String bootId,
             String session,
             String zone,
             String program,
@@ -75,12 +75,12 @@
         /** Creates the identity of a process whose starts are not counted. */
         public Identity(
                 String name,
-                String boot,
+                String bootId,
                 String session,
                 String zone,
                 String program,
                 String config) {
-            this(name, boot, session, zone, program, config, 0);
+            this(name, bootId, session, zone, program, config, 0);
         }
     }
 
@@ -157,7 +157,7 @@
         fleet = newFleet;
         appliedVersion = version;
         isCopyCurrent = copyCurrent;
-        long serial = newFleet.version(FleetView.SERIAL);
+        long serial = newFleet.version(FleetView.PERMIT_SERIAL);
         if (serial != lastSerial) {
             lastSerial = serial;
             grantSeenAt = now;
@@ -213,7 +213,7 @@
     /** Returns the member entry of this process in the log, or null if it has not registered. */
     public Member member() {
         Member listed = fleet == null ? null : fleet.members().get(identity.name());
-        return listed != null && listed.boot().equals(identity.boot()) ? listed : null;
+        return listed != null && listed.bootId().equals(identity.bootId()) ? listed : null;
     }
 
     /** Returns the member entry of this process if it may act under its lease, otherwise null. */
@@ -316,7 +316,7 @@
     /** Returns whether a drain of this process is ordered in the log. */
     protected boolean isDrainOrdered() {
         return fleet != null
-                && identity.boot().equals(fleet.drainMark(Kind.BROKER, identity.name()));
+                && identity.bootId().equals(fleet.drainMark(Kind.BROKER, identity.name()));
     }
 
     /**
@@ -333,7 +333,7 @@
      */
     protected boolean mayRestart(Step step, Member self) {
         return step.stage() == Stage.RESTART
-                && step.processMark().equals(identity.boot())
+                && step.processMark().equals(identity.bootId())
                 && self.state() == State.DRAINING;
     }
 
@@ -365,17 +365,17 @@
     private void register() {
         Member previous = fleet.members().get(identity.name());
         ConditionalWrite write =
-                ConditionalWrite.because(
+                ConditionalWrite.withReason(
                                 identity.name()
                                         + " registers with program "
                                         + identity.program()
                                         + ", configuration "
                                         + identity.config())
                         .expect(
-                                FleetView.BOOT + identity.name(),
+                                FleetView.REGISTRATION + identity.name(),
                                 previous == null ? 0 : previous.incarnation())
                         .put(
-                                FleetView.BOOT + identity.name(),
+                                FleetView.REGISTRATION + identity.name(),
                                 FleetCodec.encode(registration(previous)))
                         .put(FleetView.STATE + identity.name(), null)
                         .put(SESSION_PREFIX + identity.session(), "");
@@ -387,7 +387,7 @@
 
     private FleetCodec.Registration registration(Member previous) {
         return new FleetCodec.Registration(
-                identity.boot(),
+                identity.bootId(),
                 identity.session(),
                 identity.zone(),
                 identity.program(),
@@ -401,7 +401,7 @@
         if (previous == null) {
             return 0;
         }
-        if (previous.boot().equals(identity.boot())) {
+        if (previous.bootId().equals(identity.bootId())) {
             return previous.crashedIncarnation(); // this process registers again
         }
         return previous.state() == State.GONE ? 0 : previous.incarnation();
@@ -438,7 +438,7 @@
 
     private boolean hasPermit(Member self) {
         Permit permit = fleet.permits(Kind.BROKER).get(identity.name());
-        return permit != null && permit.processMark().equals(self.boot());
+        return permit != null && permit.processMark().equals(self.bootId());
     }
 
     private void requestPermit(long now) {
--- a/src/main/java/reeldeal/fleet/node/FleetConfig.java
+++ b/src/main/java/reeldeal/fleet/node/FleetConfig.java
@@ -14,5 +14,5 @@
 public record FleetConfig(
         String zone, String program, LocalMember.Timing timing, RecoveryRamp recovery) {
     /** A configuration with the number of starts on the data directory, including this one. */
-    public record Counted(FleetConfig config, long starts) {}
+    public record WithStartCount(FleetConfig config, long starts) {}
 }
--- a/src/main/java/reeldeal/fleet/node/FleetLeadership.java
+++ b/src/main/java/reeldeal/fleet/node/FleetLeadership.java
@@ -127,7 +127,7 @@
             clockMedian.recordOffset(member, heartbeat.wallMs(), WallClock.now());
         }
         if (heartbeat.leaderNonce().equals(leadershipNonce)) {
-            controller.onHeartbeatAnswered(member);
+            controller.onLivenessConfirmed(member);
         }
         pendingAnswers.add(
                 () ->
--- a/src/main/java/reeldeal/fleet/node/FleetNode.java
+++ b/src/main/java/reeldeal/fleet/node/FleetNode.java
@@ -113,7 +113,7 @@
     public FleetNode(
             EventLoop loop,
             StoreNode store,
-            FleetConfig.Counted counted,
+            FleetConfig.WithStartCount counted,
             String configVersion,
             Host host,
             Consumer<String> log) {
@@ -145,7 +145,7 @@
 
     private static LocalMember localMember(
             StoreNode store,
-            FleetConfig.Counted counted,
+            FleetConfig.WithStartCount counted,
             String configVersion,
             DisruptionBudget budget) {
         FleetConfig config = counted.config();
@@ -242,7 +242,7 @@
         dataDirectoryChecked = true;
         Member registered = fleet.members().get(store.node());
         long startsKnown = fleet.starts(store.node());
-        boolean isOtherProcess = registered != null && !registered.boot().equals(store.session());
+        boolean isOtherProcess = registered != null && !registered.bootId().equals(store.session());
         if (!isOtherProcess || startsKnown < starts) {
             return true;
         }
--- a/src/main/java/reeldeal/fleet/node/RollbackCheck.java
+++ b/src/main/java/reeldeal/fleet/node/RollbackCheck.java
@@ -108,7 +108,7 @@
 
     /** Returns the number of a node's starts in this node's log, including unapplied entries. */
     private long startsKnown(String node) {
-        String key = FleetView.BOOT + node;
+        String key = FleetView.REGISTRATION + node;
         long mostStartsKnown = FleetCodec.decodeStarts(store.get(key));
         for (Change change : store.unappliedChanges()) {
             if (change.key().equals(key)) {
--- a/src/main/java/reeldeal/fleet/recovery/OutageClassifier.java
+++ b/src/main/java/reeldeal/fleet/recovery/OutageClassifier.java
@@ -174,7 +174,7 @@
             if (isUnclassifiedCrash(fleet, epoch, member)) {
                 census.restarted++;
                 census.sinceVersion = Math.min(census.sinceVersion, member.incarnation() - 1);
-            } else if (!heardProcesses.contains(member.boot())) {
+            } else if (!heardProcesses.contains(member.bootId())) {
                 census.unheard++;
             }
         }
@@ -182,9 +182,9 @@
     }
 
     /** Whether a lapsed member is a new loss; in a recovery, only if it had returned in it. */
-    private boolean isMissing(FleetView fleet, Epoch epoch, Member lapsed) {
-        return lapsed.stateVersion() > fleet.version(CLASSIFIED_KEY)
-                && isNewLoss(epoch, lapsed.incarnation(), lapsed.zone());
+    private boolean isMissing(FleetView fleet, Epoch epoch, Member member) {
+        return member.stateVersion() > fleet.version(CLASSIFIED_KEY)
+                && isNewLoss(epoch, member.incarnation(), member.zone());
     }
 
     /** Whether most of the present members were restarted; a partition restarts none of them. */
--- a/src/main/java/reeldeal/fleet/recovery/RecoveryController.java
+++ b/src/main/java/reeldeal/fleet/recovery/RecoveryController.java
@@ -90,7 +90,7 @@
         }
         return markClassified(
                 fleet,
-                ConditionalWrite.because(
+                ConditionalWrite.withReason(
                         "recovery: "
                                 + verdict.lost()
                                 + " of "
--- a/src/main/java/reeldeal/fleet/rollout/RolloutOrders.java
+++ b/src/main/java/reeldeal/fleet/rollout/RolloutOrders.java
@@ -26,7 +26,7 @@
     public static ConditionalWrite changeProgress(
             FleetView fleet, Progress progress, String reason) {
         Release release = fleet.release();
-        return ConditionalWrite.because(
+        return ConditionalWrite.withReason(
                         "release "
                                 + release.id()
                                 + " "
@@ -43,7 +43,7 @@
     public static ConditionalWrite rollBack(FleetView fleet, String reason) {
         Release release = fleet.release();
         ConditionalWrite write =
-                ConditionalWrite.because("release " + release.id() + " rolls back: " + reason)
+                ConditionalWrite.withReason("release " + release.id() + " rolls back: " + reason)
                         .expect(FleetView.RELEASE, release.version())
                         .put(
                                 FleetView.RELEASE,
@@ -71,7 +71,7 @@
             }
             case RESTART -> {
                 if (release.isBrokerConfig()) {
-                    write.put(FleetView.TARGET + step.name(), step.previousVersion());
+                    write.put(FleetView.TARGET_CONFIG + step.name(), step.previousVersion());
                 }
                 yield step.withStage(Stage.RESTART, true);
             }
@@ -90,7 +90,7 @@
             FleetView fleet, Release release, List<String> members, List<Integer> waveSizes) {
         Release planned = release.with(false, Progress.PLANNED, "");
         ConditionalWrite write =
-                ConditionalWrite.because(
+                ConditionalWrite.withReason(
                                 "release "
                                         + release.id()
                                         + " planned: "
--- a/src/main/java/reeldeal/fleet/rollout/StepRules.java
+++ b/src/main/java/reeldeal/fleet/rollout/StepRules.java
@@ -46,7 +46,7 @@
     private ConditionalWrite stepWrite(Release release, Step changed, String description) {
         String key = FleetView.STEP + changed.name();
         ConditionalWrite write =
-                ConditionalWrite.because(
+                ConditionalWrite.withReason(
                                 "release "
                                         + release.id()
                                         + ": "
@@ -78,7 +78,7 @@
         }
         String mark =
                 kind == Kind.BROKER
-                        ? fleet.members().get(step.name()).boot()
+                        ? fleet.members().get(step.name()).bootId()
                         : String.valueOf(observations.searchers().get(step.name()).startedAtMs());
         Stage next = step.stage() == Stage.UNDRAIN ? Stage.UNTOUCHED : Stage.BACK;
         String stepKey = FleetView.STEP + step.name();
@@ -144,7 +144,7 @@
                         "is drained and restarts");
         if (release.isBrokerConfig()) {
             String version = step.rollingBack() ? step.previousVersion() : release.targetVersion();
-            write.put(FleetView.TARGET + step.name(), version);
+            write.put(FleetView.TARGET_CONFIG + step.name(), version);
         }
         return write;
     }
@@ -205,7 +205,7 @@
                         ? !hasPermit(fleet, step)
                         : member != null
                                 && member.isServing()
-                                && member.boot().equals(step.processMark());
+                                && member.bootId().equals(step.processMark());
         return isServing && memberObservations.stageMs(step) >= release.settleMs()
                 ? stepWrite(
                         release, step.withStage(Stage.SETTLED, step.processMark()), "has settled")
--- a/src/main/java/reeldeal/fleet/takeover/DeduplicationWindow.java
+++ b/src/main/java/reeldeal/fleet/takeover/DeduplicationWindow.java
@@ -25,7 +25,7 @@
      * @param firstSentAtMs Unix ms at which the request was first sent
      * @param clockErrorMs the maximum difference between the clocks of two machines, ms
      */
-    public static boolean of(
+    public static boolean coversAllReplicas(
             Collection<Integer> requestShards,
             Map<String, FleetView.KnownSearcher> knownSearchers,
             Map<String, ObservedSearcher> listedSearchers,
--- a/src/main/java/reeldeal/fleet/takeover/GroupCommit.java
+++ b/src/main/java/reeldeal/fleet/takeover/GroupCommit.java
@@ -63,7 +63,7 @@
         QueuedWrite first = queue.poll();
         List<QueuedWrite> batch = new ArrayList<>(List.of(first));
         ConditionalWrite combined =
-                ConditionalWrite.because(first.write().reason()).include(first.write());
+                ConditionalWrite.withReason(first.write().reason()).include(first.write());
         int totalLength = valueLength(first.write());
         while (batch.size() < maxWrites && mayJoin(first, combined, totalLength)) {
             QueuedWrite next = queue.poll();
--- a/src/main/java/reeldeal/fleet/takeover/InFlightRequests.java
+++ b/src/main/java/reeldeal/fleet/takeover/InFlightRequests.java
@@ -389,7 +389,7 @@
         if (record == null && !hasRun(key)) {
             RequestRecord newRecord =
                     RequestRecord.begun(waiting.first(key), broker, self.incarnation(), now);
-            propose(now, key, recordWrites.begin(newRecord), Purpose.RECORD);
+            propose(now, key, recordWrites.create(newRecord), Purpose.RECORD);
         } else if (record != null && record.state() == RequestRecord.State.FAILED) {
             propose(now, key, restartOrEnd(now, record), Purpose.RECORD);
         }
--- a/src/main/java/reeldeal/fleet/takeover/RecordRetention.java
+++ b/src/main/java/reeldeal/fleet/takeover/RecordRetention.java
@@ -32,7 +32,7 @@
             return null;
         }
         ConditionalWrite write =
-                ConditionalWrite.because(
+                ConditionalWrite.withReason(
                         "work: deletes " + expired.size() + " expired request records");
         for (RequestRecord record : expired) {
             String key = RequestRecord.storeKey(record.key());
--- a/src/main/java/reeldeal/fleet/takeover/RecordWrites.java
+++ b/src/main/java/reeldeal/fleet/takeover/RecordWrites.java
@@ -13,10 +13,10 @@
      * Returns the write that makes a record, which expects that its key has none and that its owner
      * is registered with the record's incarnation.
      */
-    protected ConditionalWrite begin(RequestRecord record) {
-        return ConditionalWrite.because("work: records " + record.key())
+    protected ConditionalWrite create(RequestRecord record) {
+        return ConditionalWrite.withReason("work: records " + record.key())
                 .expect(RequestRecord.storeKey(record.key()), 0)
-                .expect(FleetView.BOOT + record.owner(), record.incarnation())
+                .expect(FleetView.REGISTRATION + record.owner(), record.incarnation())
                 .put(RequestRecord.storeKey(record.key()), record.toAttributes());
     }
 
@@ -27,7 +27,7 @@
     }
 
     ConditionalWrite replace(RequestRecord current, RequestRecord replacement) {
-        return ConditionalWrite.because(
+        return ConditionalWrite.withReason(
                         "work: " + current.key() + " becomes " + replacement.state().stored())
                 .expect(RequestRecord.storeKey(current.key()), current.version())
                 .put(RequestRecord.storeKey(current.key()), replacement.toAttributes());
@@ -37,7 +37,7 @@
      * Returns the write that deletes the record of a request none of whose shard requests was sent.
      */
     ConditionalWrite withdraw(RequestRecord record) {
-        return ConditionalWrite.because(
+        return ConditionalWrite.withReason(
                         "work: withdraws the record of "
                                 + record.key()
                                 + ", no shard request was sent")
--- a/src/main/java/reeldeal/fleet/takeover/RequestRecord.java
+++ b/src/main/java/reeldeal/fleet/takeover/RequestRecord.java
@@ -72,7 +72,7 @@
     }
 
     /** Returns the request's key for the store's key of its record. */
-    public static String clientKey(String storeKey) {
+    public static String requestKey(String storeKey) {
         return URLDecoder.decode(storeKey.substring(ROOT.length()), StandardCharsets.UTF_8);
     }
 
@@ -80,7 +80,7 @@
     public static RequestRecord parse(String storeKey, String text, long version) {
         FormAttributes attributes = FormAttributes.of(text);
         return new RequestRecord(
-                clientKey(storeKey),
+                requestKey(storeKey),
                 attributes.get("digest"),
                 attributes.get("class"),
                 Double.parseDouble(attributes.get("worth")),
--- a/src/main/java/reeldeal/fleet/takeover/ServerStatsExchange.java
+++ b/src/main/java/reeldeal/fleet/takeover/ServerStatsExchange.java
@@ -65,7 +65,7 @@
      *
      * @param now Unix ms
      */
-    public String due(long now, Map<String, SharedServerStats> stats, boolean isEnding) {
+    public String takeValueToWrite(long now, Map<String, SharedServerStats> stats, boolean isEnding) {
         Set<String> ejected = new TreeSet<>();
         stats.forEach(
                 (name, searcher) -> {
@@ -104,7 +104,7 @@
     }
 
     /** Decodes the statistics that a broker has written; malformed entries are skipped. */
-    public static BrokerStats of(String broker, String text) {
+    public static BrokerStats parse(String broker, String text) {
         FormAttributes attributes = FormAttributes.of(text);
         Map<String, SharedServerStats> bySearcher = new TreeMap<>();
         attributes
--- a/src/main/java/reeldeal/fleet/takeover/TakeoverPolicy.java
+++ b/src/main/java/reeldeal/fleet/takeover/TakeoverPolicy.java
@@ -24,17 +24,17 @@
      * sent.
      *
      * @param windowMs the configured length, ms; 0 if repeats do no harm
-     * @param errorMs the maximum difference between the wall clocks of two machines, ms
-     * @param leastMs the minimum time that a shard request needs, ms
+     * @param clockErrorMs the maximum difference between the wall clocks of two machines, ms
+     * @param minimumTimeLeftMs the minimum time that a shard request needs, ms
      */
-    public record Window(long windowMs, long errorMs, long leastMs) {
+    public record Window(long windowMs, long clockErrorMs, long minimumTimeLeftMs) {
         /**
          * Returns the Unix ms at which the window of a request ends that was first sent at {@code
          * firstSentAtMs}; from then on none of its shard requests may be sent. The window never
          * ends if repeats do no harm.
          */
         public long endsAt(long firstSentAtMs) {
-            return windowMs == 0 ? Long.MAX_VALUE : firstSentAtMs + windowMs - errorMs;
+            return windowMs == 0 ? Long.MAX_VALUE : firstSentAtMs + windowMs - clockErrorMs;
         }
     }
 
@@ -148,9 +148,9 @@
         String description =
                 self.name() + " " + verb + " request " + record.key() + " of " + record.owner();
         ConditionalWrite write =
-                ConditionalWrite.because(description)
+                ConditionalWrite.withReason(description)
                         .expect(storeKey, record.version())
-                        .expect(FleetView.BOOT + self.name(), self.incarnation())
+                        .expect(FleetView.REGISTRATION + self.name(), self.incarnation())
                         .expect(FleetView.STATE + self.name(), self.stateVersion());
         expectOwnerEnded(fleet, record, write);
         return write.put(storeKey, replacement.toAttributes());
@@ -161,7 +161,7 @@
      * lease has ended.
      */
     protected void expectOwnerEnded(FleetView fleet, RequestRecord record, ConditionalWrite write) {
-        String registration = FleetView.BOOT + record.owner();
+        String registration = FleetView.REGISTRATION + record.owner();
         String state = FleetView.STATE + record.owner();
         write.expect(registration, fleet.version(registration)).expect(state, fleet.version(state));
     }
@@ -182,7 +182,7 @@
      * within the window.
      */
     public Verdict verdict(RequestRecord record, long now, Window window) {
-        if (now + window.leastMs() > record.deadlineMs()) {
+        if (now + window.minimumTimeLeftMs() > record.deadlineMs()) {
             return window.windowMs() == 0 ? Verdict.TOO_LATE : Verdict.UNKNOWN;
         }
         return isRepeatable(record, now, window) ? Verdict.RUN : Verdict.UNKNOWN;
@@ -194,6 +194,6 @@
      */
     public boolean isRepeatable(RequestRecord record, long now, Window window) {
         return window.windowMs() == 0
-                || now + window.leastMs() <= window.endsAt(record.firstSentAtMs());
+                || now + window.minimumTimeLeftMs() <= window.endsAt(record.firstSentAtMs());
     }
 }
--- a/src/main/java/reeldeal/server/FleetWiring.java
+++ b/src/main/java/reeldeal/server/FleetWiring.java
@@ -42,7 +42,7 @@
      * Creates the broker's node of the fleet, without starting it. {@code configText} is the
      * configuration that the broker runs.
      */
-    FleetNode createNode(FleetConfig.Counted fleetConfig, String configText) {
+    FleetNode createNode(FleetConfig.WithStartCount fleetConfig, String configText) {
         FleetHost host = new FleetHost(broker, config, zones);
         FleetNode node =
                 new FleetNode(
@@ -92,7 +92,7 @@
         }
         DisruptionBudget.ShardLayout layout = FleetHost.shardLayout(config);
         double slowStartMs = config.settings().rules().slowStartMs();
-        return DeduplicationWindow.of(
+        return DeduplicationWindow.coversAllReplicas(
                 shards,
                 node.fleet().searchers(),
                 SearcherObservations.of(zones, slowStartMs, (double) node.fleetWallMs()),
--- a/src/main/java/reeldeal/server/ServerStatsSharing.java
+++ b/src/main/java/reeldeal/server/ServerStatsSharing.java
@@ -81,7 +81,7 @@
         values.forEach(
                 (key, value) -> {
                     String name = key.substring(ServerStatsExchange.ROOT.length());
-                    published.add(ServerStatsExchange.of(name, value.text()));
+                    published.add(ServerStatsExchange.parse(name, value.text()));
                 });
         return published;
     }
@@ -102,7 +102,7 @@
                                 ownStats.put(name, stats);
                             }
                         });
-        String value = exchange.due(WallClock.now(), ownStats, stopping);
+        String value = exchange.takeValueToWrite(WallClock.now(), ownStats, stopping);
         if (value != null) {
             Change change = new Change(ServerStatsExchange.ROOT + store.node(), value);
             store.submit(List.of(), List.of(change), result -> {});
--- a/src/main/java/reeldeal/server/StoredConfiguration.java
+++ b/src/main/java/reeldeal/server/StoredConfiguration.java
@@ -52,7 +52,7 @@
     }
 
     private String readRolledOut() {
-        String configurationId = store.getPossiblyStale(FleetView.TARGET + store.node());
+        String configurationId = store.getPossiblyStale(FleetView.TARGET_CONFIG + store.node());
         return configurationId == null
                 ? null
                 : store.getPossiblyStale(FleetView.CONFIG + configurationId);
--- a/src/main/java/reeldeal/takeover/RecordingSubmitter.java
+++ b/src/main/java/reeldeal/takeover/RecordingSubmitter.java
@@ -38,7 +38,7 @@
     private static final int MAX_TEXT_LENGTH = 40_000;
 
     /** The length from which on an outcome does not fit into the store, in characters. */
-    private static final int MAX_OUTCOME_LENGTH = MAX_TEXT_LENGTH * 4;
+    private static final int OUTCOME_LENGTH_LIMIT = MAX_TEXT_LENGTH * 4;
 
     /** A client that waits while its request is being recorded or runs under a record. */
     private record WaitingClient(Request request, String key, Consumer<Reply> reply) {}
@@ -379,7 +379,7 @@
         keysByRequest.remove(run.requestId);
         runs.remove(key, run);
         String outcome = RequestRecordCodec.outcome(reply);
-        if (outcome.length() < MAX_OUTCOME_LENGTH) {
+        if (outcome.length() < OUTCOME_LENGTH_LIMIT) {
             reportEnd(key, outcomeOf(run, reply), outcome);
         } else {
             reportEnd(
--- a/src/main/java/reeldeal/takeover/RequestRecordStore.java
+++ b/src/main/java/reeldeal/takeover/RequestRecordStore.java
@@ -137,7 +137,7 @@
         store.onChange(this::onChanges);
         store.onAdminRequest("work", this::onAdminRequest);
         store.valuesUnder(RequestRecord.ROOT)
-                .forEach((key, value) -> changedKeys.add(RequestRecord.clientKey(key)));
+                .forEach((key, value) -> changedKeys.add(RequestRecord.requestKey(key)));
         loop.scheduleAtFixedRate(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         loop.scheduleAtFixedRate(
                 () -> sweeper.sweep(isClockAccurate),
@@ -199,7 +199,7 @@
     private void onChanges(List<Change> changes) {
         for (Change change : changes) {
             if (change.key().startsWith(RequestRecord.ROOT)) {
-                changedKeys.add(RequestRecord.clientKey(change.key()));
+                changedKeys.add(RequestRecord.requestKey(change.key()));
             }
         }
         if (!applyScheduled && !changedKeys.isEmpty()) {
--- a/src/test/java/reeldeal/fleet/BrokenFleetModules.java
+++ b/src/test/java/reeldeal/fleet/BrokenFleetModules.java
@@ -137,7 +137,7 @@
                     @Override
                     protected String findBrokerEvidence(FleetView fleet, Permit permit) {
                         Member member = fleet.members().get(permit.name());
-                        return member != null && !member.boot().equals(permit.processMark())
+                        return member != null && !member.bootId().equals(permit.processMark())
                                 ? "registered"
                                 : super.findBrokerEvidence(fleet, permit);
                     }
--- a/src/test/java/reeldeal/fleet/BrokenTakeoverModules.java
+++ b/src/test/java/reeldeal/fleet/BrokenTakeoverModules.java
@@ -85,7 +85,7 @@
     private static final class WindowIgnored extends TakeoverPolicy {
         @Override
         public Verdict verdict(RequestRecord record, long now, Window window) {
-            return now + window.leastMs() > record.deadlineMs() ? Verdict.UNKNOWN : Verdict.RUN;
+            return now + window.minimumTimeLeftMs() > record.deadlineMs() ? Verdict.UNKNOWN : Verdict.RUN;
         }
     }
 
@@ -119,7 +119,7 @@
     private static final class DoubledWindow extends TakeoverPolicy {
         @Override
         public Verdict verdict(RequestRecord record, long now, Window window) {
-            Window doubled = new Window(window.windowMs() * 2, window.errorMs(), window.leastMs());
+            Window doubled = new Window(window.windowMs() * 2, window.clockErrorMs(), window.minimumTimeLeftMs());
             return super.verdict(record, now, doubled);
         }
     }
@@ -156,8 +156,8 @@
 
     private static final class UnfencedBegin extends RecordWrites {
         @Override
-        protected ConditionalWrite begin(RequestRecord record) {
-            return withoutRecord(super.begin(record));
+        protected ConditionalWrite create(RequestRecord record) {
+            return withoutRecord(super.create(record));
         }
     }
 
--- a/src/test/java/reeldeal/fleet/FleetCodecTest.java
+++ b/src/test/java/reeldeal/fleet/FleetCodecTest.java
@@ -19,7 +19,7 @@
                 FleetCodec.encode(registration).toString());
         FleetView fleet =
                 new FleetValues()
-                        .with(FleetView.BOOT + "b", FleetCodec.encode(registration))
+                        .with(FleetView.REGISTRATION + "b", FleetCodec.encode(registration))
                         .view();
         assertEquals(
                 new FleetView.Member("b", 10, "b1", "s1", "z", "p", "c", State.STARTING, 0, "", 5),
--- a/src/test/java/reeldeal/fleet/FleetInvariants.java
+++ b/src/test/java/reeldeal/fleet/FleetInvariants.java
@@ -51,7 +51,7 @@
     void checkCommit(FleetView before, FleetView after) {
         for (Member member : after.members().values()) {
             if (member.state() == State.DRAINING) {
-                processesThatDrained.add(member.boot());
+                processesThatDrained.add(member.bootId());
             }
             Member previous = before.members().get(member.name());
             boolean wasLapsed = previous != null && previous.state() == State.LAPSED;
@@ -73,7 +73,7 @@
                 process != null
                         && process.alive
                         && !process.paused
-                        && process.boot.equals(member.boot());
+                        && process.boot.equals(member.bootId());
         fleet.check(
                 !mayHoldLease || !process.holdsLease(),
                 member.name() + " holds its lease although the leader ended it");
@@ -136,8 +136,8 @@
         DisruptionPolicy policy = after.policy();
         long allowed =
                 kind == Kind.BROKER
-                        ? DisruptionPolicy.parse(policy.brokersOut(), after.members().size())
-                        : DisruptionPolicy.parse(policy.searchersOut(), after.searchers().size());
+                        ? DisruptionPolicy.resolveLimit(policy.brokersOut(), after.members().size())
+                        : DisruptionPolicy.resolveLimit(policy.searchersOut(), after.searchers().size());
         fleet.check(
                 out <= allowed,
                 out
--- a/src/test/java/reeldeal/fleet/FleetSimulation.java
+++ b/src/test/java/reeldeal/fleet/FleetSimulation.java
@@ -179,7 +179,7 @@
         election.start();
         election.elect();
         commit(
-                ConditionalWrite.because("policy")
+                ConditionalWrite.withReason("policy")
                         .put(FleetView.POLICY, drawPolicy(String.valueOf(maxOut))));
         for (int i = 0; i < brokerCount; i++) {
             String name = "b" + i;
@@ -260,7 +260,7 @@
 
     /** Returns the configuration with which a process starts; one process may get a wrong one. */
     String drawConfig(String name) {
-        String target = latestView.get(FleetView.TARGET + name);
+        String target = latestView.get(FleetView.TARGET_CONFIG + name);
         boolean isWrong = wrongConfigPending && rng.nextInt(4) == 0 && target != null;
         if (isWrong) {
             wrongConfigPending = false;
--- a/src/test/java/reeldeal/fleet/FleetValues.java
+++ b/src/test/java/reeldeal/fleet/FleetValues.java
@@ -18,7 +18,7 @@
     public FleetValues broker(String name, String zone, FleetView.State state) {
         long incarnation = version;
         with(
-                FleetView.BOOT + name,
+                FleetView.REGISTRATION + name,
                 FleetCodec.encode(
                         new FleetCodec.Registration(name + "1", "s", zone, "p", "c1", 0, 0)));
         return with(FleetView.STATE + name, FleetCodec.encodeState(incarnation, state, ""));
--- a/src/test/java/reeldeal/fleet/RecoverySimulation.java
+++ b/src/test/java/reeldeal/fleet/RecoverySimulation.java
@@ -158,7 +158,7 @@
 
     private boolean isPresent(Member member) {
         SimulatedProcess process = fleet.processes.get(member.name());
-        return member.hasLease() && process != null && process.boot.equals(member.boot());
+        return member.hasLease() && process != null && process.boot.equals(member.bootId());
     }
 
     /**
@@ -206,7 +206,7 @@
 
     private void update(SimulatedProcess process, BrokerRecoveryStatus status) {
         Member member = process.appliedView.members().get(process.name);
-        boolean isRegistered = member != null && member.boot().equals(process.boot);
+        boolean isRegistered = member != null && member.bootId().equals(process.boot);
         double previousShare = status.admittedShare();
         status.update(
                 process.appliedView,
--- a/src/test/java/reeldeal/fleet/SimulatedFaults.java
+++ b/src/test/java/reeldeal/fleet/SimulatedFaults.java
@@ -80,7 +80,7 @@
                             .with("brokers_out", 1 + fleet.rng.nextInt(3))
                             .with("searchers_out", 1 + fleet.rng.nextInt(3))
                             .with("apart_ms", 100);
-            fleet.commit(ConditionalWrite.because("policy").put(FleetView.POLICY, policy));
+            fleet.commit(ConditionalWrite.withReason("policy").put(FleetView.POLICY, policy));
         }
     }
 }
--- a/src/test/java/reeldeal/fleet/SimulatedLeader.java
+++ b/src/test/java/reeldeal/fleet/SimulatedLeader.java
@@ -108,7 +108,7 @@
                         Set.of());
         long currentLeadership = leadership;
         if (isRenewed && member.lastAnsweredLeadership == currentLeadership) {
-            controller.onHeartbeatAnswered(member.name);
+            controller.onLivenessConfirmed(member.name);
         }
         boolean outageClassified = controller.hasClassifiedOutage();
         fleet.after(
--- a/src/test/java/reeldeal/fleet/TakeoverSimulation.java
+++ b/src/test/java/reeldeal/fleet/TakeoverSimulation.java
@@ -205,7 +205,7 @@
             broker.requests.tick(wallClock(process));
         } else {
             Member member = process.appliedView.members().get(process.name);
-            boolean isRegistered = member != null && member.boot().equals(process.boot);
+            boolean isRegistered = member != null && member.bootId().equals(process.boot);
             broker.applyRecords(wallClock(process));
             broker.requests.onFleetChanged(
                     wallClock(process), process.appliedView, isRegistered ? member : null);
@@ -330,7 +330,7 @@
      * Returns the record that is already known at this version, or decodes and checks the new one.
      */
     private RequestRecord read(String storeKey, KeyValueState.Value value) {
-        RequestRecord known = records.get(RequestRecord.clientKey(storeKey));
+        RequestRecord known = records.get(RequestRecord.requestKey(storeKey));
         if (known != null && known.version() == value.version()) {
             return known;
         }
--- a/src/test/java/reeldeal/fleet/disruption/DisruptionBudgetTest.java
+++ b/src/test/java/reeldeal/fleet/disruption/DisruptionBudgetTest.java
@@ -76,9 +76,9 @@
         assertEquals(
                 Set.of(
                         FleetView.POLICY,
-                        FleetView.SERIAL,
+                        FleetView.PERMIT_SERIAL,
                         FleetView.permitKey(Kind.BROKER, "a"),
-                        FleetView.BOOT + "a",
+                        FleetView.REGISTRATION + "a",
                         FleetView.STATE + "a",
                         FleetView.STATE + "b",
                         FleetView.STATE + "c"),
--- a/src/test/java/reeldeal/fleet/recovery/OutageClassifierTest.java
+++ b/src/test/java/reeldeal/fleet/recovery/OutageClassifierTest.java
@@ -16,7 +16,7 @@
 
     /** Adds a broker that was restarted after a crash. */
     private void addRestartedBroker(String name, String zone) {
-        fleet.with(FleetView.BOOT + name, "boot=" + name + "2 zone=" + zone + " after=3");
+        fleet.with(FleetView.REGISTRATION + name, "boot=" + name + "2 zone=" + zone + " after=3");
     }
 
     private OutageClassifier.Verdict classify() {
--- a/src/test/java/reeldeal/fleet/recovery/RecoveryControllerTest.java
+++ b/src/test/java/reeldeal/fleet/recovery/RecoveryControllerTest.java
@@ -37,8 +37,8 @@
     public void anOutageBeginsAnEpochAndHaltsTheRelease() {
         FleetView fleet =
                 new FleetValues()
-                        .with(FleetView.BOOT + "a", "boot=a2 zone=x after=3")
-                        .with(FleetView.BOOT + "b", "boot=b2 zone=x after=4")
+                        .with(FleetView.REGISTRATION + "a", "boot=a2 zone=x after=3")
+                        .with(FleetView.REGISTRATION + "b", "boot=b2 zone=x after=4")
                         .release()
                         .view();
         ConditionalWrite write = controller.nextWrite(0, fleet, classifier, 1);
--- a/src/test/java/reeldeal/fleet/rollout/RolloutControllerTest.java
+++ b/src/test/java/reeldeal/fleet/rollout/RolloutControllerTest.java
@@ -82,7 +82,7 @@
         acknowledged = true;
         ConditionalWrite restart = writes(draining).get(0);
         assertEquals("release r1: a is drained and restarts", restart.reason());
-        assertEquals("c2", restart.changes().get(FleetView.TARGET + "a"));
+        assertEquals("c2", restart.changes().get(FleetView.TARGET_CONFIG + "a"));
     }
 
     @Test
@@ -96,7 +96,7 @@
     public void aMemberSettlesAfterTheSettleTime() {
         FleetValues back =
                 new FleetValues()
-                        .with(FleetView.BOOT + "a", "boot=a2 config=c2")
+                        .with(FleetView.REGISTRATION + "a", "boot=a2 config=c2")
                         .with(FleetView.STATE + "a", "incarnation=10 state=SERVING")
                         .release()
                         .step("a", Stage.BACK, "a2");
--- a/src/test/java/reeldeal/fleet/takeover/GroupCommitTest.java
+++ b/src/test/java/reeldeal/fleet/takeover/GroupCommitTest.java
@@ -19,14 +19,14 @@
         for (int i = 0; i < 5; i++) {
             groupCommit.add(
                     "k" + i,
-                    ConditionalWrite.because("k" + i)
+                    ConditionalWrite.withReason("k" + i)
                             .expect("boot", 1)
                             .expect("work/k" + i, 0)
                             .put("work/k" + i, "v"));
         }
         groupCommit.add(
                 "other",
-                ConditionalWrite.because("other").expect("boot", 2).put("work/other", "v"));
+                ConditionalWrite.withReason("other").expect("boot", 2).put("work/other", "v"));
     }
 
     private GroupCommit.Batch sendNextBatch() {
@@ -35,7 +35,7 @@
 
     @Test
     public void aWriteThatWasNotSentIsDropped() {
-        groupCommit.add("given up", ConditionalWrite.because("k").put("work/x", "v"));
+        groupCommit.add("given up", ConditionalWrite.withReason("k").put("work/x", "v"));
         assertTrue(groupCommit.drop("given up"));
         assertFalse(groupCommit.drop("given up"));
     }
--- a/src/test/java/reeldeal/fleet/takeover/ServerStatsExchangeTest.java
+++ b/src/test/java/reeldeal/fleet/takeover/ServerStatsExchangeTest.java
@@ -49,22 +49,22 @@
 
     @Test
     public void decodedStatsEqualTheWrittenOnes() {
-        assertNull("no searcher is ejected", exchange.due(0, Map.of(), false));
-        String text = exchange.due(10, ALL_STATS.get(0).bySearcher(), false);
+        assertNull("no searcher is ejected", exchange.takeValueToWrite(0, Map.of(), false));
+        String text = exchange.takeValueToWrite(10, ALL_STATS.get(0).bySearcher(), false);
         assertEquals(
                 new BrokerStats("b", 10, ALL_STATS.get(0).bySearcher()),
-                ServerStatsExchange.of("b", text));
+                ServerStatsExchange.parse("b", text));
     }
 
     @Test
     public void onlyChangesAreWrittenAtMostOncePerInterval() {
-        exchange.due(10, ALL_STATS.get(0).bySearcher(), false);
+        exchange.takeValueToWrite(10, ALL_STATS.get(0).bySearcher(), false);
         assertNull(
                 "the same searcher is ejected",
-                exchange.due(40_000, ALL_STATS.get(1).bySearcher(), false));
+                exchange.takeValueToWrite(40_000, ALL_STATS.get(1).bySearcher(), false));
         assertNull(
                 "the minimum interval since the last write has not passed",
-                exchange.due(20_000, Map.of(), false));
-        assertEquals("at=20000", exchange.due(20_000, Map.of(), true));
+                exchange.takeValueToWrite(20_000, Map.of(), false));
+        assertEquals("at=20000", exchange.takeValueToWrite(20_000, Map.of(), true));
     }
 }
--- a/src/test/java/reeldeal/store/StoredIdentifiersTest.java
+++ b/src/test/java/reeldeal/store/StoredIdentifiersTest.java
@@ -77,14 +77,14 @@
                 List.of(
                         FleetView.ROOT,
                         FleetView.POLICY,
-                        FleetView.BOOT,
+                        FleetView.REGISTRATION,
                         FleetView.STATE,
                         FleetView.SEARCHER,
-                        FleetView.TARGET,
+                        FleetView.TARGET_CONFIG,
                         FleetView.CONFIG,
                         FleetView.RELEASE,
                         FleetView.STEP,
-                        FleetView.SERIAL));
+                        FleetView.PERMIT_SERIAL));
         assertEquals("fleet/drain/broker/b", FleetView.drainKey(FleetView.Kind.BROKER, "b"));
         assertEquals("fleet/permit/searcher/s", FleetView.permitKey(FleetView.Kind.SEARCHER, "s"));
         assertEquals("fleet/recovery", Epoch.KEY);
