--- a/src/main/java/reeldeal/config/BrokerConfig.java
+++ b/src/main/java/reeldeal/config/BrokerConfig.java
@@ -27,8 +27,8 @@
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
-        int sockets,
-        List<Searcher> known,
+        int maxSockets,
+        List<Searcher> knownSearchers,
         Settings settings,
         List<String> classes,
         List<String> zones,
@@ -38,7 +38,7 @@
         double idleMs,
         int connectTimeoutMs,
         OpenSearchConfig search,
-        boolean dns) {
+        boolean dnsDiscovery) {
 
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -53,7 +53,7 @@
     }
 
     /** Returns the content of the file named by LB_CONFIG, or null if the variable is not set. */
-    public static byte[] file(Map<String, String> environment) throws InvalidConfigException {
+    public static byte[] readFile(Map<String, String> environment) throws InvalidConfigException {
         String file = environment.get("LB_CONFIG");
         if (file == null || file.isEmpty()) {
             return null;
@@ -69,7 +69,7 @@
      * Parses the content of a configuration file. The environment variables LB_NAME, LB_LISTEN and
      * LB_DISCOVERY override its {@code name}, {@code listen} and {@code discovery}.
      *
-     * @param dns whether searchers are discovered from DNS zones
+     * @param dnsDiscovery whether searchers are discovered from DNS zones
      */
     public static BrokerConfig parse(byte[] bytes, Map<String, String> environment, boolean dns)
             throws InvalidConfigException {
--- a/src/main/java/reeldeal/config/StoreConfigReader.java
+++ b/src/main/java/reeldeal/config/StoreConfigReader.java
@@ -19,10 +19,10 @@
  * @param store the replicated store
  * @param zones the DNS zones that the broker serves, or null if there is no {@code dns} section
  * @param fleet the broker's membership of a fleet, or null if it is not a member
- * @param handover records of in-flight requests and their takeover, or null if none are kept
+ * @param takeover records of in-flight requests and their takeover, or null if none are kept
  */
 public record StoreConfigReader(
-        StoreConfig store, ZonesConfig zones, FleetConfig fleet, TakeoverConfig handover) {
+        StoreConfig store, ZonesConfig zones, FleetConfig fleet, TakeoverConfig takeover) {
     private static final String DEFAULT_FILE = "deploy/store.json";
     private static final String NODES_PREFIX = "nodes.";
     private static final String NAME_PATTERN = "[A-Za-z0-9_.-]{1,64}";
--- a/src/main/java/reeldeal/discovery/DiscoveryWatcher.java
+++ b/src/main/java/reeldeal/discovery/DiscoveryWatcher.java
@@ -152,7 +152,7 @@
             lastPollFailed = !accept(responded.message());
         } else {
             lastPollFailed = true;
-            logFailure(((HttpClient.NoResponse) result).why());
+            logFailure(((HttpClient.NoResponse) result).reason());
         }
         if (lastPollFailed) {
             group.next().schedule(this::start, withJitter(RETRY_DELAY_MS), TimeUnit.MILLISECONDS);
--- a/src/main/java/reeldeal/http/HttpClient.java
+++ b/src/main/java/reeldeal/http/HttpClient.java
@@ -33,9 +33,9 @@
      * The call ended without a complete response.
      *
      * @param written whether the complete request was written, so that the server may have read it
-     * @param why the reason, for the log
+     * @param reason the reason, for the log
      */
-    public record NoResponse(boolean written, String why) implements Result {}
+    public record NoResponse(boolean written, String reason) implements Result {}
 
     /** The request of a call. A null body means that the request is no longer wanted. */
     private record Call(
@@ -136,11 +136,11 @@
             fail("request withdrawn before it was written");
             return;
         }
-        String host = address.getHostString() + ":" + address.getPort();
+        String hostAndPort = address.getHostString() + ":" + address.getPort();
         destination
                 .writeAndFlush(
                         HttpWriter.request(
-                                call.method(), call.target(), host, call.headers(), body))
+                                call.method(), call.target(), hostAndPort, call.headers(), body))
                 .addListener(future -> written |= destination == channel && future.isSuccess());
     }
 
--- a/src/main/java/reeldeal/http/HttpMessage.java
+++ b/src/main/java/reeldeal/http/HttpMessage.java
@@ -6,17 +6,17 @@
 /**
  * A parsed HTTP request or response.
  *
- * @param first the first field of the start line: the method of a request, the version of a
+ * @param methodOrVersion the first field of the start line: the method of a request, the version of a
  *     response
- * @param second the second field of the start line: the target of a request, the status of a
+ * @param targetOrStatus the second field of the start line: the target of a request, the status of a
  *     response
- * @param third the rest of the start line: the version of a request, the reason phrase of a
+ * @param versionOrReason the rest of the start line: the version of a request, the reason phrase of a
  *     response
  * @param headers header values by lower-case name
  * @param body the body, empty if the message has none
  */
 public record HttpMessage(
-        String first, String second, String third, Map<String, String> headers, byte[] body) {
+        String methodOrVersion, String targetOrStatus, String versionOrReason, Map<String, String> headers, byte[] body) {
 
     /** Returns the value of a header, or null if the message does not have it. */
     public String header(String lowerCaseName) {
@@ -25,19 +25,19 @@
 
     /** Returns the status code of a response. */
     public int status() {
-        return Integer.parseInt(second);
+        return Integer.parseInt(targetOrStatus);
     }
 
     /** Returns the path of a request: the target without the query string. */
     public String path() {
-        int queryStart = second.indexOf('?');
-        return queryStart < 0 ? second : second.substring(0, queryStart);
+        int queryStart = targetOrStatus.indexOf('?');
+        return queryStart < 0 ? targetOrStatus : targetOrStatus.substring(0, queryStart);
     }
 
     /** Whether the connection stays open after this message. */
     public boolean keepsAlive() {
         String connection = headers.getOrDefault("connection", "").toLowerCase(Locale.ROOT);
-        String version = first.startsWith("HTTP/") ? first : third;
+        String version = methodOrVersion.startsWith("HTTP/") ? methodOrVersion : versionOrReason;
         return version.equals("HTTP/1.1")
                 ? !connection.contains("close")
                 : connection.contains("keep-alive");
--- a/src/main/java/reeldeal/http/HttpParser.java
+++ b/src/main/java/reeldeal/http/HttpParser.java
@@ -240,7 +240,7 @@
             return null;
         }
         if (length == null) {
-            if (parsesResponses && !head.second().matches("1..|204|304")) {
+            if (parsesResponses && !head.targetOrStatus().matches("1..|204|304")) {
                 stage = Stage.BODY_UNTIL_CLOSE;
                 return null;
             }
@@ -363,7 +363,7 @@
 
     private Complete complete(byte[] body) {
         HttpMessage message =
-                new HttpMessage(head.first(), head.second(), head.third(), head.headers(), body);
+                new HttpMessage(head.methodOrVersion(), head.targetOrStatus(), head.versionOrReason(), head.headers(), body);
         stage = Stage.HEAD;
         head = null;
         chunkedBody = null;
--- a/src/main/java/reeldeal/http/HttpServer.java
+++ b/src/main/java/reeldeal/http/HttpServer.java
@@ -109,7 +109,7 @@
      * Stops closing idle connections. Called before the server stops listening, when a client whose
      * connection was closed could not open a new one.
      */
-    public void keepIdle() {
+    public void keepIdleConnections() {
         keepIdle = true;
     }
 
--- a/src/main/java/reeldeal/opensearch/OpenSearchFront.java
+++ b/src/main/java/reeldeal/opensearch/OpenSearchFront.java
@@ -50,7 +50,7 @@
         String[] pathParts = path.substring(Math.min(1, path.length())).split("/");
         String endpoint = pathParts[pathParts.length - 1];
         String index = pathParts.length == 2 ? pathParts[0] : null;
-        String method = message.first();
+        String method = message.methodOrVersion();
         try {
             if (path.equals("/")) {
                 respond(exchange, OK, 0, SearchJson.brokerInfo(brokerName));
@@ -76,7 +76,7 @@
         return SearchResult.error(
                 BAD_REQUEST,
                 "illegal_argument_exception",
-                "no handler found for uri [" + message.second() + "]");
+                "no handler found for uri [" + message.targetOrStatus() + "]");
     }
 
     private void search(HttpMessage message, String index, Exchange exchange)
--- a/src/main/java/reeldeal/opensearch/OpenSearchTransport.java
+++ b/src/main/java/reeldeal/opensearch/OpenSearchTransport.java
@@ -202,7 +202,7 @@
     private static CallEnd toCallEnd(HttpClient.Result result, int shardRequests) {
         if (result instanceof HttpClient.NoResponse noResponse) {
             Reach reach = noResponse.written() ? Reach.SENT : Reach.UNSENT;
-            return CallEnd.ofAll(new AttemptEnd.Broken(reach, noResponse.why()));
+            return CallEnd.ofAll(new AttemptEnd.Broken(reach, noResponse.reason()));
         }
         HttpClient.Responded responded = (HttpClient.Responded) result;
         int status = responded.message().status();
--- a/src/main/java/reeldeal/opensearch/SearchParser.java
+++ b/src/main/java/reeldeal/opensearch/SearchParser.java
@@ -94,7 +94,7 @@
 
     private static Map<String, String> parameters(HttpMessage message)
             throws UnsupportedRequestException {
-        String target = message.second();
+        String target = message.targetOrStatus();
         int queryStart = target.indexOf('?');
         Map<String, String> parameters = new HashMap<>();
         if (queryStart < 0 || queryStart == target.length() - 1) {
--- a/src/main/java/reeldeal/platform/PlatformFront.java
+++ b/src/main/java/reeldeal/platform/PlatformFront.java
@@ -61,7 +61,7 @@
         int queryClass = segments.length < 2 ? -1 : queryClasses.indexOf(segments[1]);
         if (queryClass < 0) {
             respondText(exchange, 404, "unknown class");
-        } else if (!message.first().equals("POST")) {
+        } else if (!message.methodOrVersion().equals("POST")) {
             respondText(exchange, 405, "use POST");
         } else {
             submitQuery(message, queryClass, exchange);
--- a/src/main/java/reeldeal/server/BrokerServer.java
+++ b/src/main/java/reeldeal/server/BrokerServer.java
@@ -104,7 +104,7 @@
                                 config.shardRequestsPerConnection(),
                                 config.idleMs(),
                                 connectTimeoutMs(config),
-                                config.sockets() / 4),
+                                config.maxSockets() / 4),
                         config.settings().loadColumns(),
                         clock::now,
                         this::enqueue,
@@ -130,16 +130,16 @@
         PlatformFront front =
                 new PlatformFront(submitter, config.settings(), config.classes(), config.shards());
         HttpServer platform =
-                new HttpServer(config.sockets() / 2, MAX_BUFFERED_BYTES, front::accept);
+                new HttpServer(config.maxSockets() / 2, MAX_BUFFERED_BYTES, front::accept);
         servers.add(platform);
         loop.submit(
                         () -> {
-                            if (!config.dns()) {
+                            if (!config.dnsDiscovery()) {
                                 // If DNS zones provide the searchers, the configured list must not
                                 // override theirs.
                                 enqueue(
                                         new Event.EndpointsChanged(
-                                                EndpointListKind.CACHED, config.known()));
+                                                EndpointListKind.CACHED, config.knownSearchers()));
                             }
                             if (watcher != null) {
                                 watcher.start();
@@ -156,7 +156,7 @@
         if (config.search() != null) {
             HttpServer search =
                     new HttpServer(
-                            config.sockets() / 8,
+                            config.maxSockets() / 8,
                             MAX_BUFFERED_BYTES,
                             new OpenSearchFront(
                                             submitter,
@@ -253,7 +253,7 @@
     public void drain() throws InterruptedException {
         double startedAt = clock.now();
         drainStartedAt = startedAt;
-        loop.submit(() -> servers.forEach(HttpServer::keepIdle)).sync();
+        loop.submit(() -> servers.forEach(HttpServer::keepIdleConnections)).sync();
         Thread.sleep((long) shutdown.acceptMs());
         loop.submit(() -> servers.forEach(HttpServer::stopListening)).sync();
         while (clock.now() < startedAt + shutdown.serveMs()
--- a/src/main/java/reeldeal/server/JitWarmUp.java
+++ b/src/main/java/reeldeal/server/JitWarmUp.java
@@ -71,7 +71,7 @@
      */
     private List<Searcher> searchers() {
         List<Searcher> searchers = new ArrayList<>();
-        for (Searcher known : config.known()) {
+        for (Searcher known : config.knownSearchers()) {
             searchers.add(
                     new Searcher(
                             known.name(),
--- a/src/main/java/reeldeal/server/Main.java
+++ b/src/main/java/reeldeal/server/Main.java
@@ -47,7 +47,7 @@
         installPlainLogHandler();
         try {
             StoreConfigReader storeConfig = StoreConfigReader.read(System.getenv());
-            byte[] configFile = BrokerConfig.file(System.getenv());
+            byte[] configFile = BrokerConfig.readFile(System.getenv());
             if (configFile == null && storeConfig == null) {
                 throw new IllegalArgumentException("LB_CONFIG: not set");
             }
@@ -124,7 +124,7 @@
             if (zones != null) {
                 zones.readOverrides();
             }
-            byte[] configFile = BrokerConfig.file(System.getenv());
+            byte[] configFile = BrokerConfig.readFile(System.getenv());
             if (configFile == null) {
                 BrokerServer.log("not reloaded: LB_CONFIG: not set");
                 return;
--- a/src/main/java/reeldeal/server/StoreStartup.java
+++ b/src/main/java/reeldeal/server/StoreStartup.java
@@ -70,7 +70,7 @@
             FleetConfig.WithStartCount countedFleet = new FleetConfig.WithStartCount(fleetConfig, startCount);
             node = wiring.createNode(countedFleet, new String(configBytes, StandardCharsets.UTF_8));
         }
-        TakeoverConfig takeover = settings.handover();
+        TakeoverConfig takeover = settings.takeover();
         if (takeover != null) {
             recordingSubmitter = wiring.createRecordingSubmitter(node, takeover);
             statsSharing =
--- a/src/test/java/reeldeal/config/StoreConfigReaderTest.java
+++ b/src/test/java/reeldeal/config/StoreConfigReaderTest.java
@@ -36,7 +36,7 @@
                                                 folder.newFile().toPath(),
                                                 file + "}" + extraSettings + "}")
                                         .toString()))
-                .handover();
+                .takeover();
     }
 
     private void assertInvalid(String extraSettings, String expectedMessage) throws Exception {
--- a/src/test/java/reeldeal/http/HttpServerTest.java
+++ b/src/test/java/reeldeal/http/HttpServerTest.java
@@ -262,7 +262,7 @@
 
     @Test
     public void keepIdleKeepsIdleConnectionsUntilServingStops() throws Exception {
-        group.next().submit(server::keepIdle).sync();
+        group.next().submit(server::keepIdleConnections).sync();
         try (Socket first = client();
                 Socket second = client();
                 Socket third = client()) {
--- a/src/test/java/reeldeal/server/JitWarmUpTest.java
+++ b/src/test/java/reeldeal/server/JitWarmUpTest.java
@@ -33,7 +33,7 @@
         try (InputStream in = JitWarmUp.class.getResourceAsStream("/reeldeal/rehearsal.json")) {
             config = BrokerConfig.parse(in.readAllBytes(), Map.of(), false);
         }
-        assertTrue(config.known().isEmpty());
+        assertTrue(config.knownSearchers().isEmpty());
         assertEquals(JitWarmUp.QUERIES, JitWarmUp.run(config, 1_000));
     }
 }
