--- a/src/main/java/reeldeal/cli/DnsClient.java
+++ b/src/main/java/reeldeal/cli/DnsClient.java
@@ -110,7 +110,7 @@
                         server + ": the message received is not a response to the request");
             }
             if (key != null) {
-                Tsig.Checked checked =
+                Tsig.CheckResult checked =
                         !Tsig.isSigned(answer)
                                 ? null
                                 : Tsig.check(
@@ -120,7 +120,7 @@
                                         requestMac,
                                         new byte[0],
                                         false);
-                if (checked == null || !checked.good()) {
+                if (checked == null || !checked.isValid()) {
                     throw new Commands.CommandFailedException(
                             Commands.EXIT_FAILURE,
                             server
@@ -152,10 +152,10 @@
                         System.currentTimeMillis() / 1_000,
                         MAX_TRANSFER_RECORDS);
         while (true) {
-            TransferIn.State state = transfer.take((byte[]) awaitEvent());
+            TransferIn.State state = transfer.accept((byte[]) awaitEvent());
             if (state == TransferIn.State.FAILED) {
                 throw new Commands.CommandFailedException(
-                        Commands.EXIT_FAILURE, server + ": " + origin + ": " + transfer.why());
+                        Commands.EXIT_FAILURE, server + ": " + origin + ": " + transfer.failureReason());
             } else if (state != TransferIn.State.MORE) {
                 return transfer.zone();
             }
--- a/src/main/java/reeldeal/cli/ZoneCommands.java
+++ b/src/main/java/reeldeal/cli/ZoneCommands.java
@@ -123,7 +123,7 @@
             Zone zone = ZoneFileReader.read(file, parseOrigin(zoneName));
             Map<String, Integer> recordsByType = new TreeMap<>();
             for (var recordSets = zone.sets(); recordSets.hasNext(); ) {
-                Zone.Placed recordSet = recordSets.next();
+                Zone.OwnedRrSet recordSet = recordSets.next();
                 recordsByType.merge(
                         Types.name(recordSet.type()), recordSet.set().data().size(), Integer::sum);
             }
@@ -378,7 +378,7 @@
                 writer.add(2, record.record(Rr.IN, record.ttl()));
                 changes++;
             }
-        } catch (RecordText.Unreadable e) {
+        } catch (RecordText.InvalidRecordException e) {
             throw new Commands.CommandFailedException(Commands.EXIT_BAD_INPUT, e.getMessage());
         }
         if (changes == 0) {
--- a/src/main/java/reeldeal/dns/Answerer.java
+++ b/src/main/java/reeldeal/dns/Answerer.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Function;
-import reeldeal.dns.Zone.Placed;
+import reeldeal.dns.Zone.OwnedRrSet;
 
 /**
  * Computes the answer of an authoritative server to a question (RFC 1034, section 4.3.2; wildcards
@@ -19,14 +19,14 @@
     public record Answer(
             int rcode,
             boolean authoritative,
-            List<Placed> answers,
-            List<Placed> authority,
-            List<Placed> additional) {}
+            List<OwnedRrSet> answers,
+            List<OwnedRrSet> authority,
+            List<OwnedRrSet> additional) {}
 
     private final Function<String, Zone> zones;
-    private final List<Placed> answers = new ArrayList<>();
-    private final List<Placed> authority = new ArrayList<>();
-    private final List<Placed> additional = new ArrayList<>();
+    private final List<OwnedRrSet> answers = new ArrayList<>();
+    private final List<OwnedRrSet> authority = new ArrayList<>();
+    private final List<OwnedRrSet> additional = new ArrayList<>();
     private final Set<String> visitedNames = new HashSet<>();
     private boolean authoritative = true;
 
@@ -57,7 +57,7 @@
                 // After the first name, the CNAME chain has left the hosted zones.
                 return i == 0 ? Rcode.REFUSED : Rcode.NOERROR;
             }
-            Placed delegation = findDelegation(zone, name);
+            OwnedRrSet delegation = findDelegation(zone, name);
             if (delegation != null) {
                 authoritative &= i > 0;
                 authority.add(delegation);
@@ -71,7 +71,7 @@
             }
             RrSet alias = zone.get(owner, Rr.CNAME);
             if (alias != null && type != Rr.CNAME && type != Rr.ANY) {
-                answers.add(new Placed(name, Rr.CNAME, alias));
+                answers.add(new OwnedRrSet(name, Rr.CNAME, alias));
                 name = Names.text(alias.data().get(0), 0);
                 continue;
             }
@@ -87,7 +87,7 @@
         for (int matchType : type == Rr.ANY ? zone.types(owner) : new int[] {type}) {
             RrSet set = zone.get(owner, matchType);
             if (set != null) {
-                answers.add(new Placed(name, matchType, set));
+                answers.add(new OwnedRrSet(name, matchType, set));
                 if (matchType == Rr.SRV || matchType == Rr.MX || matchType == Rr.NS) {
                     addAddresses(
                             zone, set, matchType == Rr.SRV ? 6 : matchType == Rr.MX ? 2 : 0, false);
@@ -100,13 +100,13 @@
     }
 
     /** Returns the topmost delegation at or above a name and below the zone's origin, or null. */
-    private static Placed findDelegation(Zone zone, String name) {
-        Placed topmost = null;
+    private static OwnedRrSet findDelegation(Zone zone, String name) {
+        OwnedRrSet topmost = null;
         for (String ancestor = name;
                 !ancestor.equals(zone.origin);
                 ancestor = Names.parent(ancestor)) {
             RrSet nameServers = zone.get(ancestor, Rr.NS);
-            topmost = nameServers == null ? topmost : new Placed(ancestor, Rr.NS, nameServers);
+            topmost = nameServers == null ? topmost : new OwnedRrSet(ancestor, Rr.NS, nameServers);
         }
         return topmost;
     }
@@ -129,8 +129,8 @@
      */
     private void addNegativeSoa(Zone zone) {
         Rr soa = zone.soa();
-        long ttl = Math.min(soa.ttl(), Zone.soaNumber(soa.data(), 4));
-        authority.add(new Placed(zone.origin, Rr.SOA, new RrSet(ttl, List.of(soa.data()))));
+        long ttl = Math.min(soa.ttl(), Zone.soaField(soa.data(), 4));
+        authority.add(new OwnedRrSet(zone.origin, Rr.SOA, new RrSet(ttl, List.of(soa.data()))));
     }
 
     /**
@@ -149,7 +149,7 @@
             for (int type : new int[] {Rr.A, Rr.AAAA}) {
                 RrSet addresses = zone.get(host, type);
                 if (addresses != null) {
-                    additional.add(new Placed(host, type, addresses));
+                    additional.add(new OwnedRrSet(host, type, addresses));
                 }
             }
         }
--- a/src/main/java/reeldeal/dns/Message.java
+++ b/src/main/java/reeldeal/dns/Message.java
@@ -13,7 +13,7 @@
  */
 public final class Message {
     /** Size of the header in bytes; any message of at least this size can be answered. */
-    public static final int HEADER = 12;
+    public static final int HEADER_BYTES = 12;
 
     public static final int QUERY = 0;
     public static final int NOTIFY = 4;
@@ -58,7 +58,7 @@
     private Edns edns;
     private Rr tsig;
     private int tsigOffset = -1;
-    private int questionEnd = HEADER;
+    private int questionEnd = HEADER_BYTES;
     private final byte[] bytes;
     private final boolean pointersAllowed;
     private int position;
@@ -75,10 +75,10 @@
 
     /** Parses a message. */
     public static Message parse(byte[] bytes) throws Malformed {
-        if (bytes.length < HEADER) {
+        if (bytes.length < HEADER_BYTES) {
             throw new Malformed("header shorter than 12 bytes");
         }
-        Message message = new Message(bytes, HEADER, true);
+        Message message = new Message(bytes, HEADER_BYTES, true);
         int questions = message.readCount(4);
         for (int i = 0; i < questions; i++) {
             String name = message.readName();
@@ -162,7 +162,7 @@
      * letter case; empty unless there is exactly one question.
      */
     byte[] question() {
-        return questions.size() == 1 ? Arrays.copyOfRange(bytes, HEADER, questionEnd) : new byte[0];
+        return questions.size() == 1 ? Arrays.copyOfRange(bytes, HEADER_BYTES, questionEnd) : new byte[0];
     }
 
     /** Returns the answer section, or the prerequisite section of an update. */
@@ -289,7 +289,7 @@
                 endOfName = endOfName < 0 ? offset + 2 : endOfName;
                 // A name has at most 127 labels, so a longer chain of pointers only costs time.
                 if (!pointersAllowed
-                        || target < HEADER
+                        || target < HEADER_BYTES
                         || target >= lowestOffset
                         || ++pointersFollowed > MAX_POINTERS) {
                     throw new Malformed("invalid compression pointer");
--- a/src/main/java/reeldeal/dns/MessageWriter.java
+++ b/src/main/java/reeldeal/dns/MessageWriter.java
@@ -13,7 +13,7 @@
     private final Map<String, Integer> nameOffsets = new HashMap<>();
     private final int[] counts = new int[4];
     private byte[] bytes = new byte[512];
-    private int position = Message.HEADER;
+    private int position = Message.HEADER_BYTES;
     private int limit;
     private int flags;
 
--- a/src/main/java/reeldeal/dns/Rdata.java
+++ b/src/main/java/reeldeal/dns/Rdata.java
@@ -25,11 +25,11 @@
      * Thrown for text that cannot be parsed. The message says what was expected; {@code token} is
      * where, or null for the end of the entry.
      */
-    static final class Unreadable extends Exception {
+    static final class InvalidRdataException extends Exception {
         private static final long serialVersionUID = 1L;
         final transient Token token;
 
-        Unreadable(Token token, String expected) {
+        InvalidRdataException(Token token, String expected) {
             super(expected);
             this.token = token;
         }
@@ -43,13 +43,13 @@
      * Parses the data of a record from its tokens and returns it in wire form; names are relative
      * to the origin.
      */
-    static byte[] parse(int type, List<Token> tokens, String origin) throws Unreadable {
+    static byte[] parse(int type, List<Token> tokens, String origin) throws InvalidRdataException {
         if (!tokens.isEmpty() && tokens.get(0).text().equals("\\#") && !tokens.get(0).quoted()) {
             return parseGeneric(type, tokens);
         }
         Field[] fields = Types.fields(type);
         if (fields == null) {
-            throw new Unreadable(
+            throw new InvalidRdataException(
                     tokens.isEmpty() ? null : tokens.get(0),
                     "expected \\# and the data in hexadecimal, since type "
                             + Types.name(type)
@@ -59,7 +59,7 @@
         int i = 0;
         for (Field field : fields) {
             if (i >= tokens.size()) {
-                throw new Unreadable(
+                throw new InvalidRdataException(
                         null,
                         "expected "
                                 + expectedInput(field)
@@ -72,31 +72,31 @@
             i = parseField(field, tokens, i, origin, out);
         }
         if (i < tokens.size()) {
-            throw new Unreadable(
+            throw new InvalidRdataException(
                     tokens.get(i), "expected the end of the " + Types.name(type) + " record");
         }
         if (out.size() > MAX_DATA_BYTES) {
-            throw new Unreadable(null, "expected at most " + MAX_DATA_BYTES + " bytes of data");
+            throw new InvalidRdataException(null, "expected at most " + MAX_DATA_BYTES + " bytes of data");
         }
         return out.toByteArray();
     }
 
-    private static byte[] parseGeneric(int type, List<Token> tokens) throws Unreadable {
+    private static byte[] parseGeneric(int type, List<Token> tokens) throws InvalidRdataException {
         if (tokens.size() < 2) {
-            throw new Unreadable(null, "expected the length of the data");
+            throw new InvalidRdataException(null, "expected the length of the data");
         }
         int length = (int) parseNumber(tokens.get(1), MAX_DATA_BYTES);
         StringBuilder digits = new StringBuilder();
         tokens.subList(2, tokens.size()).forEach(w -> digits.append(w.text()));
         byte[] data = parseHex(tokens.get(tokens.size() - 1), digits.toString());
         if (data.length != length) {
-            throw new Unreadable(
+            throw new InvalidRdataException(
                     tokens.get(1), "expected " + length + " bytes, found " + data.length);
         }
         // RFC 3597, section 5: data in generic form must still be valid for a known type.
         byte[] canonical = Message.canonicalData(type, data);
         if (canonical == null) {
-            throw new Unreadable(
+            throw new InvalidRdataException(
                     tokens.get(1), "expected data that is valid for type " + Types.name(type));
         }
         return canonical;
@@ -121,13 +121,13 @@
 
     private static int parseField(
             Field field, List<Token> tokens, int index, String origin, ByteArrayOutputStream out)
-            throws Unreadable {
+            throws InvalidRdataException {
         Token token = tokens.get(index);
         switch (field) {
             case NAME, PLAIN_NAME -> {
                 String name = Names.parse(token.text(), origin);
                 if (name == null || token.quoted()) {
-                    throw new Unreadable(token, "expected a domain name, found " + token.text());
+                    throw new InvalidRdataException(token, "expected a domain name, found " + token.text());
                 }
                 out.writeBytes(Names.wire(name));
             }
@@ -153,7 +153,7 @@
                                     ? parseHex(token, digits.toString())
                                     : Base64.getDecoder().decode(digits.toString()));
                 } catch (IllegalArgumentException e) {
-                    throw new Unreadable(token, "expected base64, found " + digits);
+                    throw new InvalidRdataException(token, "expected base64, found " + digits);
                 }
                 return tokens.size();
             }
@@ -188,9 +188,9 @@
         }
     }
 
-    static long parseNumber(Token token, long max) throws Unreadable {
+    static long parseNumber(Token token, long max) throws InvalidRdataException {
         if (!token.text().matches("[0-9]{1,10}") || Long.parseLong(token.text()) > max) {
-            throw new Unreadable(
+            throw new InvalidRdataException(
                     token, "expected a number up to " + max + ", found " + token.text());
         }
         return Long.parseLong(token.text());
@@ -200,7 +200,7 @@
      * Parses a number of seconds or a sum with units such as {@code 1h30m}, at most 2^31 - 1
      * seconds.
      */
-    static long parseTime(Token token) throws Unreadable {
+    static long parseTime(Token token) throws InvalidRdataException {
         long sum = 0;
         long number = -1;
         boolean valid = !token.text().isEmpty();
@@ -216,7 +216,7 @@
             }
             valid &= number <= MAX_TTL && sum + Math.max(0, number) <= MAX_TTL;
             if (!valid) {
-                throw new Unreadable(
+                throw new InvalidRdataException(
                         token,
                         "expected a time of at most " + MAX_TTL + " s, found " + token.text());
             }
@@ -224,44 +224,44 @@
         return sum + Math.max(0, number);
     }
 
-    private static byte[] parseAddress(Token token, boolean ipv6) throws Unreadable {
+    private static byte[] parseAddress(Token token, boolean ipv6) throws InvalidRdataException {
         IPAddress address =
                 !token.text().matches(ipv6 ? "[0-9a-fA-F:.]{2,45}" : "[0-9]{1,3}(\\.[0-9]{1,3}){3}")
                         ? null
                         : new IPAddressString(token.text()).getAddress();
         if (address == null || address.isIPv6() != ipv6 || address.isMultiple()) {
-            throw new Unreadable(
+            throw new InvalidRdataException(
                     token, "expected an IPv" + (ipv6 ? 6 : 4) + " address, found " + token.text());
         }
         return address.getBytes();
     }
 
-    private static byte[] parseHex(Token token, String digits) throws Unreadable {
+    private static byte[] parseHex(Token token, String digits) throws InvalidRdataException {
         try {
             return HexFormat.of().parseHex(digits);
         } catch (IllegalArgumentException e) {
-            throw new Unreadable(token, "expected pairs of hexadecimal digits, found " + digits);
+            throw new InvalidRdataException(token, "expected pairs of hexadecimal digits, found " + digits);
         }
     }
 
-    private static void writeString(Token token, ByteArrayOutputStream out) throws Unreadable {
+    private static void writeString(Token token, ByteArrayOutputStream out) throws InvalidRdataException {
         byte[] string = unescapedBytes(token);
         if (string.length > 255) {
-            throw new Unreadable(
+            throw new InvalidRdataException(
                     token, "expected a string of up to 255 bytes, found " + string.length);
         }
         out.write(string.length);
         out.writeBytes(string);
     }
 
-    private static byte[] unescapedBytes(Token token) throws Unreadable {
+    private static byte[] unescapedBytes(Token token) throws InvalidRdataException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         String text = token.text();
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) == '\\') {
                 int code = Names.decodeEscape(text, i);
                 if (code < 0) {
-                    throw new Unreadable(token, "expected an escape \\DDD or \\X in " + text);
+                    throw new InvalidRdataException(token, "expected an escape \\DDD or \\X in " + text);
                 }
                 out.write(code);
                 i += Names.isDigit(text.charAt(i + 1)) ? 3 : 1;
--- a/src/main/java/reeldeal/dns/RecordText.java
+++ b/src/main/java/reeldeal/dns/RecordText.java
@@ -9,10 +9,10 @@
 public record RecordText(String name, long ttl, int type, byte[] data) {
 
     /** Thrown for text that is not a record; the message says what was expected. */
-    public static final class Unreadable extends Exception {
+    public static final class InvalidRecordException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Unreadable(String reason) {
+        InvalidRecordException(String reason) {
             super(reason);
         }
     }
@@ -21,21 +21,21 @@
      * Parses a record. If {@code complete} is set, TTL, type and data are required; otherwise type
      * and data are optional and a TTL is not allowed.
      */
-    public static RecordText parse(String text, String origin, boolean complete) throws Unreadable {
+    public static RecordText parse(String text, String origin, boolean complete) throws InvalidRecordException {
         try {
             List<Rdata.Token> tokens = ZoneFile.tokens(text);
             if (tokens.isEmpty()) {
-                throw new Unreadable("expected a name, found nothing");
+                throw new InvalidRecordException("expected a name, found nothing");
             }
             String name = Names.parse(tokens.get(0).text(), origin);
             if (name == null) {
-                throw new Unreadable("expected a name in: " + text);
+                throw new InvalidRecordException("expected a name in: " + text);
             }
             int index = 1;
             long ttl = 0;
             if (complete) {
                 if (tokens.size() < 3) {
-                    throw new Unreadable("expected NAME TTL TYPE DATA in: " + text);
+                    throw new InvalidRecordException("expected NAME TTL TYPE DATA in: " + text);
                 }
                 ttl = Rdata.parseTime(tokens.get(index++));
             }
@@ -50,7 +50,7 @@
                             ? Rr.ANY
                             : Types.number(tokens.get(index).text());
             if (type < 0 || (complete && Rr.isMeta(type))) {
-                throw new Unreadable("expected a record type, found " + tokens.get(index).text());
+                throw new InvalidRecordException("expected a record type, found " + tokens.get(index).text());
             }
             List<Rdata.Token> dataTokens = tokens.subList(index + 1, tokens.size());
             return new RecordText(
@@ -60,10 +60,10 @@
                     dataTokens.isEmpty() && !complete
                             ? new byte[0]
                             : Rdata.parse(type, dataTokens, origin));
-        } catch (Rdata.Unreadable e) {
-            throw new Unreadable(e.getMessage() + " in: " + text);
+        } catch (Rdata.InvalidRdataException e) {
+            throw new InvalidRecordException(e.getMessage() + " in: " + text);
         } catch (ZoneFile.Malformed e) {
-            throw new Unreadable(e.getMessage());
+            throw new InvalidRecordException(e.getMessage());
         }
     }
 
--- a/src/main/java/reeldeal/dns/Responder.java
+++ b/src/main/java/reeldeal/dns/Responder.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import reeldeal.dns.Zone.Placed;
+import reeldeal.dns.Zone.OwnedRrSet;
 
 /**
  * Builds the responses to one request. A response repeats the id and question of the request, stays
@@ -22,7 +22,7 @@
     private final Message request;
     private final int limit;
     private final long nowS;
-    private Tsig.Checked signature;
+    private Tsig.CheckResult signature;
     private String signatureError = "";
 
     /**
@@ -45,7 +45,7 @@
 
     /** Returns a FORMERR response to bytes that have a header but are not a valid message. */
     public static byte[] malformed(byte[] bytes) {
-        byte[] answer = new byte[Message.HEADER];
+        byte[] answer = new byte[Message.HEADER_BYTES];
         System.arraycopy(bytes, 0, answer, 0, 2);
         answer[2] = (byte) ((bytes[2] & 0x79) | 0x80);
         answer[3] = Rcode.FORMERR;
@@ -62,17 +62,17 @@
             signatureError = "malformed TSIG";
             return newAnswer(Rcode.FORMERR).toBytes();
         }
-        if (signature.good()) {
+        if (signature.isValid()) {
             return null;
         }
-        Tsig.Checked failed = signature;
+        Tsig.CheckResult failed = signature;
         signature = null;
         signatureError = Rcode.name(failed.error()) + ", key " + request.tsig().name();
         return Tsig.refuse(newAnswer(Rcode.NOTAUTH).toBytes(), request, failed, nowS);
     }
 
     /** Returns why {@link #check} rejected the signature, empty if it did not. */
-    public String why() {
+    public String signatureError() {
         return signatureError;
     }
 
@@ -139,11 +139,11 @@
         }
         boolean complete = true;
         for (int section = 1; section <= 3; section++) {
-            List<Placed> sets =
+            List<OwnedRrSet> sets =
                     section == 1
                             ? answer.answers()
                             : section == 2 ? answer.authority() : answer.additional();
-            for (Placed p : sets) {
+            for (OwnedRrSet p : sets) {
                 complete = complete && writer.add(section, p.name(), p.type(), Rr.IN, p.set());
                 // Additional records that do not fit are omitted without the TC bit, except for
                 // glue.
--- a/src/main/java/reeldeal/dns/Secondary.java
+++ b/src/main/java/reeldeal/dns/Secondary.java
@@ -15,9 +15,9 @@
      */
     public enum Step {
         NOTHING,
-        ASK_SOA,
-        ASK_CHANGES,
-        ASK_WHOLE,
+        QUERY_SOA,
+        REQUEST_IXFR,
+        REQUEST_AXFR,
         EXPIRE
     }
 
@@ -54,9 +54,9 @@
     private void readTimers(Zone zone) {
         byte[] soa = zone.soa().data();
         serial = zone.serial();
-        refreshMs = Math.max(MIN_MS, Zone.soaNumber(soa, 1) * 1_000);
-        retryMs = Math.max(MIN_MS, Zone.soaNumber(soa, 2) * 1_000);
-        expireMs = Math.max(MIN_MS, Zone.soaNumber(soa, 3) * 1_000);
+        refreshMs = Math.max(MIN_MS, Zone.soaField(soa, 1) * 1_000);
+        retryMs = Math.max(MIN_MS, Zone.soaField(soa, 2) * 1_000);
+        expireMs = Math.max(MIN_MS, Zone.soaField(soa, 3) * 1_000);
         hasZone = true;
     }
 
@@ -89,7 +89,7 @@
         }
         stepInProgress = true;
         checkAgain = false;
-        return hasZone && !fullTransferNeeded ? Step.ASK_SOA : Step.ASK_WHOLE;
+        return hasZone && !fullTransferNeeded ? Step.QUERY_SOA : Step.REQUEST_AXFR;
     }
 
     /**
@@ -97,7 +97,7 @@
      * primary will be contacted.
      */
     public boolean notified(long now, long newSerial) {
-        if (hasZone && !expired && newSerial >= 0 && !Zone.later(newSerial, serial)) {
+        if (hasZone && !expired && newSerial >= 0 && !Zone.isLater(newSerial, serial)) {
             return false;
         }
         if (stepInProgress) {
@@ -109,9 +109,9 @@
     }
 
     /** Handles the serial of the primary's SOA and returns the next step. */
-    public Step soa(long now, long primarySerial) {
-        if (!hasZone || Zone.later(primarySerial, serial)) {
-            return hasZone && !fullTransferNeeded ? Step.ASK_CHANGES : Step.ASK_WHOLE;
+    public Step soaReceived(long now, long primarySerial) {
+        if (!hasZone || Zone.isLater(primarySerial, serial)) {
+            return hasZone && !fullTransferNeeded ? Step.REQUEST_IXFR : Step.REQUEST_AXFR;
         }
         if (primarySerial != serial) {
             failed(now); // the primary has an older serial, which does not confirm the local zone
@@ -126,7 +126,7 @@
      * serial is older than that of the unexpired local zone.
      */
     public boolean transferred(long now, Zone zone) {
-        if (hasZone && !expired && !Zone.later(zone.serial(), serial) && zone.serial() != serial) {
+        if (hasZone && !expired && !Zone.isLater(zone.serial(), serial) && zone.serial() != serial) {
             failed(now);
             return false;
         }
@@ -148,7 +148,7 @@
      * Handles an incremental transfer that could not be applied: a full transfer is due at once
      * (RFC 1995, section 4).
      */
-    public void changesFailed(long now) {
+    public void incrementalTransferFailed(long now) {
         fullTransferNeeded = true;
         finishStep(now);
     }
--- a/src/main/java/reeldeal/dns/TransferIn.java
+++ b/src/main/java/reeldeal/dns/TransferIn.java
@@ -23,8 +23,8 @@
     public enum State {
         MORE,
         UP_TO_DATE,
-        WHOLE,
-        CHANGES,
+        FULL_TRANSFER,
+        INCREMENTAL_TRANSFER,
         FAILED
     }
 
@@ -81,7 +81,7 @@
     }
 
     /** Processes the next message of the stream. */
-    public State take(byte[] bytes) {
+    public State accept(byte[] bytes) {
         Message message;
         try {
             message = Message.parse(bytes);
@@ -120,11 +120,11 @@
             if (unsignedCount > 0) {
                 return fail("the last message of a signed transfer is unsigned");
             }
-            return diffs.isEmpty() ? State.WHOLE : State.CHANGES;
+            return diffs.isEmpty() ? State.FULL_TRANSFER : State.INCREMENTAL_TRANSFER;
         }
         if (expected == Expect.SECOND && message.answers().size() == 1) {
             // A single SOA: the zone is up to date, or (over UDP only) a full transfer is needed.
-            return !Zone.later(Zone.serial(targetSoa.data()), currentZone.serial())
+            return !Zone.isLater(Zone.serial(targetSoa.data()), currentZone.serial())
                             && !currentZone.isEmpty()
                     ? State.UP_TO_DATE
                     : State.MORE;
@@ -147,10 +147,10 @@
             unsignedBytes = extended;
             return true;
         }
-        Tsig.Checked checked =
+        Tsig.CheckResult checked =
                 Tsig.check(
                         message, Map.of(key.name(), key), now, mac, unsignedBytes, !firstMessage);
-        if (checked == null || !checked.good()) {
+        if (checked == null || !checked.isValid()) {
             return reject(
                     "a bad signature: "
                             + (checked == null ? "malformed" : Rcode.name(checked.error())));
@@ -227,7 +227,7 @@
             expected = Expect.ADDED;
             long from = Zone.serial(oldSoa.data());
             long to = Zone.serial(rr.data());
-            return Zone.later(to, from)
+            return Zone.isLater(to, from)
                     || reject(
                             "a change from serial "
                                     + from
@@ -324,7 +324,7 @@
     }
 
     /** Returns why the transfer failed, or null. */
-    public String why() {
+    public String failureReason() {
         return failureReason;
     }
 }
--- a/src/main/java/reeldeal/dns/TransferOut.java
+++ b/src/main/java/reeldeal/dns/TransferOut.java
@@ -33,7 +33,7 @@
      * Starts a full transfer; {@code key} and {@code mac} are the signing key and the MAC of the
      * request, or null.
      */
-    public static TransferOut whole(Message request, Zone zone, Tsig.Key key, byte[] mac) {
+    public static TransferOut full(Message request, Zone zone, Tsig.Key key, byte[] mac) {
         return new TransferOut(request, wholeRecords(zone), key, mac);
     }
 
@@ -42,7 +42,7 @@
      * client's version, a full transfer if the journal lacks them or they would be larger than the
      * zone, or a single SOA if the client is up to date.
      */
-    public static TransferOut changes(
+    public static TransferOut incremental(
             Message request, Zone zone, Journal journal, Tsig.Key key, byte[] mac) {
         long clientSerial =
                 request.sections.get(1).stream()
@@ -50,12 +50,12 @@
                         .mapToLong(r -> Zone.serial(r.data()))
                         .findFirst()
                         .orElse(-1);
-        if (clientSerial >= 0 && !Zone.later(zone.serial(), clientSerial)) {
+        if (clientSerial >= 0 && !Zone.isLater(zone.serial(), clientSerial)) {
             return new TransferOut(request, List.of(zone.soa()).iterator(), key, mac);
         }
         List<Diff> diffs = clientSerial < 0 ? null : journal.since(clientSerial);
         if (diffs == null || diffs.stream().mapToInt(Diff::recordCount).sum() > zone.size()) {
-            return whole(request, zone, key, mac);
+            return full(request, zone, key, mac);
         }
         ArrayDeque<Rr> sequence = new ArrayDeque<>();
         sequence.add(zone.soa());
@@ -74,11 +74,11 @@
      * 5936, section 2.2).
      */
     private static Iterator<Rr> wholeRecords(Zone zone) {
-        Iterator<Zone.Placed> sets = zone.sets();
+        Iterator<Zone.OwnedRrSet> sets = zone.sets();
         return new Iterator<>() {
             private boolean firstSoaSent;
             private boolean lastSoaSent;
-            private Zone.Placed set;
+            private Zone.OwnedRrSet set;
             private int dataIndex;
             private Rr pending;
 
--- a/src/main/java/reeldeal/dns/Tsig.java
+++ b/src/main/java/reeldeal/dns/Tsig.java
@@ -58,9 +58,9 @@
      * The result of a check: {@code error} is 0 or a TSIG error code; the key is null if it is
      * unknown.
      */
-    public record Checked(int error, Key key, byte[] mac, long time) {
+    public record CheckResult(int error, Key key, byte[] mac, long time) {
         /** Returns whether the message has a valid signature by a known key. */
-        public boolean good() {
+        public boolean isValid() {
             return error == 0 && key != null;
         }
     }
@@ -107,7 +107,7 @@
      * (section 5.3.1). Returns null if the TSIG record itself is malformed, which calls for
      * FORMERR.
      */
-    public static Checked check(
+    public static CheckResult check(
             Message message,
             Map<String, Key> keys,
             long now,
@@ -121,7 +121,7 @@
         }
         Key key = keys.get(record.name());
         if (key == null || !key.algorithm().equals(fields.algorithm())) {
-            return new Checked(Rcode.BADKEY, null, fields.mac(), fields.time());
+            return new CheckResult(Rcode.BADKEY, null, fields.mac(), fields.time());
         }
         Mac mac = key.mac();
         int macLength = mac.getMacLength();
@@ -150,17 +150,17 @@
                                 fields.otherData()));
         byte[] expected = mac.doFinal();
         if (!MessageDigest.isEqual(Arrays.copyOf(expected, fields.mac().length), fields.mac())) {
-            return new Checked(Rcode.BADSIG, key, fields.mac(), fields.time());
+            return new CheckResult(Rcode.BADSIG, key, fields.mac(), fields.time());
         }
         // Section 5.2.3: the time is checked only after the MAC.
         if (Math.abs(now - fields.time()) > fields.fudge()) {
-            return new Checked(Rcode.BADTIME, key, fields.mac(), fields.time());
+            return new CheckResult(Rcode.BADTIME, key, fields.mac(), fields.time());
         }
         // Section 5.2.4: by the policy of this server, truncated MACs are rejected.
         if (fields.mac().length < macLength) {
-            return new Checked(Rcode.BADTRUNC, key, fields.mac(), fields.time());
+            return new CheckResult(Rcode.BADTRUNC, key, fields.mac(), fields.time());
         }
-        return new Checked(fields.error(), key, fields.mac(), fields.time());
+        return new CheckResult(fields.error(), key, fields.mac(), fields.time());
     }
 
     /** Returns whether a message has a TSIG record. */
@@ -205,7 +205,7 @@
      * Completes the error response to a request whose check failed (section 5.3.2). Its TSIG record
      * has an empty MAC if the key is unknown or the MAC of the request is bad.
      */
-    static byte[] refuse(byte[] answer, Message request, Checked failed, long now) {
+    static byte[] refuse(byte[] answer, Message request, CheckResult failed, long now) {
         if (failed.error() == Rcode.BADKEY || failed.error() == Rcode.BADSIG) {
             Fields fields = fields(request.tsig().data());
             return appendRecord(
--- a/src/main/java/reeldeal/dns/Update.java
+++ b/src/main/java/reeldeal/dns/Update.java
@@ -159,7 +159,7 @@
         if (rr.type() == Rr.SOA) {
             boolean newer =
                     rr.name().equals(zone.origin)
-                            && Zone.later(Zone.serial(rr.data()), zone.serial());
+                            && Zone.isLater(Zone.serial(rr.data()), zone.serial());
             return newer
                     ? zone.with(rr.name(), Rr.SOA, new RrSet(rr.ttl(), List.of(rr.data())))
                     : zone;
--- a/src/main/java/reeldeal/dns/Zone.java
+++ b/src/main/java/reeldeal/dns/Zone.java
@@ -50,7 +50,7 @@
     }
 
     /** A record set with its owner name and type. */
-    public record Placed(String name, int type, RrSet set) {}
+    public record OwnedRrSet(String name, int type, RrSet set) {}
 
     public final String origin;
     private final TreePMap<String, Node> names;
@@ -155,19 +155,19 @@
     }
 
     static long serial(byte[] soa) {
-        return soaNumber(soa, 0);
+        return soaField(soa, 0);
     }
 
     /**
      * Returns a numeric field of SOA data by its index: 0 serial, 1 refresh, 2 retry, 3 expire, 4
      * minimum; all but the serial are in seconds.
      */
-    public static long soaNumber(byte[] soa, int index) {
+    public static long soaField(byte[] soa, int index) {
         return ByteBuffer.wrap(soa).getInt(soa.length - 20 + 4 * index) & 0xffffffffL;
     }
 
     /** Returns whether a serial number is later than another (RFC 1982, section 3.2). */
-    public static boolean later(long serial, long otherSerial) {
+    public static boolean isLater(long serial, long otherSerial) {
         return serial != otherSerial && (serial - otherSerial & 0xffffffffL) < 0x80000000L;
     }
 
@@ -189,7 +189,7 @@
      * Iterates over all record sets, those of the origin first and those of each name before the
      * names below it. The sets are not copied up front.
      */
-    public Iterator<Placed> sets() {
+    public Iterator<OwnedRrSet> sets() {
         Iterator<Map.Entry<String, Node>> nodes = names.entrySet().iterator();
         return new Iterator<>() {
             private String name;
@@ -202,7 +202,7 @@
             }
 
             @Override
-            public Placed next() {
+            public OwnedRrSet next() {
                 if (node == null || typeIndex >= node.types().length) {
                     Map.Entry<String, Node> entry = nodes.next();
                     name = nameOf(entry.getKey());
@@ -210,7 +210,7 @@
                     typeIndex = 0;
                 }
                 typeIndex++;
-                return new Placed(name, node.types()[typeIndex - 1], node.sets()[typeIndex - 1]);
+                return new OwnedRrSet(name, node.types()[typeIndex - 1], node.sets()[typeIndex - 1]);
             }
         };
     }
@@ -231,15 +231,15 @@
      * Returns all record sets at or below a name, such as {@code _searcher._tcp} followed by the
      * origin.
      */
-    public List<Placed> under(String name) {
+    public List<OwnedRrSet> setsBelow(String name) {
         String key = Names.sortKey(name);
-        List<Placed> found = new ArrayList<>();
+        List<OwnedRrSet> found = new ArrayList<>();
         for (Map.Entry<String, Node> entry = names.ceilingEntry(key);
                 entry != null && entry.getKey().startsWith(key);
                 entry = names.higherEntry(entry.getKey())) {
             for (int i = 0; i < entry.getValue().types().length; i++) {
                 found.add(
-                        new Placed(
+                        new OwnedRrSet(
                                 nameOf(entry.getKey()),
                                 entry.getValue().types()[i],
                                 entry.getValue().sets()[i]));
--- a/src/main/java/reeldeal/dns/ZoneFile.java
+++ b/src/main/java/reeldeal/dns/ZoneFile.java
@@ -8,7 +8,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import reeldeal.dns.Rdata.Token;
-import reeldeal.dns.Rdata.Unreadable;
+import reeldeal.dns.Rdata.InvalidRdataException;
 
 /**
  * Reads and writes zone files (RFC 1035, section 5) with {@code $INCLUDE}, {@code $TTL} (RFC 2308,
@@ -209,7 +209,7 @@
             case "$TTL" -> {
                 try {
                     shared.defaultTtl = Rdata.parseTime(argument(tokens, 2, "a time"));
-                } catch (Unreadable e) {
+                } catch (InvalidRdataException e) {
                     throw malformed(e.token, e.getMessage());
                 }
             }
@@ -352,7 +352,7 @@
             } else if (ttl < 0 && token.matches("[0-9]+([WDHMS][0-9WDHMS]*)?")) {
                 try {
                     ttl = Rdata.parseTime(tokens.get(index));
-                } catch (Unreadable e) {
+                } catch (InvalidRdataException e) {
                     throw malformed(e.token, e.getMessage());
                 }
             } else {
@@ -375,7 +375,7 @@
         byte[] data;
         try {
             data = Rdata.parse(type, tokens.subList(index + 1, tokens.size()), origin);
-        } catch (Unreadable e) {
+        } catch (InvalidRdataException e) {
             throw malformed(e.token, e.getMessage());
         }
         add(name, type, ttl, data, tokens.get(index));
@@ -388,7 +388,7 @@
                         ? explicitTtl
                         : shared.defaultTtl >= 0 ? shared.defaultTtl : shared.lastTtl;
         if (ttl < 0 && type == Rr.SOA) {
-            ttl = Zone.soaNumber(data, 4); // RFC 2308, section 4: the default if there is no $TTL
+            ttl = Zone.soaField(data, 4); // RFC 2308, section 4: the default if there is no $TTL
         }
         if (ttl < 0) {
             throw malformed(typeToken, "expected a time to live, or $TTL before this record");
@@ -428,7 +428,7 @@
             writeRecord(zone.origin, Rr.SOA, soa.ttl(), soa.data(), out);
         }
         for (var sets = zone.sets(); sets.hasNext(); ) {
-            Zone.Placed placed = sets.next();
+            Zone.OwnedRrSet placed = sets.next();
             if (placed.type() != Rr.SOA || !placed.name().equals(zone.origin)) {
                 for (byte[] data : placed.set().data()) {
                     writeRecord(placed.name(), placed.type(), placed.set().ttl(), data, out);
--- a/src/main/java/reeldeal/endpoints/EndpointReports.java
+++ b/src/main/java/reeldeal/endpoints/EndpointReports.java
@@ -45,7 +45,7 @@
      */
     public static List<EndpointReport> parse(Zone zone) {
         List<EndpointReport> reports = new ArrayList<>();
-        for (Zone.Placed placed : zone.under(SERVICE + zone.origin)) {
+        for (Zone.OwnedRrSet placed : zone.setsBelow(SERVICE + zone.origin)) {
             if (placed.type() == Rr.SRV) {
                 for (byte[] srv : placed.set().data()) {
                     String host = Names.text(srv, SRV_TARGET);
--- a/src/main/java/reeldeal/endpoints/EndpointSource.java
+++ b/src/main/java/reeldeal/endpoints/EndpointSource.java
@@ -63,7 +63,7 @@
                 || version < 0
                 || expired
                 || observedVersion == version
-                || Zone.later(observedVersion, version);
+                || Zone.isLater(observedVersion, version);
     }
 
     void forgetVersion() {
--- a/src/main/java/reeldeal/zones/DnsServer.java
+++ b/src/main/java/reeldeal/zones/DnsServer.java
@@ -216,7 +216,7 @@
         public void channelRead(ChannelHandlerContext context, Object message) {
             frames.feed((ByteBuf) message);
             for (byte[] frame = frames.next(); frame != null; frame = frames.next()) {
-                if (frame.length < Message.HEADER || (frame[2] & 0x80) != 0) {
+                if (frame.length < Message.HEADER_BYTES || (frame[2] & 0x80) != 0) {
                     ctx.close(); // no complete header to reply to, or a response
                     return;
                 }
--- a/src/main/java/reeldeal/zones/HostedZone.java
+++ b/src/main/java/reeldeal/zones/HostedZone.java
@@ -392,10 +392,10 @@
     /** Writes a zone as a new generation, one chunk after the other. */
     private final class Replacement {
         private final long newGeneration;
-        private final Iterator<Zone.Placed> sets;
+        private final Iterator<Zone.OwnedRrSet> sets;
         private final Consumer<Boolean> onDone;
 
-        Replacement(long newGeneration, Iterator<Zone.Placed> sets, Consumer<Boolean> onDone) {
+        Replacement(long newGeneration, Iterator<Zone.OwnedRrSet> sets, Consumer<Boolean> onDone) {
             this.newGeneration = newGeneration;
             this.sets = sets;
             this.onDone = onDone;
@@ -404,7 +404,7 @@
         void writeNextChunk() {
             List<Change> changes = new ArrayList<>();
             for (int chars = 0; chars < CHUNK_CHARS && sets.hasNext(); ) {
-                Zone.Placed placed = sets.next();
+                Zone.OwnedRrSet placed = sets.next();
                 Change change =
                         new Change(
                                 ZoneKeys.recordSetKey(
--- a/src/main/java/reeldeal/zones/MessageHandler.java
+++ b/src/main/java/reeldeal/zones/MessageHandler.java
@@ -71,7 +71,7 @@
 
     /** Handles a message from this address; the response, if any, goes to the reply channel. */
     void handle(byte[] bytes, InetSocketAddress from, boolean tcp, ReplyChannel reply) {
-        if (bytes.length < Message.HEADER || (bytes[2] & 0x80) != 0) {
+        if (bytes.length < Message.HEADER_BYTES || (bytes[2] & 0x80) != 0) {
             // No complete header to reply to, or a response. A reply to a response could start an
             // endless exchange.
             return;
@@ -92,7 +92,7 @@
             byte[] refusal = responder.check(config.keys());
             if (refusal != null) {
                 refusalLog.log(
-                        "dns: " + from.getAddress().getHostAddress() + ": " + responder.why());
+                        "dns: " + from.getAddress().getHostAddress() + ": " + responder.signatureError());
                 reply.send(refusal);
                 return;
             }
@@ -189,9 +189,9 @@
             openTransfers++;
             reply.stream(
                     question.type() == Rr.AXFR
-                            ? TransferOut.whole(
+                            ? TransferOut.full(
                                     message, zone.zone(), responder.key(), responder.mac())
-                            : TransferOut.changes(
+                            : TransferOut.incremental(
                                     message,
                                     zone.zone(),
                                     zone.journal,
@@ -300,7 +300,7 @@
         long serial =
                 message.answers().stream()
                         .filter(record -> record.type() == Rr.SOA && record.data().length > 20)
-                        .mapToLong(r -> Zone.soaNumber(r.data(), 0))
+                        .mapToLong(r -> Zone.soaField(r.data(), 0))
                         .findFirst()
                         .orElse(-1);
         notifications.onNotify(zone, serial);
--- a/src/main/java/reeldeal/zones/SecondaryZoneClient.java
+++ b/src/main/java/reeldeal/zones/SecondaryZoneClient.java
@@ -160,9 +160,9 @@
     private void sendRequest() {
         requestId = RANDOM.nextInt(65_536);
         int type =
-                step == Secondary.Step.ASK_SOA
+                step == Secondary.Step.QUERY_SOA
                         ? Rr.SOA
-                        : step == Secondary.Step.ASK_CHANGES ? Rr.IXFR : Rr.AXFR;
+                        : step == Secondary.Step.REQUEST_IXFR ? Rr.IXFR : Rr.AXFR;
         MessageWriter writer =
                 new MessageWriter(requestId, 0, 512).question(zone.entry.origin(), type, Rr.IN);
         if (type == Rr.IXFR) {
@@ -190,23 +190,23 @@
     @Override
     public void message(PeerLink from, byte[] message) {
         lastMessageAt = now.getAsLong();
-        if (step == Secondary.Step.ASK_SOA) {
+        if (step == Secondary.Step.QUERY_SOA) {
             handleSoaResponse(message);
             return;
         }
-        switch (transfer.take(message)) {
+        switch (transfer.accept(message)) {
             case MORE -> {}
             case UP_TO_DATE -> {
                 closeLink();
                 secondary.confirmed(now.getAsLong());
                 onConfirmed();
             }
-            case WHOLE -> {
+            case FULL_TRANSFER -> {
                 closeLink();
                 // The connection is closed, but the step ends only once the zone is committed.
                 zone.replace(transfer.zone(), committed -> onTransferStored(committed, "whole"));
             }
-            case CHANGES -> {
+            case INCREMENTAL_TRANSFER -> {
                 closeLink();
                 zone.applyTransferredChanges(
                         transfer.zone(),
@@ -216,7 +216,7 @@
             }
             case FAILED -> {
                 from.close();
-                ended(transfer.why());
+                ended(transfer.failureReason());
             }
             default -> throw new IllegalStateException();
         }
@@ -226,7 +226,7 @@
         try {
             Message message = Message.parse(bytes);
             Tsig.Key key = key();
-            Tsig.Checked signature =
+            Tsig.CheckResult signature =
                     key == null || !Tsig.isSigned(message)
                             ? null
                             : Tsig.check(
@@ -245,7 +245,7 @@
                                                     && record.data().length > 20)
                             .findFirst()
                             .orElse(null);
-            boolean badSignature = key != null && (signature == null || !signature.good());
+            boolean badSignature = key != null && (signature == null || !signature.isValid());
             if (message.id != requestId
                     || !message.response
                     || badSignature
@@ -260,8 +260,8 @@
                                         : "no matching response with an SOA record");
                 return;
             }
-            long serial = Zone.soaNumber(soa.data(), 0);
-            Secondary.Step next = secondary.soa(now.getAsLong(), serial);
+            long serial = Zone.soaField(soa.data(), 0);
+            Secondary.Step next = secondary.soaReceived(now.getAsLong(), serial);
             if (next == Secondary.Step.NOTHING) {
                 closeLink();
                 if (serial != zone.zone().serial()) {
@@ -325,8 +325,8 @@
     public void ended(String reason) {
         link = null;
         logIfNew(reason);
-        if (step == Secondary.Step.ASK_CHANGES) {
-            secondary.changesFailed(now.getAsLong());
+        if (step == Secondary.Step.REQUEST_IXFR) {
+            secondary.incrementalTransferFailed(now.getAsLong());
         } else {
             secondary.failed(now.getAsLong());
         }
--- a/src/test/java/reeldeal/dns/TransferInTest.java
+++ b/src/test/java/reeldeal/dns/TransferInTest.java
@@ -61,20 +61,20 @@
         TransferIn.State state = TransferIn.State.MORE;
         for (byte[] m : messages) {
             assertEquals(TransferIn.State.MORE, state);
-            state = transfer.take(m);
+            state = transfer.accept(m);
         }
         assertEquals(TransferIn.State.FAILED, state);
-        assertTrue(transfer.why() + ", expected " + reason, transfer.why().contains(reason));
+        assertTrue(transfer.failureReason() + ", expected " + reason, transfer.failureReason().contains(reason));
     }
 
     @Test
     public void fullTransferCompletesWithItsLastSoa() {
         TransferIn transfer = startTransfer(Zone.empty(ORIGIN), false);
-        assertEquals(TransferIn.State.MORE, transfer.take(message(9, 0, soa(5))));
+        assertEquals(TransferIn.State.MORE, transfer.accept(message(9, 0, soa(5))));
         assertEquals(
                 TransferIn.State.MORE,
-                transfer.take(message(9, 0, aRecord("x", 1), aRecord("y", 2))));
-        assertEquals(TransferIn.State.WHOLE, transfer.take(message(9, 0, soa(5))));
+                transfer.accept(message(9, 0, aRecord("x", 1), aRecord("y", 2))));
+        assertEquals(TransferIn.State.FULL_TRANSFER, transfer.accept(message(9, 0, soa(5))));
         assertEquals(3, transfer.zone().size());
         assertEquals(5, transfer.zone().serial());
     }
@@ -85,28 +85,28 @@
         TransferIn transfer = startTransfer(before, true);
         assertEquals(
                 TransferIn.State.MORE,
-                transfer.take(
+                transfer.accept(
                         message(9, 0, soa(7), soa(5), aRecord("x", 1), soa(6), aRecord("x", 2))));
         assertEquals(
-                TransferIn.State.CHANGES,
-                transfer.take(message(9, 0, soa(6), soa(7), aRecord("y", 3), soa(7))));
+                TransferIn.State.INCREMENTAL_TRANSFER,
+                transfer.accept(message(9, 0, soa(6), soa(7), aRecord("y", 3), soa(7))));
         assertEquals(2, transfer.diffs().size());
         assertEquals(7, transfer.zone().serial());
         assertTrue(transfer.zone().get("x.z.test.", Rr.A).contains(new byte[] {10, 0, 0, 2}));
         assertEquals("the current zone is unchanged", 5, before.serial());
         TransferIn wrapped = startTransfer(zone(0xffffffffL), true);
         assertEquals(
-                TransferIn.State.CHANGES,
-                wrapped.take(
+                TransferIn.State.INCREMENTAL_TRANSFER,
+                wrapped.accept(
                         message(9, 0, soa(2), soa(0xffffffffL), soa(2), aRecord("y", 1), soa(2))));
         assertEquals(
                 TransferIn.State.UP_TO_DATE,
-                startTransfer(zone(5), true).take(message(9, 0, soa(5))));
+                startTransfer(zone(5), true).accept(message(9, 0, soa(5))));
         TransferIn whole = startTransfer(before, true);
         assertEquals(
                 "the primary may answer with a full transfer",
-                TransferIn.State.WHOLE,
-                whole.take(message(9, 0, soa(9), aRecord("q", 1), soa(9))));
+                TransferIn.State.FULL_TRANSFER,
+                whole.accept(message(9, 0, soa(9), aRecord("q", 1), soa(9))));
     }
 
     @Test
@@ -169,12 +169,12 @@
         byte[] unsignedLastMessage = message(9, 0, soa(5));
         TransferIn transfer =
                 new TransferIn(9, Zone.empty(ORIGIN), false, KEY, request, 1_000, 100);
-        assertEquals(TransferIn.State.MORE, transfer.take(first.bytes()));
-        assertEquals(TransferIn.State.MORE, transfer.take(unsignedMessage));
+        assertEquals(TransferIn.State.MORE, transfer.accept(first.bytes()));
+        assertEquals(TransferIn.State.MORE, transfer.accept(unsignedMessage));
         assertEquals(
                 "the last must be signed",
                 TransferIn.State.FAILED,
-                transfer.take(unsignedLastMessage));
+                transfer.accept(unsignedLastMessage));
         // The next signature must also cover the unsigned messages before it.
         byte[] both = new byte[unsignedMessage.length + unsignedLastMessage.length];
         System.arraycopy(unsignedMessage, 0, both, 0, unsignedMessage.length);
@@ -182,16 +182,16 @@
                 unsignedLastMessage, 0, both, unsignedMessage.length, unsignedLastMessage.length);
         TransferIn tampered =
                 new TransferIn(9, Zone.empty(ORIGIN), false, KEY, request, 1_000, 100);
-        tampered.take(first.bytes());
-        tampered.take(unsignedMessage);
+        tampered.accept(first.bytes());
+        tampered.accept(unsignedMessage);
         assertEquals(
                 TransferIn.State.FAILED,
-                tampered.take(
+                tampered.accept(
                         Tsig.sign(unsignedLastMessage, KEY, 1_000, first.mac(), true).bytes()));
-        assertTrue(tampered.why().contains("BADSIG"));
+        assertTrue(tampered.failureReason().contains("BADSIG"));
         TransferIn unsigned =
                 new TransferIn(9, Zone.empty(ORIGIN), false, KEY, request, 1_000, 100);
-        assertEquals(TransferIn.State.FAILED, unsigned.take(message(9, 0, soa(5))));
+        assertEquals(TransferIn.State.FAILED, unsigned.accept(message(9, 0, soa(5))));
     }
 
     @Test
@@ -217,21 +217,21 @@
             MessageWriter request = new MessageWriter(9, 0, 512).question(ORIGIN, Rr.IXFR, Rr.IN);
             request.add(2, versions.get(from).soa());
             TransferOut out =
-                    TransferOut.changes(
+                    TransferOut.incremental(
                             Message.parse(request.toBytes()), zone, journal, KEY, new byte[32]);
             TransferIn transfer =
                     new TransferIn(9, versions.get(from), true, KEY, new byte[32], 1_000, 1_000);
             TransferIn.State state = null;
             while (out.hasNext()) {
-                state = transfer.take(out.next(1_000));
+                state = transfer.accept(out.next(1_000));
             }
             if (from == zone.serial()) {
                 assertEquals(TransferIn.State.UP_TO_DATE, state);
                 continue;
             }
             assertTrue(
-                    from + ": " + state + " " + transfer.why(),
-                    state == TransferIn.State.CHANGES || state == TransferIn.State.WHOLE);
+                    from + ": " + state + " " + transfer.failureReason(),
+                    state == TransferIn.State.INCREMENTAL_TRANSFER || state == TransferIn.State.FULL_TRANSFER);
             StringBuilder receivedText = new StringBuilder();
             StringBuilder expectedText = new StringBuilder();
             ZoneFile.write(transfer.zone(), receivedText);
@@ -246,33 +246,33 @@
     @Test
     public void secondaryFollowsTheTimersOfItsSoa() {
         Secondary secondary = new Secondary(2, 0);
-        assertEquals(Secondary.Step.ASK_WHOLE, secondary.tick(0));
+        assertEquals(Secondary.Step.REQUEST_AXFR, secondary.tick(0));
         secondary.failed(0);
         assertEquals("a failure selects the next primary", 1, secondary.primary());
         assertEquals(Secondary.Step.NOTHING, secondary.tick(999));
-        assertEquals(Secondary.Step.ASK_WHOLE, secondary.tick(1_000));
+        assertEquals(Secondary.Step.REQUEST_AXFR, secondary.tick(1_000));
         assertTrue(secondary.transferred(1_000, zone(5)));
         assertEquals("the refresh interval", 3_601_000, secondary.nextAt());
         assertTrue(
                 "only a NOTIFY with a newer serial triggers a check",
                 !secondary.notified(2_000, 5) && secondary.notified(2_000, 6));
-        assertEquals(Secondary.Step.ASK_SOA, secondary.tick(2_000));
+        assertEquals(Secondary.Step.QUERY_SOA, secondary.tick(2_000));
         assertTrue("a NOTIFY during a step triggers another check", secondary.notified(2_001, 8));
-        assertEquals(Secondary.Step.ASK_CHANGES, secondary.soa(2_010, 7));
-        secondary.changesFailed(2_020);
-        assertEquals(Secondary.Step.ASK_WHOLE, secondary.tick(2_020));
+        assertEquals(Secondary.Step.REQUEST_IXFR, secondary.soaReceived(2_010, 7));
+        secondary.incrementalTransferFailed(2_020);
+        assertEquals(Secondary.Step.REQUEST_AXFR, secondary.tick(2_020));
         assertTrue(secondary.transferred(2_030, zone(7)));
         assertEquals(
                 "the SOA is queried after the refresh interval",
-                Secondary.Step.ASK_SOA,
+                Secondary.Step.QUERY_SOA,
                 secondary.tick(3_700_000));
-        assertEquals(Secondary.Step.NOTHING, secondary.soa(3_700_000, 6));
+        assertEquals(Secondary.Step.NOTHING, secondary.soaReceived(3_700_000, 6));
         long now = 3_700_000;
         Secondary.Step step = Secondary.Step.NOTHING;
         while (step != Secondary.Step.EXPIRE) {
             now = secondary.nextAt();
             step = secondary.tick(now);
-            if (step == Secondary.Step.ASK_SOA) {
+            if (step == Secondary.Step.QUERY_SOA) {
                 secondary.failed(now);
             }
         }
