--- a/src/main/java/reeldeal/cli/FaultInjectionCommand.java
+++ b/src/main/java/reeldeal/cli/FaultInjectionCommand.java
@@ -104,7 +104,7 @@
                             runFolder,
                             initialJar != null && jar == null ? ownJar() : jar,
                             initialJar)) {
-                ScenarioRunner.Result result = runner.play();
+                ScenarioRunner.Result result = runner.run();
                 failedRuns += result.violations().isEmpty() ? 0 : 1;
                 spec.commandLine()
                         .getOut()
--- a/src/main/java/reeldeal/cli/MeasureCommands.java
+++ b/src/main/java/reeldeal/cli/MeasureCommands.java
@@ -120,7 +120,7 @@
                     "Measures the commits per second of groups of three and five nodes, by number of writers.",
             mixinStandardHelpOptions = true)
     int commits() throws Exception {
-        StoreBenchmark.commits();
+        StoreBenchmark.benchmarkCommits();
         return 0;
     }
 
@@ -128,7 +128,7 @@
             description = "Measures the time from the failure of a leader to the next commit.",
             mixinStandardHelpOptions = true)
     int death() throws Exception {
-        StoreBenchmark.death();
+        StoreBenchmark.benchmarkFailover();
         return 0;
     }
 
@@ -137,7 +137,7 @@
                     "Measures a start with the given number of keys, and writes during a compaction.",
             mixinStandardHelpOptions = true)
     int keys(@Parameters(paramLabel = "KEYS") int count) throws Exception {
-        StoreBenchmark.keys(count);
+        StoreBenchmark.benchmarkLargeState(count);
         return 0;
     }
 }
--- a/src/main/java/reeldeal/faultinjection/AnswerChecker.java
+++ b/src/main/java/reeldeal/faultinjection/AnswerChecker.java
@@ -61,21 +61,21 @@
                         ask ->
                                 findings.addViolation(
                                         "query without an answer at the end of the history: "
-                                                + ask.rest()));
+                                                + ask.detail()));
         addFigures();
     }
 
     private void recordOutage(History.Event event) {
         boolean endedAtFailpoint = event.isLogWithPrefix("work: ends at ");
         if (event.is("kill") || event.is("pause") || endedAtFailpoint) {
-            long from = endedAtFailpoint ? event.at() - LAST_LINE_DELAY_MS : event.at();
-            outages.computeIfAbsent(event.who(), broker -> new ArrayList<>())
+            long from = endedAtFailpoint ? event.atMs() - LAST_LINE_DELAY_MS : event.atMs();
+            outages.computeIfAbsent(event.source(), broker -> new ArrayList<>())
                     .add(new Outage(from, Long.MAX_VALUE));
         } else if (event.is("wake") || event.isLogWithPrefix("serving as ")) {
             outages.computeIfPresent(
-                    event.who(),
+                    event.source(),
                     (broker, brokerOutages) -> {
-                        brokerOutages.replaceAll(outage -> outage.endedAt(event.at()));
+                        brokerOutages.replaceAll(outage -> outage.endedAt(event.atMs()));
                         return brokerOutages;
                     });
         }
@@ -84,34 +84,34 @@
     private void recordQuery(History.Event event) {
         asked++;
         if (unanswered.put(event.attribute("id"), event) != null) {
-            findings.addViolation("query asked again while it was unanswered: " + event.rest());
+            findings.addViolation("query asked again while it was unanswered: " + event.detail());
         }
     }
 
     private void recordAnswer(History.Event event) {
         History.Event ask = unanswered.remove(event.attribute("id"));
         if (ask == null) {
-            findings.addViolation("answer to a query that is not outstanding: " + event.rest());
+            findings.addViolation("answer to a query that is not outstanding: " + event.detail());
             return;
         }
         boolean excused =
                 outages.getOrDefault(event.attribute("to"), List.of()).stream()
-                        .anyMatch(outage -> outage.overlaps(ask.at(), event.at()));
+                        .anyMatch(outage -> outage.overlaps(ask.atMs(), event.atMs()));
         if (event.is("noanswer")) {
             lost++;
             if (!excused) {
                 findings.addViolation(
                         "no answer from a broker that was neither killed nor paused to the query asked at "
-                                + ask.at()
+                                + ask.atMs()
                                 + " ms: "
-                                + event.rest());
+                                + event.detail());
             }
             return;
         }
-        complete += event.rest().contains("whole=true") ? 1 : 0;
-        rejected += event.rest().contains("status=429") ? 1 : 0;
+        complete += event.detail().contains("whole=true") ? 1 : 0;
+        rejected += event.detail().contains("status=429") ? 1 : 0;
         longestAnswerMs =
-                excused ? longestAnswerMs : Math.max(longestAnswerMs, event.at() - ask.at());
+                excused ? longestAnswerMs : Math.max(longestAnswerMs, event.atMs() - ask.atMs());
     }
 
     private void addFigures() {
--- a/src/main/java/reeldeal/faultinjection/CommitChecker.java
+++ b/src/main/java/reeldeal/faultinjection/CommitChecker.java
@@ -36,7 +36,7 @@
         FleetView before = new FleetView(Map.of());
         for (History.Event event : events) {
             if (event.is("commit")) {
-                before = applyCommit(before, FormAttributes.of(event.rest()));
+                before = applyCommit(before, FormAttributes.of(event.detail()));
             }
         }
         findings.addFigure(
--- a/src/main/java/reeldeal/faultinjection/DisruptionChecker.java
+++ b/src/main/java/reeldeal/faultinjection/DisruptionChecker.java
@@ -27,7 +27,7 @@
     void check() {
         for (History.Event event : events) {
             track(event);
-            checkBudget(event.at());
+            checkBudget(event.atMs());
         }
         checkRestarts();
         findings.addFigure(
@@ -39,17 +39,17 @@
 
     private void track(History.Event event) {
         if (event.is("policy")) {
-            allowed = Math.max(allowed, Long.parseLong(event.rest()));
+            allowed = Math.max(allowed, Long.parseLong(event.detail()));
         } else if (event.isLogWithPrefix("fleet: drains")) {
-            outByOrder.add(event.who());
-        } else if (event.is("log") && event.rest().contains("ending unplanned")) {
-            unplannedExits.add(event.who());
+            outByOrder.add(event.source());
+        } else if (event.is("log") && event.detail().contains("ending unplanned")) {
+            unplannedExits.add(event.source());
         } else if (event.isLogWithPrefix("fleet: ends: release")) {
-            restarts.merge(event.who(), 1, Integer::sum);
+            restarts.merge(event.source(), 1, Integer::sum);
         } else if (event.isLogWithPrefix("serving as ")
                 || event.isLogWithPrefix("fleet: serves again")) {
-            outByOrder.remove(event.who());
-            unplannedExits.remove(event.who());
+            outByOrder.remove(event.source());
+            unplannedExits.remove(event.source());
         }
     }
 
@@ -77,7 +77,7 @@
         boolean rolledBack =
                 events.stream()
                         .anyMatch(
-                                event -> event.is("progress") && event.rest().contains("way=back"));
+                                event -> event.is("progress") && event.detail().contains("way=back"));
         int allowedRestarts = rolledBack ? 2 : 1;
         restarts.forEach(
                 (broker, times) -> {
--- a/src/main/java/reeldeal/faultinjection/DrainChecker.java
+++ b/src/main/java/reeldeal/faultinjection/DrainChecker.java
@@ -25,17 +25,17 @@
         Map<String, Long> lastRequestAfterMs = new TreeMap<>();
         for (History.Event event : events) {
             if (event.is("drained")) {
-                drainedAt.put(event.who(), event.at());
-                lastRequestAfterMs.put(event.who(), -1L);
+                drainedAt.put(event.source(), event.atMs());
+                lastRequestAfterMs.put(event.source(), -1L);
             } else if (event.is("undrained") || event.is("listing")) {
-                drainedAt.remove(event.who());
-            } else if (event.is("part") && drainedAt.containsKey(event.who())) {
-                long afterMs = event.at() - drainedAt.get(event.who());
-                lastRequestAfterMs.merge(event.who(), afterMs, Math::max);
+                drainedAt.remove(event.source());
+            } else if (event.is("part") && drainedAt.containsKey(event.source())) {
+                long afterMs = event.atMs() - drainedAt.get(event.source());
+                lastRequestAfterMs.merge(event.source(), afterMs, Math::max);
                 if (afterMs > GRACE_MS) {
                     findings.addViolation(
                             "searcher "
-                                    + event.who()
+                                    + event.source()
                                     + " received a shard request "
                                     + afterMs
                                     + (" ms after its drain, allowed are " + GRACE_MS + " ms"));
--- a/src/main/java/reeldeal/faultinjection/History.java
+++ b/src/main/java/reeldeal/faultinjection/History.java
@@ -19,20 +19,20 @@
      * its kind, such as {@code ask} or {@code log}, and its text, which is a log line, form-encoded
      * attributes or empty.
      */
-    record Event(long at, String who, String what, String rest) {
+    record Event(long atMs, String source, String kind, String detail) {
         /** Returns whether this event is of a kind. */
         boolean is(String expected) {
-            return what.equals(expected);
+            return kind.equals(expected);
         }
 
         /** Returns whether this event is a log line that begins with {@code prefix}. */
         boolean isLogWithPrefix(String prefix) {
-            return what.equals("log") && rest.startsWith(prefix);
+            return kind.equals("log") && detail.startsWith(prefix);
         }
 
         /** Returns a value of the form-encoded attributes, or "" if the key is missing. */
         String attribute(String key) {
-            return FormAttributes.of(rest).get(key);
+            return FormAttributes.of(detail).get(key);
         }
     }
 
@@ -44,13 +44,13 @@
     }
 
     /** Returns the ms since the drill began. */
-    long now() {
+    long elapsedMs() {
         return (System.nanoTime() - startedAtNanos) / 1_000_000;
     }
 
     /** Adds an event that happens now. */
     void add(String source, String kind, String detail) {
-        add(now(), source, kind, detail);
+        add(elapsedMs(), source, kind, detail);
     }
 
     /** Adds an event that happened {@code atMs} after the drill began. */
--- a/src/main/java/reeldeal/faultinjection/IdempotentLoadGenerator.java
+++ b/src/main/java/reeldeal/faultinjection/IdempotentLoadGenerator.java
@@ -83,10 +83,10 @@
     }
 
     private void runRequest(String key, int number) {
-        long deadlineMs = history.now() + REQUEST_TIMEOUT_MS;
+        long deadlineMs = history.elapsedMs() + REQUEST_TIMEOUT_MS;
         history.add(key, "want", "");
         try {
-            for (int round = 0; history.now() < deadlineMs; round++) {
+            for (int round = 0; history.elapsedMs() < deadlineMs; round++) {
                 int copies = round > 0 && randomInt(4) == 0 ? 3 : 1;
                 List<Thread> attempts = new ArrayList<>();
                 boolean[] outcomeKnown = {false};
@@ -162,7 +162,7 @@
                                                 + key
                                                 + "\r\n",
                                         "{\"shards\":[" + shardsJson + "],\"q\":\"x\"}"));
-                String answer = TextCodec.http(socket.getInputStream());
+                String answer = TextCodec.readHttp(socket.getInputStream());
                 if (answer.equals("EOF")) {
                     throw new IOException("ended");
                 }
--- a/src/main/java/reeldeal/faultinjection/InFlightAtLossCounter.java
+++ b/src/main/java/reeldeal/faultinjection/InFlightAtLossCounter.java
@@ -40,7 +40,7 @@
     void count() {
         for (History.Event event : events) {
             if (event.is("answer") && isKeyed(event) && event.attribute("status").equals("200")) {
-                outcomeKnownAt.putIfAbsent(event.who(), event.at());
+                outcomeKnownAt.putIfAbsent(event.source(), event.atMs());
             }
         }
         events.forEach(this::track);
@@ -48,24 +48,24 @@
     }
 
     private static boolean isKeyed(History.Event event) {
-        return event.rest().contains(" key=");
+        return event.detail().contains(" key=");
     }
 
     private void track(History.Event event) {
         if (event.is("ask") && isKeyed(event)) {
-            inFlightAt(event.attribute("to")).put(event.attribute("id"), event.who());
-            firstAskedAt.putIfAbsent(event.who(), event.at());
+            inFlightAt(event.attribute("to")).put(event.attribute("id"), event.source());
+            firstAskedAt.putIfAbsent(event.source(), event.atMs());
         } else if (event.is("answer") && isKeyed(event)) {
             inFlightAt(event.attribute("to")).remove(event.attribute("id"));
         } else if (event.is("kill") || event.isLogWithPrefix("work: ends at ")) {
             losses++;
-            new HashSet<>(inFlightAt(event.who()).values())
-                    .forEach(key -> countLost(key, event.at()));
-            inFlight.remove(event.who());
-        } else if (event.is("part") && event.rest().contains("~")) {
-            Long lostAt = ownerLostAt.remove(event.rest().split("-")[0]);
+            new HashSet<>(inFlightAt(event.source()).values())
+                    .forEach(key -> countLost(key, event.atMs()));
+            inFlight.remove(event.source());
+        } else if (event.is("part") && event.detail().contains("~")) {
+            Long lostAt = ownerLostAt.remove(event.detail().split("-")[0]);
             if (lostAt != null) {
-                takenOverAfterMs.add(event.at() - lostAt);
+                takenOverAfterMs.add(event.atMs() - lostAt);
             }
         }
     }
@@ -119,6 +119,6 @@
         }
         events.stream()
                 .filter(event -> event.is("work"))
-                .forEach(event -> findings.addFigure("work at " + event.who(), event.rest()));
+                .forEach(event -> findings.addFigure("work at " + event.source(), event.detail()));
     }
 }
--- a/src/main/java/reeldeal/faultinjection/LoadGenerator.java
+++ b/src/main/java/reeldeal/faultinjection/LoadGenerator.java
@@ -103,7 +103,7 @@
             socket.setSoTimeout(200);
             socket.getOutputStream()
                     .write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(UTF_8));
-            return TextCodec.http(socket.getInputStream()).startsWith("200");
+            return TextCodec.readHttp(socket.getInputStream()).startsWith("200");
         } catch (IOException e) {
             return false;
         }
@@ -177,7 +177,7 @@
         history.add(query.client(), "ask", idAttributes + classAttribute);
         try {
             socket.getOutputStream().write(buildRequest(query));
-            String answer = TextCodec.http(socket.getInputStream());
+            String answer = TextCodec.readHttp(socket.getInputStream());
             if (answer.equals("EOF")) {
                 throw new IOException("ended");
             }
--- a/src/main/java/reeldeal/faultinjection/OutcomeChecker.java
+++ b/src/main/java/reeldeal/faultinjection/OutcomeChecker.java
@@ -39,16 +39,16 @@
         this.events = events;
         this.required = required;
         this.findings = findings;
-        requests.forEach(request -> startedAt.put(request.who(), request.at()));
+        requests.forEach(request -> startedAt.put(request.source(), request.atMs()));
     }
 
     void check() {
         for (History.Event event : events) {
-            if (!startedAt.containsKey(event.who())) {
+            if (!startedAt.containsKey(event.source())) {
                 continue;
             }
             if (event.is("ask")) {
-                firstBroker.putIfAbsent(event.who(), event.attribute("to"));
+                firstBroker.putIfAbsent(event.source(), event.attribute("to"));
             } else if (event.is("answer")) {
                 recordAnswer(event);
             }
@@ -57,7 +57,7 @@
     }
 
     private void recordAnswer(History.Event event) {
-        String client = event.who();
+        String client = event.source();
         String outcome = outcome(event);
         if (outcome == null) {
             return;
@@ -74,7 +74,7 @@
             }
             return;
         }
-        tookMs.add(event.at() - startedAt.get(client));
+        tookMs.add(event.atMs() - startedAt.get(client));
         if (outcome.equals(UNKNOWN)) {
             unknown++;
         } else if (!event.attribute("to").equals(firstBroker.get(client))) {
--- a/src/main/java/reeldeal/faultinjection/ProcessFleet.java
+++ b/src/main/java/reeldeal/faultinjection/ProcessFleet.java
@@ -54,7 +54,7 @@
         this.random = random;
         this.history = history;
         names = nodeNames(scenario);
-        founders = names.subList(0, scenario.fleet().founders());
+        founders = names.subList(0, scenario.fleet().initialBrokers());
         voters.addAll(names.subList(0, scenario.fleet().voters()));
         ports = new PortRange(PORTS_PER_NODE * names.size());
         createProxies();
@@ -65,7 +65,7 @@
 
     /** Returns the names of all nodes, voters first and spares last. */
     static List<String> nodeNames(Scenario scenario) {
-        int count = scenario.fleet().founders() + scenario.fleet().spares();
+        int count = scenario.fleet().initialBrokers() + scenario.fleet().spares();
         return IntStream.range(0, count).mapToObj(i -> "b" + i).toList();
     }
 
@@ -208,14 +208,14 @@
                 restartAt.remove(broker.name);
             } else if (!restartAt.containsKey(broker.name)) {
                 restartAfter(broker, RESTART_DELAY_MS + random.nextInt(RESTART_JITTER_MS));
-            } else if (history.now() >= restartAt.get(broker.name)) {
+            } else if (history.elapsedMs() >= restartAt.get(broker.name)) {
                 restartAt.remove(broker.name);
                 deployment.prepare(broker);
                 broker.start();
             }
         }
         for (Map.Entry<String, Long> due : Map.copyOf(healAt).entrySet()) {
-            if (history.now() >= due.getValue()) {
+            if (history.elapsedMs() >= due.getValue()) {
                 healAt.remove(due.getKey());
                 heal(brokers.get(due.getKey()));
             }
@@ -236,17 +236,17 @@
 
     /** Schedules the restart of a broker after a delay in ms. */
     void restartAfter(BrokerProcess broker, long ms) {
-        restartAt.put(broker.name, history.now() + ms);
+        restartAt.put(broker.name, history.elapsedMs() + ms);
     }
 
     /** Schedules the restart of a broker after a delay in ms, unless one is scheduled already. */
     void restartAfterIfUnscheduled(BrokerProcess broker, long ms) {
-        restartAt.putIfAbsent(broker.name, history.now() + ms);
+        restartAt.putIfAbsent(broker.name, history.elapsedMs() + ms);
     }
 
     /** Schedules the end of a broker's pause, partition or full disk after a delay in ms. */
     void healAfter(BrokerProcess broker, long ms) {
-        healAt.put(broker.name, history.now() + ms);
+        healAt.put(broker.name, history.elapsedMs() + ms);
     }
 
     /** Cancels the scheduled end of a broker's fault, since a power loss replaces that fault. */
--- a/src/main/java/reeldeal/faultinjection/RecoveryChecker.java
+++ b/src/main/java/reeldeal/faultinjection/RecoveryChecker.java
@@ -84,7 +84,7 @@
             return;
         }
         boolean rampEnabled =
-                events.stream().anyMatch(event -> event.is("steps") && !event.rest().equals("off"));
+                events.stream().anyMatch(event -> event.is("steps") && !event.detail().equals("off"));
         long overloaded = events.stream().filter(event -> event.is("fell")).count();
         if (rampEnabled && overloaded > 0) {
             findings.addViolation(
@@ -106,15 +106,15 @@
                         + stepsBack
                         + " steps taken back; searchers pushed over: "
                         + overloaded);
-        long first = losses.get(0).at();
+        long first = losses.get(0).atMs();
         double usualWorthPerMs =
                 (double)
                                 events.stream()
                                         .filter(
                                                 event ->
                                                         isServedComplete(event)
-                                                                && event.at() >= first - BASELINE_MS
-                                                                && event.at() < first)
+                                                                && event.atMs() >= first - BASELINE_MS
+                                                                && event.atMs() < first)
                                         .mapToInt(RecoveryChecker::priorityWeight)
                                         .sum()
                         / BASELINE_MS;
@@ -123,8 +123,8 @@
             History.Event loss = losses.get(i);
             long end =
                     Math.min(
-                            loss.at() + OBSERVED_MS,
-                            i + 1 < losses.size() ? losses.get(i + 1).at() : Long.MAX_VALUE);
+                            loss.atMs() + OBSERVED_MS,
+                            i + 1 < losses.size() ? losses.get(i + 1).atMs() : Long.MAX_VALUE);
             rows.add(describeRecovery(loss, end, usualWorthPerMs));
         }
         for (int i = 0; i < rows.size(); i++) {
@@ -133,15 +133,15 @@
     }
 
     private String describeRecovery(History.Event loss, long end, double usualWorthPerMs) {
-        long lossAt = loss.at();
+        long lossAt = loss.atMs();
         long firstAnswerAt =
                 events.stream()
                         .filter(
                                 event ->
                                         isServedComplete(event)
-                                                && event.at() > lossAt
-                                                && event.at() < end)
-                        .mapToLong(History.Event::at)
+                                                && event.atMs() > lossAt
+                                                && event.atMs() < end)
+                        .mapToLong(History.Event::atMs)
                         .findFirst()
                         .orElse(-1);
         long[] reachedAfterMs = {-1, -1};
@@ -149,13 +149,13 @@
         Map<String, Integer> worthByClass = new TreeMap<>();
         long connections = 0;
         for (History.Event event : events) {
-            if (event.at() <= lossAt || event.at() >= end) {
+            if (event.atMs() <= lossAt || event.atMs() >= end) {
                 continue;
             }
-            connections += event.is("conn") && event.at() < lossAt + CONNECTIONS_MS ? 1 : 0;
+            connections += event.is("conn") && event.atMs() < lossAt + CONNECTIONS_MS ? 1 : 0;
             if (isServedComplete(event)) {
                 worthBySlot.merge(
-                        (event.at() - lossAt) / SLOT_MS, priorityWeight(event), Integer::sum);
+                        (event.atMs() - lossAt) / SLOT_MS, priorityWeight(event), Integer::sum);
                 worthByClass.merge(event.attribute("class"), priorityWeight(event), Integer::sum);
             }
         }
@@ -190,8 +190,8 @@
 
     private static boolean isServedComplete(History.Event event) {
         return event.is("answer")
-                && event.rest().contains("class=")
-                && event.rest().contains("whole=true");
+                && event.detail().contains("class=")
+                && event.detail().contains("whole=true");
     }
 
     private static int priorityWeight(History.Event event) {
--- a/src/main/java/reeldeal/faultinjection/RequestRecordChecker.java
+++ b/src/main/java/reeldeal/faultinjection/RequestRecordChecker.java
@@ -24,7 +24,7 @@
         this.findings = findings;
         required =
                 events.stream()
-                        .anyMatch(event -> event.is("mode") && event.rest().contains("required"));
+                        .anyMatch(event -> event.is("mode") && event.detail().contains("required"));
     }
 
     /**
@@ -114,7 +114,7 @@
         int excused = 0;
         for (History.Event event : events) {
             if (event.is("forget")) {
-                forgotAt.put(event.who(), event.at());
+                forgotAt.put(event.source(), event.atMs());
             }
             if (!event.is("run")) {
                 continue;
@@ -125,7 +125,7 @@
             if (previousRun == null) {
                 continue;
             }
-            if (forgotAt.getOrDefault(previousRun.who(), -1L) >= previousRun.at()) {
+            if (forgotAt.getOrDefault(previousRun.source(), -1L) >= previousRun.atMs()) {
                 excused++;
                 continue;
             }
@@ -134,7 +134,7 @@
                 findings.addViolation(
                         shardRequest
                                 + " ran again after "
-                                + (event.at() - previousRun.at())
+                                + (event.atMs() - previousRun.atMs())
                                 + " ms, though the searcher of its previous run had not forgotten the key");
             }
         }
@@ -160,22 +160,22 @@
         int overlaps = 0;
         long longestMs = 0;
         for (History.Event event : events) {
-            if (!event.is("part") || !event.rest().startsWith("key")) {
+            if (!event.is("part") || !event.detail().startsWith("key")) {
                 continue;
             }
-            String requestName = event.rest().substring(0, event.rest().indexOf('.'));
+            String requestName = event.detail().substring(0, event.detail().indexOf('.'));
             int tilde = requestName.indexOf('~');
             int run = tilde < 0 ? 1 : Integer.parseInt(requestName.substring(tilde + 1));
             String key = requestName.split("-")[0];
-            LatestRun previousLatest = latest.putIfAbsent(key, new LatestRun(run, event.at()));
+            LatestRun previousLatest = latest.putIfAbsent(key, new LatestRun(run, event.atMs()));
             if (previousLatest == null) {
                 continue;
             }
             if (run > previousLatest.run()) {
-                latest.put(key, new LatestRun(run, event.at()));
+                latest.put(key, new LatestRun(run, event.atMs()));
             } else if (run < previousLatest.run()) {
                 overlaps++;
-                longestMs = Math.max(longestMs, event.at() - previousLatest.at());
+                longestMs = Math.max(longestMs, event.atMs() - previousLatest.at());
             }
         }
         findings.addFigure(
--- a/src/main/java/reeldeal/faultinjection/RolloutChecker.java
+++ b/src/main/java/reeldeal/faultinjection/RolloutChecker.java
@@ -19,30 +19,30 @@
     void check() {
         events.stream()
                 .filter(event -> event.is("broken"))
-                .forEach(event -> findings.addViolation(event.rest()));
+                .forEach(event -> findings.addViolation(event.detail()));
         lastProgress("").ifPresent(this::checkMembers);
         addTimeToHalt();
         addDuration();
         events.stream()
                 .filter(event -> event.is("cost"))
-                .forEach(event -> findings.addFigure("cost of " + event.who(), event.rest()));
+                .forEach(event -> findings.addFigure("cost of " + event.source(), event.detail()));
         events.stream()
                 .filter(event -> event.is("frames"))
-                .forEach(event -> findings.addFigure("frames between nodes", event.rest()));
+                .forEach(event -> findings.addFigure("frames between nodes", event.detail()));
     }
 
     private Optional<History.Event> lastProgress(String containing) {
         return events.stream()
-                .filter(event -> event.is("progress") && event.rest().contains(containing))
+                .filter(event -> event.is("progress") && event.detail().contains(containing))
                 .reduce((earlier, later) -> later);
     }
 
     private void checkMembers(History.Event end) {
-        findings.addFigure("the release's end", end.rest());
-        if (!end.rest().contains("progress=done")) {
+        findings.addFigure("the release's end", end.detail());
+        if (!end.detail().contains("progress=done")) {
             return;
         }
-        String expected = end.rest().contains("way=back") ? "old" : "new";
+        String expected = end.detail().contains("way=back") ? "old" : "new";
         for (History.Event event : events) {
             boolean asExpected =
                     event.attribute("state").equals("serving")
@@ -50,9 +50,9 @@
             if (event.is("final") && !asExpected) {
                 findings.addViolation(
                         "at the end of the history "
-                                + event.who()
+                                + event.source()
                                 + " is "
-                                + event.rest()
+                                + event.detail()
                                 + ", expected it to serve with the "
                                 + expected
                                 + " configuration");
@@ -65,13 +65,13 @@
         for (History.Event event : events) {
             boolean halted =
                     event.is("progress")
-                            && event.rest().contains("progress=halted")
-                            && event.rest().contains("budget");
+                            && event.detail().contains("progress=halted")
+                            && event.detail().contains("budget");
             if (event.is("kill")) {
-                killedAt = event.at();
+                killedAt = event.atMs();
             } else if (halted && killedAt >= 0) {
                 findings.addFigure(
-                        "from a broker's death to the halt", (event.at() - killedAt) + " ms");
+                        "from a broker's death to the halt", (event.atMs() - killedAt) + " ms");
                 killedAt = -1;
             }
         }
@@ -83,11 +83,11 @@
                         .filter(
                                 event ->
                                         event.is("progress")
-                                                && event.rest().contains("progress=running"))
+                                                && event.detail().contains("progress=running"))
                         .findFirst();
         Optional<History.Event> lastDone = lastProgress("progress=done");
         if (firstRunning.isPresent() && lastDone.isPresent()) {
-            long tookMs = lastDone.get().at() - firstRunning.get().at();
+            long tookMs = lastDone.get().atMs() - firstRunning.get().atMs();
             findings.addFigure("the release took", tookMs + " ms");
         }
     }
--- a/src/main/java/reeldeal/faultinjection/RolloutScript.java
+++ b/src/main/java/reeldeal/faultinjection/RolloutScript.java
@@ -92,8 +92,8 @@
         observe();
         boolean stopped =
                 progress.contains("progress=halted") || progress.contains("progress=paused");
-        if (stopped && history.now() - lastOrderAtMs > ORDER_RETRY_MS) {
-            lastOrderAtMs = history.now();
+        if (stopped && history.elapsedMs() - lastOrderAtMs > ORDER_RETRY_MS) {
+            lastOrderAtMs = history.elapsedMs();
             boolean rollBack =
                     rollout.onHalt() == Scenario.OnHalt.ROLL_BACK
                             && !rolledBack
--- a/src/main/java/reeldeal/faultinjection/Scenario.java
+++ b/src/main/java/reeldeal/faultinjection/Scenario.java
@@ -34,7 +34,7 @@
      */
     public record FleetSize(int voters, int learners, int searchers, int spares) {
         /** Returns the number of brokers that run from the beginning. */
-        int founders() {
+        int initialBrokers() {
             return voters + learners;
         }
     }
@@ -121,7 +121,7 @@
     /**
      * The behaviour of searchers and clients in a loss of power.
      *
-     * @param modelled whether the load is mixed and searchers fail when they are overloaded in slow
+     * @param enabled whether the load is mixed and searchers fail when they are overloaded in slow
      *     start
      * @param slowStartMs how long the slow start of a searcher takes, ms
      * @param capacityPerSecond shard requests a second that a searcher serves after slow start
@@ -129,7 +129,7 @@
      * @param recoverySteps the shares of the fleet's recovery ramp, {@code off} for none
      */
     public record PowerLoss(
-            boolean modelled,
+            boolean enabled,
             long slowStartMs,
             int capacityPerSecond,
             int loadFactor,
--- a/src/main/java/reeldeal/faultinjection/ScenarioReport.java
+++ b/src/main/java/reeldeal/faultinjection/ScenarioReport.java
@@ -57,15 +57,15 @@
         text.append(
                 "\n![Phases of each broker over time](chart.svg)\n\n## Time line\n\n| ms | who | what |\n| --- | --- | --- |\n");
         for (History.Event event : events) {
-            boolean shown = SHOWN_KINDS.contains(event.what()) || event.isLogWithPrefix("fleet: ");
+            boolean shown = SHOWN_KINDS.contains(event.kind()) || event.isLogWithPrefix("fleet: ");
             if (shown) {
                 text.append("| ")
-                        .append(event.at())
+                        .append(event.atMs())
                         .append(" | ")
-                        .append(event.who())
+                        .append(event.source())
                         .append(" | ")
-                        .append(event.what().equals("log") ? "" : event.what() + " ")
-                        .append(event.rest().replace("|", "/"))
+                        .append(event.kind().equals("log") ? "" : event.kind() + " ")
+                        .append(event.detail().replace("|", "/"))
                         .append(" |\n");
             }
         }
--- a/src/main/java/reeldeal/faultinjection/ScenarioRunner.java
+++ b/src/main/java/reeldeal/faultinjection/ScenarioRunner.java
@@ -79,7 +79,7 @@
     }
 
     /** Runs the scenario to its end, checks the invariants and writes the report. */
-    public Result play() throws Exception {
+    public Result run() throws Exception {
         fleet.start();
         supervisor.await(START_TIMEOUT_MS, "all brokers are serving", this::isFleetServing);
         setPolicy();
@@ -130,7 +130,7 @@
     }
 
     private void startLoad() {
-        boolean modelsPowerLoss = scenario.power().modelled();
+        boolean modelsPowerLoss = scenario.power().enabled();
         load =
                 new LoadGenerator(
                         List.copyOf(fleet.brokers()),
@@ -154,10 +154,10 @@
     }
 
     private void injectFaults() throws Exception {
-        long startMs = history.now();
+        long startMs = history.elapsedMs();
         fleet.inject(scenario.faults().frames());
-        while (!schedule.isEmpty() || faultPhaseContinues(history.now() - startMs)) {
-            schedule.runDue(history.now() - startMs);
+        while (!schedule.isEmpty() || faultPhaseContinues(history.elapsedMs() - startMs)) {
+            schedule.runDue(history.elapsedMs() - startMs);
             supervisor.supervise();
             rollout.observe();
             Thread.sleep(Supervisor.POLL_MS / 2);
--- a/src/main/java/reeldeal/faultinjection/SearcherFleet.java
+++ b/src/main/java/reeldeal/faultinjection/SearcherFleet.java
@@ -48,7 +48,7 @@
             FakeSearcher searcher =
                     new FakeSearcher(serviceMs, part -> history.add(name, "part", part), keys);
             searchers.add(searcher);
-            if (scenario.power().modelled()) {
+            if (scenario.power().enabled()) {
                 limitCapacity(searcher, name, scenario.power());
             }
         }
@@ -65,7 +65,7 @@
         Runnable onOverload =
                 () -> {
                     history.add(name, "fell", "");
-                    restartAt.put(searcher, history.now() + DOWN_AFTER_OVERLOAD_MS);
+                    restartAt.put(searcher, history.elapsedMs() + DOWN_AFTER_OVERLOAD_MS);
                 };
         searcher.limitCapacity(capacity, onOverload, () -> history.add(name, "conn", ""));
     }
@@ -118,7 +118,7 @@
             if (zone.isEmpty() || zone.equals(zoneOf(numberOf(searcher)))) {
                 searcher.stop();
                 long outageMs = SHORTEST_OUTAGE_MS + random.nextLong(Math.max(1, withinMs));
-                restartAt.put(searcher, history.now() + outageMs);
+                restartAt.put(searcher, history.elapsedMs() + outageMs);
             }
         }
     }
@@ -133,7 +133,7 @@
     /** Restarts the searchers that are due, and publishes the time of each restart in the zone. */
     void supervise(Collection<BrokerProcess> brokers) throws IOException {
         for (Map.Entry<FakeSearcher, Long> due : Map.copyOf(restartAt).entrySet()) {
-            if (history.now() >= due.getValue()) {
+            if (history.elapsedMs() >= due.getValue()) {
                 restartAt.remove(due.getKey());
                 due.getKey().restart();
                 history.add(nameOf(due.getKey()), "up", "");
--- a/src/main/java/reeldeal/faultinjection/StoreBenchmark.java
+++ b/src/main/java/reeldeal/faultinjection/StoreBenchmark.java
@@ -108,7 +108,7 @@
      * Measures commits a second for several numbers of writers, with and without group commit,
      * which flushes many writes at once.
      */
-    public static void commits() throws Exception {
+    public static void benchmarkCommits() throws Exception {
         for (int size : new int[] {3, 5}) {
             for (boolean groupCommit : new boolean[] {true, false}) {
                 for (int writers : new int[] {1, 16, 256}) {
@@ -187,7 +187,7 @@
     }
 
     /** Measures the time from the kill of the leader to the next commit, ten times. */
-    public static void death() throws Exception {
+    public static void benchmarkFailover() throws Exception {
         List<Long> failoverMs = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             try (Group group = new Group(3)) {
@@ -239,7 +239,7 @@
      * Measures the start of a node with {@code count} keys, and the delay of its event loop and its
      * writes during a compaction.
      */
-    public static void keys(int count) throws Exception {
+    public static void benchmarkLargeState(int count) throws Exception {
         try (Group group = new Group(1)) {
             long emptyHeapKiB = usedHeapKiB();
             KeyValueState state = new KeyValueState();
--- a/src/main/java/reeldeal/faultinjection/Supervisor.java
+++ b/src/main/java/reeldeal/faultinjection/Supervisor.java
@@ -45,13 +45,13 @@
     /** Multiplies the rate of the load by a factor for a time in ms. */
     void raiseLoad(int factor, long forMs) {
         load.setRateFactor(factor);
-        raisedLoadUntilMs = history.now() + forMs;
+        raisedLoadUntilMs = history.elapsedMs() + forMs;
     }
 
     /** Runs one round of the periodic work. */
     void supervise() throws Exception {
         fleet.supervise(this::installProgram);
-        if (load != null && raisedLoadUntilMs > 0 && history.now() > raisedLoadUntilMs) {
+        if (load != null && raisedLoadUntilMs > 0 && history.elapsedMs() > raisedLoadUntilMs) {
             raisedLoadUntilMs = 0;
             load.setRateFactor(1);
         }
@@ -63,9 +63,9 @@
      * within the timeout.
      */
     void await(long timeoutMs, String description, Condition condition) throws Exception {
-        long deadlineMs = history.now() + timeoutMs;
+        long deadlineMs = history.elapsedMs() + timeoutMs;
         while (!condition.holds()) {
-            if (history.now() > deadlineMs) {
+            if (history.elapsedMs() > deadlineMs) {
                 history.add(
                         "drill",
                         "broken",
--- a/src/main/java/reeldeal/faultinjection/TextCodec.java
+++ b/src/main/java/reeldeal/faultinjection/TextCodec.java
@@ -16,7 +16,7 @@
     private TextCodec() {}
 
     /** Reads the head of an HTTP message, or returns null at the end of the stream. */
-    public static String head(InputStream in) throws IOException {
+    public static String readHead(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
             int b = in.read();
@@ -32,8 +32,8 @@
      * Reads an HTTP message. Returns a response as {@code STATUS [retry-after=T] BODY}, a request
      * as {@code METHOD TARGET BODY}, and {@code EOF} at the end of the stream.
      */
-    public static String http(InputStream in) throws IOException {
-        String head = head(in);
+    public static String readHttp(InputStream in) throws IOException {
+        String head = readHead(in);
         if (head == null) {
             return "EOF";
         }
--- a/src/main/java/reeldeal/faultinjection/TimelineChart.java
+++ b/src/main/java/reeldeal/faultinjection/TimelineChart.java
@@ -37,7 +37,7 @@
 
         /** Returns the phase that begins with an event, or null if none does. */
         static Phase of(History.Event event) {
-            return switch (event.what()) {
+            return switch (event.kind()) {
                 case "start" -> STARTING;
                 case "exit", "kill" -> DOWN;
                 case "pause" -> PAUSED;
@@ -75,9 +75,9 @@
     TimelineChart(List<History.Event> events) {
         this.events = events;
         Set<String> names = new TreeSet<>();
-        events.stream().filter(event -> event.is("start")).forEach(event -> names.add(event.who()));
+        events.stream().filter(event -> event.is("start")).forEach(event -> names.add(event.source()));
         brokers = List.copyOf(names);
-        endMs = events.isEmpty() ? 1 : Math.max(1, events.get(events.size() - 1).at());
+        endMs = events.isEmpty() ? 1 : Math.max(1, events.get(events.size() - 1).atMs());
         scale = (double) (WIDTH - LABEL_WIDTH - RIGHT_MARGIN) / endMs;
         height = ROW_HEIGHT * brokers.size() + FOOTER_HEIGHT;
     }
@@ -121,9 +121,9 @@
         Map<String, PhaseStart> current = new HashMap<>();
         for (History.Event event : events) {
             Phase phase = Phase.of(event);
-            if (phase != null && brokers.contains(event.who())) {
-                drawPhase(event.who(), current.get(event.who()), event.at());
-                current.put(event.who(), new PhaseStart(phase, event.at()));
+            if (phase != null && brokers.contains(event.source())) {
+                drawPhase(event.source(), current.get(event.source()), event.atMs());
+                current.put(event.source(), new PhaseStart(phase, event.atMs()));
             }
         }
         current.forEach((broker, start) -> drawPhase(broker, start, endMs));
@@ -148,9 +148,9 @@
         for (History.Event event : events) {
             if (event.is("answer") || event.is("noanswer")) {
                 Answers answers =
-                        bySecond.computeIfAbsent(event.at() / SECOND_MS, second -> new Answers());
+                        bySecond.computeIfAbsent(event.atMs() / SECOND_MS, second -> new Answers());
                 answers.total++;
-                answers.complete += event.rest().contains("whole=true") ? 1 : 0;
+                answers.complete += event.detail().contains("whole=true") ? 1 : 0;
             }
         }
         int base = height - 20;
--- a/src/main/java/reeldeal/faultinjection/ZoneBenchmark.java
+++ b/src/main/java/reeldeal/faultinjection/ZoneBenchmark.java
@@ -204,7 +204,7 @@
                 while (!stopped) {
                     long sentNanos = System.nanoTime();
                     output.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(UTF_8));
-                    TextCodec.http(socket.getInputStream());
+                    TextCodec.readHttp(socket.getInputStream());
                     synchronized (healthLatency) {
                         healthLatency.recordValue(System.nanoTime() - sentNanos);
                     }
--- a/src/main/java/reeldeal/faultinjection/ZoneScriptReplay.java
+++ b/src/main/java/reeldeal/faultinjection/ZoneScriptReplay.java
@@ -103,7 +103,7 @@
                 case "back" -> history.add(rest, "undrained", "");
                 case "wait" -> Thread.sleep(Long.parseLong(rest));
                 case "served" -> {
-                    long since = history.now();
+                    long since = history.elapsedMs();
                     await(
                             SERVED_TIMEOUT_MS,
                             rest + " receives a shard request",
@@ -121,9 +121,9 @@
     }
 
     private void await(long timeoutMs, String description, Condition condition) throws Exception {
-        long end = history.now() + timeoutMs;
+        long end = history.elapsedMs() + timeoutMs;
         while (!condition.isMet()) {
-            if (history.now() > end) {
+            if (history.elapsedMs() > end) {
                 history.add(
                         "drill",
                         "broken",
@@ -141,7 +141,7 @@
         }
         client.send(ZoneClient.update(ORIGIN, List.of(withPorts.split(";"))));
         client.read();
-        updateAnsweredAt = history.now();
+        updateAnsweredAt = history.elapsedMs();
     }
 
     private void startProcesses(int count) throws Exception {
@@ -153,7 +153,7 @@
                     new FakeSearcher(
                             SERVICE_MS,
                             shardRequest -> {
-                                lastRequestAt.put(name, history.now());
+                                lastRequestAt.put(name, history.elapsedMs());
                                 history.add(name, "part", shardRequest);
                             });
             searchers.add(searcher);
--- a/src/test/java/reeldeal/discovery/DiscoveryWatcherTest.java
+++ b/src/test/java/reeldeal/discovery/DiscoveryWatcherTest.java
@@ -68,7 +68,7 @@
 
     private static String readTarget(Socket from) throws IOException {
         from.setSoTimeout(20_000);
-        return TextCodec.head(from.getInputStream()).split(" ")[1];
+        return TextCodec.readHead(from.getInputStream()).split(" ")[1];
     }
 
     private String nextName() throws InterruptedException {
--- a/src/test/java/reeldeal/faultinjection/ScenarioRunnerTest.java
+++ b/src/test/java/reeldeal/faultinjection/ScenarioRunnerTest.java
@@ -43,7 +43,7 @@
                         folder.resolve("run"),
                         null,
                         null)) {
-            ScenarioRunner.Result result = drill.play();
+            ScenarioRunner.Result result = drill.run();
             assertEquals(result.figures().toString(), List.of(), result.violations());
         }
         assertTrue(Files.readString(folder.resolve("run/report.md")).contains("All rules hold."));
@@ -56,14 +56,14 @@
         assertEquals(
                 "each broker was restarted once by the rollout",
                 5,
-                events.stream().filter(e -> e.rest().startsWith("fleet: ends: release")).count());
+                events.stream().filter(e -> e.detail().startsWith("fleet: ends: release")).count());
         assertEquals(
                 5,
                 events.stream()
                         .filter(
                                 e ->
-                                        e.what().equals("final")
-                                                && e.rest().equals("state=serving is=new"))
+                                        e.kind().equals("final")
+                                                && e.detail().equals("state=serving is=new"))
                         .count());
     }
 
@@ -73,18 +73,18 @@
         assertEquals(
                 3,
                 events.stream()
-                        .filter(e -> e.rest().contains("going on from the copy here"))
+                        .filter(e -> e.detail().contains("going on from the copy here"))
                         .count());
         long isolatedAt =
                 events.stream()
-                        .filter(e -> e.rest().contains("going on from the copy here"))
-                        .mapToLong(History.Event::at)
+                        .filter(e -> e.detail().contains("going on from the copy here"))
+                        .mapToLong(History.Event::atMs)
                         .max()
                         .orElseThrow();
         long healedAt =
                 events.stream()
-                        .filter(e -> e.what().equals("heal"))
-                        .mapToLong(History.Event::at)
+                        .filter(e -> e.kind().equals("heal"))
+                        .mapToLong(History.Event::atMs)
                         .min()
                         .orElseThrow();
         assertTrue(
@@ -92,10 +92,10 @@
                 events.stream()
                                 .filter(
                                         e ->
-                                                e.what().equals("answer")
-                                                        && e.at() > isolatedAt
-                                                        && e.at() < healedAt
-                                                        && e.rest().contains("whole=true"))
+                                                e.kind().equals("answer")
+                                                        && e.atMs() > isolatedAt
+                                                        && e.atMs() < healedAt
+                                                        && e.detail().contains("whole=true"))
                                 .count()
                         > 20);
     }
@@ -106,11 +106,11 @@
         assertEquals(
                 "no client gave up before it learned the outcome of its request",
                 0,
-                events.stream().filter(e -> e.what().equals("givesup")).count());
+                events.stream().filter(e -> e.kind().equals("givesup")).count());
         assertTrue(
                 "another broker ran the remaining shard requests",
-                events.stream().anyMatch(e -> e.what().equals("part") && e.rest().contains("~2.")));
-        assertTrue(events.stream().filter(e -> e.what().equals("want")).count() > 200);
+                events.stream().anyMatch(e -> e.kind().equals("part") && e.detail().contains("~2.")));
+        assertTrue(events.stream().filter(e -> e.kind().equals("want")).count() > 200);
     }
 
     @Test
@@ -120,23 +120,23 @@
         assertEquals(
                 1,
                 events.stream()
-                        .filter(e -> e.rest().startsWith("fleet: recovery 1 begins"))
+                        .filter(e -> e.detail().startsWith("fleet: recovery 1 begins"))
                         .count());
         assertEquals(
                 1,
                 events.stream()
-                        .filter(e -> e.rest().startsWith("fleet: recovery 1 is over"))
+                        .filter(e -> e.detail().startsWith("fleet: recovery 1 is over"))
                         .count());
         assertEquals(
                 "nodes that truncated a torn write from their log",
                 5,
                 events.stream()
-                        .filter(e -> e.rest().startsWith("store: cut a torn write"))
+                        .filter(e -> e.detail().startsWith("store: cut a torn write"))
                         .count());
         long powerLostAt =
                 events.stream()
-                        .filter(e -> e.what().equals("power"))
-                        .mapToLong(History.Event::at)
+                        .filter(e -> e.kind().equals("power"))
+                        .mapToLong(History.Event::atMs)
                         .findFirst()
                         .orElseThrow();
         assertTrue(
@@ -144,13 +144,13 @@
                 events.stream()
                         .anyMatch(
                                 e ->
-                                        e.at() > powerLostAt
-                                                && e.what().equals("progress")
-                                                && e.rest().contains("progress=halted")));
+                                        e.atMs() > powerLostAt
+                                                && e.kind().equals("progress")
+                                                && e.detail().contains("progress=halted")));
         long listedAt =
                 events.stream()
-                        .filter(e -> e.what().equals("listing") && e.who().equals("s12"))
-                        .mapToLong(History.Event::at)
+                        .filter(e -> e.kind().equals("listing") && e.source().equals("s12"))
+                        .mapToLong(History.Event::atMs)
                         .findFirst()
                         .orElseThrow();
         assertEquals(
@@ -159,10 +159,10 @@
                 events.stream()
                         .filter(
                                 e ->
-                                        e.what().equals("part")
-                                                && e.who().equals("s12")
-                                                && e.at() > powerLostAt
-                                                && e.at() < listedAt)
+                                        e.kind().equals("part")
+                                                && e.source().equals("s12")
+                                                && e.atMs() > powerLostAt
+                                                && e.atMs() < listedAt)
                         .count());
     }
 
@@ -172,30 +172,30 @@
         List<History.Event> events = runScenario("folders");
         long powerLostAt =
                 events.stream()
-                        .filter(e -> e.what().equals("power"))
-                        .mapToLong(History.Event::at)
+                        .filter(e -> e.kind().equals("power"))
+                        .mapToLong(History.Event::atMs)
                         .findFirst()
                         .orElseThrow();
         List<History.Event> rolledBack =
                 events.stream()
-                        .filter(e -> e.rest().startsWith("store: this folder went back"))
+                        .filter(e -> e.detail().startsWith("store: this folder went back"))
                         .toList();
         assertEquals(1, rolledBack.size());
-        assertEquals("b1", rolledBack.get(0).who());
+        assertEquals("b1", rolledBack.get(0).source());
         long leaderElectedAt =
                 events.stream()
-                        .filter(e -> e.at() > powerLostAt && e.rest().contains(" leads, term "))
-                        .mapToLong(History.Event::at)
+                        .filter(e -> e.atMs() > powerLostAt && e.detail().contains(" leads, term "))
+                        .mapToLong(History.Event::atMs)
                         .findFirst()
                         .orElseThrow();
         long othersStartedAt =
                 events.stream()
                         .filter(
                                 e ->
-                                        e.at() > powerLostAt
-                                                && e.what().equals("start")
-                                                && e.who().matches("b[02]"))
-                        .mapToLong(History.Event::at)
+                                        e.atMs() > powerLostAt
+                                                && e.kind().equals("start")
+                                                && e.source().matches("b[02]"))
+                        .mapToLong(History.Event::atMs)
                         .max()
                         .orElseThrow();
         assertTrue(
@@ -208,7 +208,7 @@
                 "nodes that truncated a torn write from their log",
                 3,
                 events.stream()
-                        .filter(e -> e.rest().startsWith("store: cut a torn write"))
+                        .filter(e -> e.detail().startsWith("store: cut a torn write"))
                         .count());
         assertEquals(
                 "a spare serves in place of b1",
@@ -216,9 +216,9 @@
                 events.stream()
                         .filter(
                                 e ->
-                                        e.what().equals("final")
-                                                && e.rest().startsWith("state=serving"))
-                        .map(History.Event::who)
+                                        e.kind().equals("final")
+                                                && e.detail().startsWith("state=serving"))
+                        .map(History.Event::source)
                         .sorted()
                         .toList());
     }
--- a/src/test/java/reeldeal/faultinjection/ZoneScriptReplayTest.java
+++ b/src/test/java/reeldeal/faultinjection/ZoneScriptReplayTest.java
@@ -48,9 +48,9 @@
                 History.read(folder.getRoot().toPath().resolve("run/history.txt"));
         assertTrue(
                 "expected at least 4 drains; number of events: " + events.size(),
-                events.stream().filter(e -> e.what().equals("drained")).count() >= 4);
+                events.stream().filter(e -> e.kind().equals("drained")).count() >= 4);
         assertTrue(
                 "expected more than 100 complete answers",
-                events.stream().filter(e -> e.rest().contains("whole=true")).count() > 100);
+                events.stream().filter(e -> e.detail().contains("whole=true")).count() > 100);
     }
 }
--- a/src/test/java/reeldeal/server/ExchangeTest.java
+++ b/src/test/java/reeldeal/server/ExchangeTest.java
@@ -385,7 +385,7 @@
                     received =
                             name.startsWith("dns")
                                     ? TextCodec.hex(in)
-                                    : party.frames ? TextCodec.frame(in) : TextCodec.http(in);
+                                    : party.frames ? TextCodec.frame(in) : TextCodec.readHttp(in);
                 } catch (SocketException e) {
                     received = "RESET";
                 }
--- a/src/test/java/reeldeal/server/FakeDiscovery.java
+++ b/src/test/java/reeldeal/server/FakeDiscovery.java
@@ -117,7 +117,7 @@
         try (socket) {
             InputStream in = socket.getInputStream();
             while (true) {
-                String head = TextCodec.head(in);
+                String head = TextCodec.readHead(in);
                 if (head == null) {
                     return;
                 }
