--- a/src/main/java/reeldeal/cli/DnsClient.java
+++ b/src/main/java/reeldeal/cli/DnsClient.java
@@ -155,7 +155,8 @@
             TransferIn.State state = transfer.accept((byte[]) awaitEvent());
             if (state == TransferIn.State.FAILED) {
                 throw new Commands.CommandFailedException(
-                        Commands.EXIT_FAILURE, server + ": " + origin + ": " + transfer.failureReason());
+                        Commands.EXIT_FAILURE,
+                        server + ": " + origin + ": " + transfer.failureReason());
             } else if (state != TransferIn.State.MORE) {
                 return transfer.zone();
             }
--- a/src/main/java/reeldeal/decision/DecisionEngine.java
+++ b/src/main/java/reeldeal/decision/DecisionEngine.java
@@ -195,7 +195,8 @@
     }
 
     @Override
-    public void probeOutcome(double now, long server, Outcome outcome, double elapsedMs, double[] load) {
+    public void probeOutcome(
+            double now, long server, Outcome outcome, double elapsedMs, double[] load) {
         advance(now);
     }
 
--- a/src/main/java/reeldeal/dns/Message.java
+++ b/src/main/java/reeldeal/dns/Message.java
@@ -162,7 +162,9 @@
      * letter case; empty unless there is exactly one question.
      */
     byte[] question() {
-        return questions.size() == 1 ? Arrays.copyOfRange(bytes, HEADER_BYTES, questionEnd) : new byte[0];
+        return questions.size() == 1
+                ? Arrays.copyOfRange(bytes, HEADER_BYTES, questionEnd)
+                : new byte[0];
     }
 
     /** Returns the answer section, or the prerequisite section of an update. */
--- a/src/main/java/reeldeal/dns/Rdata.java
+++ b/src/main/java/reeldeal/dns/Rdata.java
@@ -25,11 +25,11 @@
      * Thrown for text that cannot be parsed. The message says what was expected; {@code token} is
      * where, or null for the end of the entry.
      */
-    static final class InvalidRdataException extends Exception {
+    static final class InvalidRdata extends Exception {
         private static final long serialVersionUID = 1L;
         final transient Token token;
 
-        InvalidRdataException(Token token, String expected) {
+        InvalidRdata(Token token, String expected) {
             super(expected);
             this.token = token;
         }
@@ -43,13 +43,13 @@
      * Parses the data of a record from its tokens and returns it in wire form; names are relative
      * to the origin.
      */
-    static byte[] parse(int type, List<Token> tokens, String origin) throws InvalidRdataException {
+    static byte[] parse(int type, List<Token> tokens, String origin) throws InvalidRdata {
         if (!tokens.isEmpty() && tokens.get(0).text().equals("\\#") && !tokens.get(0).quoted()) {
             return parseGeneric(type, tokens);
         }
         Field[] fields = Types.fields(type);
         if (fields == null) {
-            throw new InvalidRdataException(
+            throw new InvalidRdata(
                     tokens.isEmpty() ? null : tokens.get(0),
                     "expected \\# and the data in hexadecimal, since type "
                             + Types.name(type)
@@ -59,7 +59,7 @@
         int i = 0;
         for (Field field : fields) {
             if (i >= tokens.size()) {
-                throw new InvalidRdataException(
+                throw new InvalidRdata(
                         null,
                         "expected "
                                 + expectedInput(field)
@@ -72,31 +72,31 @@
             i = parseField(field, tokens, i, origin, out);
         }
         if (i < tokens.size()) {
-            throw new InvalidRdataException(
+            throw new InvalidRdata(
                     tokens.get(i), "expected the end of the " + Types.name(type) + " record");
         }
         if (out.size() > MAX_DATA_BYTES) {
-            throw new InvalidRdataException(null, "expected at most " + MAX_DATA_BYTES + " bytes of data");
+            throw new InvalidRdata(null, "expected at most " + MAX_DATA_BYTES + " bytes of data");
         }
         return out.toByteArray();
     }
 
-    private static byte[] parseGeneric(int type, List<Token> tokens) throws InvalidRdataException {
+    private static byte[] parseGeneric(int type, List<Token> tokens) throws InvalidRdata {
         if (tokens.size() < 2) {
-            throw new InvalidRdataException(null, "expected the length of the data");
+            throw new InvalidRdata(null, "expected the length of the data");
         }
         int length = (int) parseNumber(tokens.get(1), MAX_DATA_BYTES);
         StringBuilder digits = new StringBuilder();
         tokens.subList(2, tokens.size()).forEach(w -> digits.append(w.text()));
         byte[] data = parseHex(tokens.get(tokens.size() - 1), digits.toString());
         if (data.length != length) {
-            throw new InvalidRdataException(
+            throw new InvalidRdata(
                     tokens.get(1), "expected " + length + " bytes, found " + data.length);
         }
         // RFC 3597, section 5: data in generic form must still be valid for a known type.
         byte[] canonical = Message.canonicalData(type, data);
         if (canonical == null) {
-            throw new InvalidRdataException(
+            throw new InvalidRdata(
                     tokens.get(1), "expected data that is valid for type " + Types.name(type));
         }
         return canonical;
@@ -121,13 +121,13 @@
 
     private static int parseField(
             Field field, List<Token> tokens, int index, String origin, ByteArrayOutputStream out)
-            throws InvalidRdataException {
+            throws InvalidRdata {
         Token token = tokens.get(index);
         switch (field) {
             case NAME, PLAIN_NAME -> {
                 String name = Names.parse(token.text(), origin);
                 if (name == null || token.quoted()) {
-                    throw new InvalidRdataException(token, "expected a domain name, found " + token.text());
+                    throw new InvalidRdata(token, "expected a domain name, found " + token.text());
                 }
                 out.writeBytes(Names.wire(name));
             }
@@ -153,7 +153,7 @@
                                     ? parseHex(token, digits.toString())
                                     : Base64.getDecoder().decode(digits.toString()));
                 } catch (IllegalArgumentException e) {
-                    throw new InvalidRdataException(token, "expected base64, found " + digits);
+                    throw new InvalidRdata(token, "expected base64, found " + digits);
                 }
                 return tokens.size();
             }
@@ -188,9 +188,9 @@
         }
     }
 
-    static long parseNumber(Token token, long max) throws InvalidRdataException {
+    static long parseNumber(Token token, long max) throws InvalidRdata {
         if (!token.text().matches("[0-9]{1,10}") || Long.parseLong(token.text()) > max) {
-            throw new InvalidRdataException(
+            throw new InvalidRdata(
                     token, "expected a number up to " + max + ", found " + token.text());
         }
         return Long.parseLong(token.text());
@@ -200,7 +200,7 @@
      * Parses a number of seconds or a sum with units such as {@code 1h30m}, at most 2^31 - 1
      * seconds.
      */
-    static long parseTime(Token token) throws InvalidRdataException {
+    static long parseTime(Token token) throws InvalidRdata {
         long sum = 0;
         long number = -1;
         boolean valid = !token.text().isEmpty();
@@ -216,7 +216,7 @@
             }
             valid &= number <= MAX_TTL && sum + Math.max(0, number) <= MAX_TTL;
             if (!valid) {
-                throw new InvalidRdataException(
+                throw new InvalidRdata(
                         token,
                         "expected a time of at most " + MAX_TTL + " s, found " + token.text());
             }
@@ -224,44 +224,44 @@
         return sum + Math.max(0, number);
     }
 
-    private static byte[] parseAddress(Token token, boolean ipv6) throws InvalidRdataException {
+    private static byte[] parseAddress(Token token, boolean ipv6) throws InvalidRdata {
         IPAddress address =
                 !token.text().matches(ipv6 ? "[0-9a-fA-F:.]{2,45}" : "[0-9]{1,3}(\\.[0-9]{1,3}){3}")
                         ? null
                         : new IPAddressString(token.text()).getAddress();
         if (address == null || address.isIPv6() != ipv6 || address.isMultiple()) {
-            throw new InvalidRdataException(
+            throw new InvalidRdata(
                     token, "expected an IPv" + (ipv6 ? 6 : 4) + " address, found " + token.text());
         }
         return address.getBytes();
     }
 
-    private static byte[] parseHex(Token token, String digits) throws InvalidRdataException {
+    private static byte[] parseHex(Token token, String digits) throws InvalidRdata {
         try {
             return HexFormat.of().parseHex(digits);
         } catch (IllegalArgumentException e) {
-            throw new InvalidRdataException(token, "expected pairs of hexadecimal digits, found " + digits);
+            throw new InvalidRdata(token, "expected pairs of hexadecimal digits, found " + digits);
         }
     }
 
-    private static void writeString(Token token, ByteArrayOutputStream out) throws InvalidRdataException {
+    private static void writeString(Token token, ByteArrayOutputStream out) throws InvalidRdata {
         byte[] string = unescapedBytes(token);
         if (string.length > 255) {
-            throw new InvalidRdataException(
+            throw new InvalidRdata(
                     token, "expected a string of up to 255 bytes, found " + string.length);
         }
         out.write(string.length);
         out.writeBytes(string);
     }
 
-    private static byte[] unescapedBytes(Token token) throws InvalidRdataException {
+    private static byte[] unescapedBytes(Token token) throws InvalidRdata {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         String text = token.text();
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) == '\\') {
                 int code = Names.decodeEscape(text, i);
                 if (code < 0) {
-                    throw new InvalidRdataException(token, "expected an escape \\DDD or \\X in " + text);
+                    throw new InvalidRdata(token, "expected an escape \\DDD or \\X in " + text);
                 }
                 out.write(code);
                 i += Names.isDigit(text.charAt(i + 1)) ? 3 : 1;
--- a/src/main/java/reeldeal/dns/RecordText.java
+++ b/src/main/java/reeldeal/dns/RecordText.java
@@ -21,7 +21,8 @@
      * Parses a record. If {@code complete} is set, TTL, type and data are required; otherwise type
      * and data are optional and a TTL is not allowed.
      */
-    public static RecordText parse(String text, String origin, boolean complete) throws InvalidRecordException {
+    public static RecordText parse(String text, String origin, boolean complete)
+            throws InvalidRecordException {
         try {
             List<Rdata.Token> tokens = ZoneFile.tokens(text);
             if (tokens.isEmpty()) {
@@ -50,7 +51,8 @@
                             ? Rr.ANY
                             : Types.number(tokens.get(index).text());
             if (type < 0 || (complete && Rr.isMeta(type))) {
-                throw new InvalidRecordException("expected a record type, found " + tokens.get(index).text());
+                throw new InvalidRecordException(
+                        "expected a record type, found " + tokens.get(index).text());
             }
             List<Rdata.Token> dataTokens = tokens.subList(index + 1, tokens.size());
             return new RecordText(
@@ -60,7 +62,7 @@
                     dataTokens.isEmpty() && !complete
                             ? new byte[0]
                             : Rdata.parse(type, dataTokens, origin));
-        } catch (Rdata.InvalidRdataException e) {
+        } catch (Rdata.InvalidRdata e) {
             throw new InvalidRecordException(e.getMessage() + " in: " + text);
         } catch (ZoneFile.Malformed e) {
             throw new InvalidRecordException(e.getMessage());
--- a/src/main/java/reeldeal/dns/Secondary.java
+++ b/src/main/java/reeldeal/dns/Secondary.java
@@ -126,7 +126,10 @@
      * serial is older than that of the unexpired local zone.
      */
     public boolean transferred(long now, Zone zone) {
-        if (hasZone && !expired && !Zone.isLater(zone.serial(), serial) && zone.serial() != serial) {
+        if (hasZone
+                && !expired
+                && !Zone.isLater(zone.serial(), serial)
+                && zone.serial() != serial) {
             failed(now);
             return false;
         }
--- a/src/main/java/reeldeal/dns/Zone.java
+++ b/src/main/java/reeldeal/dns/Zone.java
@@ -210,7 +210,8 @@
                     typeIndex = 0;
                 }
                 typeIndex++;
-                return new OwnedRrSet(name, node.types()[typeIndex - 1], node.sets()[typeIndex - 1]);
+                return new OwnedRrSet(
+                        name, node.types()[typeIndex - 1], node.sets()[typeIndex - 1]);
             }
         };
     }
--- a/src/main/java/reeldeal/dns/ZoneFile.java
+++ b/src/main/java/reeldeal/dns/ZoneFile.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import reeldeal.dns.Rdata.InvalidRdata;
 import reeldeal.dns.Rdata.Token;
-import reeldeal.dns.Rdata.InvalidRdataException;
 
 /**
  * Reads and writes zone files (RFC 1035, section 5) with {@code $INCLUDE}, {@code $TTL} (RFC 2308,
@@ -209,7 +209,7 @@
             case "$TTL" -> {
                 try {
                     shared.defaultTtl = Rdata.parseTime(argument(tokens, 2, "a time"));
-                } catch (InvalidRdataException e) {
+                } catch (InvalidRdata e) {
                     throw malformed(e.token, e.getMessage());
                 }
             }
@@ -352,7 +352,7 @@
             } else if (ttl < 0 && token.matches("[0-9]+([WDHMS][0-9WDHMS]*)?")) {
                 try {
                     ttl = Rdata.parseTime(tokens.get(index));
-                } catch (InvalidRdataException e) {
+                } catch (InvalidRdata e) {
                     throw malformed(e.token, e.getMessage());
                 }
             } else {
@@ -375,7 +375,7 @@
         byte[] data;
         try {
             data = Rdata.parse(type, tokens.subList(index + 1, tokens.size()), origin);
-        } catch (InvalidRdataException e) {
+        } catch (InvalidRdata e) {
             throw malformed(e.token, e.getMessage());
         }
         add(name, type, ttl, data, tokens.get(index));
--- a/src/main/java/reeldeal/faultinjection/DisruptionChecker.java
+++ b/src/main/java/reeldeal/faultinjection/DisruptionChecker.java
@@ -77,7 +77,9 @@
         boolean rolledBack =
                 events.stream()
                         .anyMatch(
-                                event -> event.is("progress") && event.detail().contains("way=back"));
+                                event ->
+                                        event.is("progress")
+                                                && event.detail().contains("way=back"));
         int allowedRestarts = rolledBack ? 2 : 1;
         restarts.forEach(
                 (broker, times) -> {
--- a/src/main/java/reeldeal/faultinjection/RecoveryChecker.java
+++ b/src/main/java/reeldeal/faultinjection/RecoveryChecker.java
@@ -84,7 +84,8 @@
             return;
         }
         boolean rampEnabled =
-                events.stream().anyMatch(event -> event.is("steps") && !event.detail().equals("off"));
+                events.stream()
+                        .anyMatch(event -> event.is("steps") && !event.detail().equals("off"));
         long overloaded = events.stream().filter(event -> event.is("fell")).count();
         if (rampEnabled && overloaded > 0) {
             findings.addViolation(
@@ -113,7 +114,8 @@
                                         .filter(
                                                 event ->
                                                         isServedComplete(event)
-                                                                && event.atMs() >= first - BASELINE_MS
+                                                                && event.atMs()
+                                                                        >= first - BASELINE_MS
                                                                 && event.atMs() < first)
                                         .mapToInt(RecoveryChecker::priorityWeight)
                                         .sum()
--- a/src/main/java/reeldeal/faultinjection/ScenarioRunner.java
+++ b/src/main/java/reeldeal/faultinjection/ScenarioRunner.java
@@ -123,7 +123,8 @@
                 new FormAttributes().with("brokers_out", "1").with("apart_ms", "200");
         scenario.policy().forEach(policy::with);
         console.order("fleet policy " + policy);
-        long brokersOut = DisruptionPolicy.resolveLimit(policy.get("brokers_out"), fleet.brokers().size());
+        long brokersOut =
+                DisruptionPolicy.resolveLimit(policy.get("brokers_out"), fleet.brokers().size());
         history.add("operator", "policy", String.valueOf(brokersOut));
         history.add("operator", "steps", scenario.power().recoverySteps());
         history.add("operator", "mode", scenario.load().keyed().takeover().toString());
--- a/src/main/java/reeldeal/faultinjection/TimelineChart.java
+++ b/src/main/java/reeldeal/faultinjection/TimelineChart.java
@@ -75,7 +75,9 @@
     TimelineChart(List<History.Event> events) {
         this.events = events;
         Set<String> names = new TreeSet<>();
-        events.stream().filter(event -> event.is("start")).forEach(event -> names.add(event.source()));
+        events.stream()
+                .filter(event -> event.is("start"))
+                .forEach(event -> names.add(event.source()));
         brokers = List.copyOf(names);
         endMs = events.isEmpty() ? 1 : Math.max(1, events.get(events.size() - 1).atMs());
         scale = (double) (WIDTH - LABEL_WIDTH - RIGHT_MARGIN) / endMs;
--- a/src/main/java/reeldeal/fleet/disruption/DisruptionBudget.java
+++ b/src/main/java/reeldeal/fleet/disruption/DisruptionBudget.java
@@ -170,7 +170,8 @@
 
     /** Serializes a write with all other writes that grant or release permits. */
     protected void serializePermitChanges(FleetView fleet, ConditionalWrite write) {
-        write.expect(FleetView.PERMIT_SERIAL, fleet.version(FleetView.PERMIT_SERIAL)).put(FleetView.PERMIT_SERIAL, "");
+        write.expect(FleetView.PERMIT_SERIAL, fleet.version(FleetView.PERMIT_SERIAL))
+                .put(FleetView.PERMIT_SERIAL, "");
     }
 
     // ---- observed returns and outages ----
--- a/src/main/java/reeldeal/fleet/leader/ForgetOperation.java
+++ b/src/main/java/reeldeal/fleet/leader/ForgetOperation.java
@@ -51,7 +51,8 @@
                 write.put(key, null);
             }
         }
-        write.expect(FleetView.PERMIT_SERIAL, fleet.version(FleetView.PERMIT_SERIAL)).put(FleetView.PERMIT_SERIAL, "");
+        write.expect(FleetView.PERMIT_SERIAL, fleet.version(FleetView.PERMIT_SERIAL))
+                .put(FleetView.PERMIT_SERIAL, "");
         return new AdminResult.Write("forgotten: " + name, write);
     }
 
--- a/src/main/java/reeldeal/fleet/recovery/Epoch.java
+++ b/src/main/java/reeldeal/fleet/recovery/Epoch.java
@@ -104,7 +104,9 @@
 
     /** Returns the write that stores this epoch; {@code description} is for the log. */
     public ConditionalWrite write(String description) {
-        return ConditionalWrite.withReason(description).expect(KEY, version).put(KEY, toAttributes());
+        return ConditionalWrite.withReason(description)
+                .expect(KEY, version)
+                .put(KEY, toAttributes());
     }
 
     /** Whether this recovery is in progress and restricts the brokers of a zone. */
--- a/src/main/java/reeldeal/fleet/takeover/ServerStatsExchange.java
+++ b/src/main/java/reeldeal/fleet/takeover/ServerStatsExchange.java
@@ -65,7 +65,8 @@
      *
      * @param now Unix ms
      */
-    public String takeValueToWrite(long now, Map<String, SharedServerStats> stats, boolean isEnding) {
+    public String takeValueToWrite(
+            long now, Map<String, SharedServerStats> stats, boolean isEnding) {
         Set<String> ejected = new TreeSet<>();
         stats.forEach(
                 (name, searcher) -> {
--- a/src/main/java/reeldeal/http/HttpMessage.java
+++ b/src/main/java/reeldeal/http/HttpMessage.java
@@ -6,17 +6,21 @@
 /**
  * A parsed HTTP request or response.
  *
- * @param methodOrVersion the first field of the start line: the method of a request, the version of a
- *     response
- * @param targetOrStatus the second field of the start line: the target of a request, the status of a
- *     response
- * @param versionOrReason the rest of the start line: the version of a request, the reason phrase of a
- *     response
+ * @param methodOrVersion the first field of the start line: the method of a request, the version of
+ *     a response
+ * @param targetOrStatus the second field of the start line: the target of a request, the status of
+ *     a response
+ * @param versionOrReason the rest of the start line: the version of a request, the reason phrase of
+ *     a response
  * @param headers header values by lower-case name
  * @param body the body, empty if the message has none
  */
 public record HttpMessage(
-        String methodOrVersion, String targetOrStatus, String versionOrReason, Map<String, String> headers, byte[] body) {
+        String methodOrVersion,
+        String targetOrStatus,
+        String versionOrReason,
+        Map<String, String> headers,
+        byte[] body) {
 
     /** Returns the value of a header, or null if the message does not have it. */
     public String header(String lowerCaseName) {
--- a/src/main/java/reeldeal/http/HttpParser.java
+++ b/src/main/java/reeldeal/http/HttpParser.java
@@ -363,7 +363,12 @@
 
     private Complete complete(byte[] body) {
         HttpMessage message =
-                new HttpMessage(head.methodOrVersion(), head.targetOrStatus(), head.versionOrReason(), head.headers(), body);
+                new HttpMessage(
+                        head.methodOrVersion(),
+                        head.targetOrStatus(),
+                        head.versionOrReason(),
+                        head.headers(),
+                        body);
         stage = Stage.HEAD;
         head = null;
         chunkedBody = null;
--- a/src/main/java/reeldeal/server/StoreStartup.java
+++ b/src/main/java/reeldeal/server/StoreStartup.java
@@ -67,7 +67,8 @@
         }
         FleetWiring wiring = new FleetWiring(stateGroup, store, broker, config, zones);
         if (fleetConfig != null) {
-            FleetConfig.WithStartCount countedFleet = new FleetConfig.WithStartCount(fleetConfig, startCount);
+            FleetConfig.WithStartCount countedFleet =
+                    new FleetConfig.WithStartCount(fleetConfig, startCount);
             node = wiring.createNode(countedFleet, new String(configBytes, StandardCharsets.UTF_8));
         }
         TakeoverConfig takeover = settings.takeover();
--- a/src/main/java/reeldeal/store/GroupAdminHandler.java
+++ b/src/main/java/reeldeal/store/GroupAdminHandler.java
@@ -249,7 +249,8 @@
             StoreNode.AdminReply reply,
             Runnable whenCommitted) {
         MembershipChangeRules.Decision decision =
-                MembershipChangeRules.evaluate(store.configuration(), change, node, store::progressOf);
+                MembershipChangeRules.evaluate(
+                        store.configuration(), change, node, store::progressOf);
         if (decision.rejection() != null) {
             reply.reject("not done: " + decision.rejection());
         } else if (!store.changeConfiguration(decision.configuration())) {
--- a/src/main/java/reeldeal/takeover/RecordSweeper.java
+++ b/src/main/java/reeldeal/takeover/RecordSweeper.java
@@ -22,7 +22,8 @@
 
     private static final int PAGE_SIZE = 500;
     private static final String QUOTA_KEY =
-            KeyValueState.QUOTA_PREFIX + RequestRecord.ROOT.substring(0, RequestRecord.ROOT.length() - 1);
+            KeyValueState.QUOTA_PREFIX
+                    + RequestRecord.ROOT.substring(0, RequestRecord.ROOT.length() - 1);
 
     private final StoreNode store;
     private final TakeoverConfig config;
--- a/src/main/java/reeldeal/zones/MessageHandler.java
+++ b/src/main/java/reeldeal/zones/MessageHandler.java
@@ -92,7 +92,10 @@
             byte[] refusal = responder.check(config.keys());
             if (refusal != null) {
                 refusalLog.log(
-                        "dns: " + from.getAddress().getHostAddress() + ": " + responder.signatureError());
+                        "dns: "
+                                + from.getAddress().getHostAddress()
+                                + ": "
+                                + responder.signatureError());
                 reply.send(refusal);
                 return;
             }
--- a/src/test/java/reeldeal/decision/RecoveryAdmissionTest.java
+++ b/src/test/java/reeldeal/decision/RecoveryAdmissionTest.java
@@ -103,7 +103,11 @@
                 .engine
                 .recoveryAdmission()
                 .setQuota(stepwise ? QUOTA_STEPS[step] : 1, 500);
-        fleet.brokers.get(broker).engine.recoveryAdmission().setBrokerCounts(BROKERS, servingBrokers);
+        fleet.brokers
+                .get(broker)
+                .engine
+                .recoveryAdmission()
+                .setBrokerCounts(BROKERS, servingBrokers);
     }
 
     @Test
--- a/src/test/java/reeldeal/dns/TransferInTest.java
+++ b/src/test/java/reeldeal/dns/TransferInTest.java
@@ -64,7 +64,9 @@
             state = transfer.accept(m);
         }
         assertEquals(TransferIn.State.FAILED, state);
-        assertTrue(transfer.failureReason() + ", expected " + reason, transfer.failureReason().contains(reason));
+        assertTrue(
+                transfer.failureReason() + ", expected " + reason,
+                transfer.failureReason().contains(reason));
     }
 
     @Test
@@ -231,7 +233,8 @@
             }
             assertTrue(
                     from + ": " + state + " " + transfer.failureReason(),
-                    state == TransferIn.State.INCREMENTAL_TRANSFER || state == TransferIn.State.FULL_TRANSFER);
+                    state == TransferIn.State.INCREMENTAL_TRANSFER
+                            || state == TransferIn.State.FULL_TRANSFER);
             StringBuilder receivedText = new StringBuilder();
             StringBuilder expectedText = new StringBuilder();
             ZoneFile.write(transfer.zone(), receivedText);
--- a/src/test/java/reeldeal/dns/ZoneFileTest.java
+++ b/src/test/java/reeldeal/dns/ZoneFileTest.java
@@ -174,7 +174,10 @@
         assertEquals(2, zone.incrementSerial().serial());
         assertEquals(1, zone.withSerial(0xffffffffL).incrementSerial().serial());
         assertEquals("a zone is immutable", 1, zone.serial());
-        assertTrue(Zone.isLater(0, 0xffffffffL) && !Zone.isLater(0xffffffffL, 0) && !Zone.isLater(5, 5));
+        assertTrue(
+                Zone.isLater(0, 0xffffffffL)
+                        && !Zone.isLater(0xffffffffL, 0)
+                        && !Zone.isLater(5, 5));
         assertArrayEquals(zone.soa().data(), parse("").soa().data());
     }
 }
--- a/src/test/java/reeldeal/faultinjection/ScenarioRunnerTest.java
+++ b/src/test/java/reeldeal/faultinjection/ScenarioRunnerTest.java
@@ -109,7 +109,8 @@
                 events.stream().filter(e -> e.kind().equals("givesup")).count());
         assertTrue(
                 "another broker ran the remaining shard requests",
-                events.stream().anyMatch(e -> e.kind().equals("part") && e.detail().contains("~2.")));
+                events.stream()
+                        .anyMatch(e -> e.kind().equals("part") && e.detail().contains("~2.")));
         assertTrue(events.stream().filter(e -> e.kind().equals("want")).count() > 200);
     }
 
--- a/src/test/java/reeldeal/fleet/BrokenTakeoverModules.java
+++ b/src/test/java/reeldeal/fleet/BrokenTakeoverModules.java
@@ -85,7 +85,9 @@
     private static final class WindowIgnored extends TakeoverPolicy {
         @Override
         public Verdict verdict(RequestRecord record, long now, Window window) {
-            return now + window.minimumTimeLeftMs() > record.deadlineMs() ? Verdict.UNKNOWN : Verdict.RUN;
+            return now + window.minimumTimeLeftMs() > record.deadlineMs()
+                    ? Verdict.UNKNOWN
+                    : Verdict.RUN;
         }
     }
 
@@ -119,7 +121,11 @@
     private static final class DoubledWindow extends TakeoverPolicy {
         @Override
         public Verdict verdict(RequestRecord record, long now, Window window) {
-            Window doubled = new Window(window.windowMs() * 2, window.clockErrorMs(), window.minimumTimeLeftMs());
+            Window doubled =
+                    new Window(
+                            window.windowMs() * 2,
+                            window.clockErrorMs(),
+                            window.minimumTimeLeftMs());
             return super.verdict(record, now, doubled);
         }
     }
--- a/src/test/java/reeldeal/fleet/FleetInvariants.java
+++ b/src/test/java/reeldeal/fleet/FleetInvariants.java
@@ -137,7 +137,8 @@
         long allowed =
                 kind == Kind.BROKER
                         ? DisruptionPolicy.resolveLimit(policy.brokersOut(), after.members().size())
-                        : DisruptionPolicy.resolveLimit(policy.searchersOut(), after.searchers().size());
+                        : DisruptionPolicy.resolveLimit(
+                                policy.searchersOut(), after.searchers().size());
         fleet.check(
                 out <= allowed,
                 out
--- a/src/test/java/reeldeal/fleet/leader/AdminRequestHandlerTest.java
+++ b/src/test/java/reeldeal/fleet/leader/AdminRequestHandlerTest.java
@@ -117,7 +117,10 @@
         assertEquals("a is serving; stop it first", rejection("forget name=a reason=r"));
         fleet.broker("a", "x", State.GONE);
         assertEquals(
-                Set.of(FleetView.REGISTRATION + "a", FleetView.STATE + "a", FleetView.PERMIT_SERIAL),
+                Set.of(
+                        FleetView.REGISTRATION + "a",
+                        FleetView.STATE + "a",
+                        FleetView.PERMIT_SERIAL),
                 write("forget name=a reason=r").write().changes().keySet());
     }
 
--- a/src/test/java/reeldeal/fleet/takeover/DeduplicationWindowTest.java
+++ b/src/test/java/reeldeal/fleet/takeover/DeduplicationWindowTest.java
@@ -36,7 +36,8 @@
     }
 
     private boolean isDeduplicated(int shard, long firstSentAtMs) {
-        return DeduplicationWindow.coversAllReplicas(List.of(shard), KNOWN, listed, LAYOUT, firstSentAtMs, 150);
+        return DeduplicationWindow.coversAllReplicas(
+                List.of(shard), KNOWN, listed, LAYOUT, firstSentAtMs, 150);
     }
 
     @Test
@@ -62,6 +63,7 @@
 
     @Test
     public void withoutAnEndpointListReplicasMayNotDropRepeats() {
-        assertFalse(DeduplicationWindow.coversAllReplicas(List.of(1), KNOWN, null, LAYOUT, 1_000, 150));
+        assertFalse(
+                DeduplicationWindow.coversAllReplicas(List.of(1), KNOWN, null, LAYOUT, 1_000, 150));
     }
 }
--- a/src/test/java/reeldeal/searchers/ConnectionPoolTest.java
+++ b/src/test/java/reeldeal/searchers/ConnectionPoolTest.java
@@ -111,7 +111,7 @@
     }
 
     @Test
-    public void anAttemptThatTheFenceRejectsBeforeItsWriteEndsFenced() throws Exception {
+    public void anAttemptThatTheFenceRejectsBeforeItsWriteEndsNeverSent() throws Exception {
         Set<Long> fenced = new HashSet<>();
         onEventLoop(
                 () -> {
