--- a/src/main/java/reeldeal/cli/FleetCommands.java
+++ b/src/main/java/reeldeal/cli/FleetCommands.java
@@ -41,7 +41,8 @@
     public void run() {
         throw new CommandLine.ParameterException(
                 spec.commandLine(),
-                "expected members, work, permits, policy, drain, undrain, forget, release or recovery");
+                "expected a subcommand: members, work, permits, policy, drain, undrain,"
+                        + " forget, release or recovery");
     }
 
     /** The output option, and the formatting of a response as a table or as JSON. */
--- a/src/main/java/reeldeal/config/ZonesConfigReader.java
+++ b/src/main/java/reeldeal/config/ZonesConfigReader.java
@@ -189,7 +189,10 @@
                 1_000_000);
     }
 
-    /** Allows updates by the keys with grants; if no keys are configured, by loopback. */
+    /**
+     * Allows updates that are signed with a key that has grants; if no keys are configured, updates
+     * from loopback addresses.
+     */
     private static AccessList defaultUpdateAccess(
             Map<String, Tsig.Key> keys, List<UpdateGrant> grants) {
         List<String> entries = new ArrayList<>();
--- a/src/main/java/reeldeal/consensus/RaftNode.java
+++ b/src/main/java/reeldeal/consensus/RaftNode.java
@@ -482,7 +482,8 @@
         transfer.cancel();
         GroupConfiguration configuration = membership.configuration();
         if (tracker.countAndResetActiveVoters(configuration.voters()) < configuration.majority()) {
-            outbox.logLine(context.id() + " hears no majority");
+            outbox.logLine(
+                    context.id() + " lost contact with a majority of the voters and steps down");
             becomeFollower(term(), null);
         }
     }
--- a/src/main/java/reeldeal/consensus/Ready.java
+++ b/src/main/java/reeldeal/consensus/Ready.java
@@ -17,7 +17,7 @@
      * @param number the number of the request, counted from 1 since the node's start
      * @param term the current term
      * @param vote the vote in that term, or null for none
-     * @param firstIndex the index from which on {@code entries} replace the entries on disk
+     * @param firstIndex the index at and after which {@code entries} replace the entries on disk
      * @param entries the new entries, in order; may be empty
      * @param snapshot a snapshot that replaces all entries up to its index, or null
      * @param discardsLog whether the snapshot also replaces all entries after its index
--- a/src/main/java/reeldeal/core/Event.java
+++ b/src/main/java/reeldeal/core/Event.java
@@ -60,10 +60,11 @@
     record ServerStatsImported(Map<String, ImportedServerStats> stats) implements Event {}
 
     /**
-     * The observations of one process of a searcher.
+     * What another broker, or this broker before its restart, observed of one process of a
+     * searcher.
      *
-     * @param startedMs start time of that process, as in {@link Searcher#startedMs}
-     * @param stats the observations
+     * @param startedMs start time of the searcher's process, as in {@link Searcher#startedMs}
+     * @param stats whether the process was ejected, and how slow it was
      */
     record ImportedServerStats(double startedMs, ServerStatsSnapshot.ServerStats stats) {}
 
--- a/src/main/java/reeldeal/decision/ServerState.java
+++ b/src/main/java/reeldeal/decision/ServerState.java
@@ -59,7 +59,10 @@
                 : maxShardsPerCall;
     }
 
-    /** Adds an attempt to the open call, or to a new call. */
+    /**
+     * Starts an attempt to run a shard request on this server. The attempt joins the call that was
+     * begun in this tick, or begins a new one if there is none or it is full.
+     */
     Attempt startAttempt(ShardRequestState shardRequest, double nowMs, int maxShardsPerCall) {
         if (!hasOpenCall(nowMs, maxShardsPerCall)) {
             openCall = new Call(nowMs);
--- a/src/main/java/reeldeal/decision/WaitEstimator.java
+++ b/src/main/java/reeldeal/decision/WaitEstimator.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Estimates how long servers take to answer and queries wait. Holds no state. */
+/** Estimates how long servers take to answer and how long queries wait. Holds no state. */
 final class WaitEstimator {
-    /** Share of the remaining time above which a wait is too long. */
+    /** Largest share of {@link #availableMs} that a wait may take; a longer wait is too long. */
     static final double MAX_WAIT_SHARE = 0.65;
 
     private record ShardWait(double waitMs, double weight) {}
--- a/src/main/java/reeldeal/dns/Rdata.java
+++ b/src/main/java/reeldeal/dns/Rdata.java
@@ -22,8 +22,8 @@
     record Token(String text, boolean quoted, int line, int column) {}
 
     /**
-     * Thrown for text that cannot be parsed. The message says what was expected; {@code token} is
-     * where, or null for the end of the entry.
+     * Thrown for record data that cannot be parsed. The message says what was expected; {@code
+     * token} is the token at fault, or null if the entry as a whole is, as when data is missing.
      */
     static final class InvalidRdata extends Exception {
         private static final long serialVersionUID = 1L;
--- a/src/main/java/reeldeal/faultinjection/ZoneScriptReplay.java
+++ b/src/main/java/reeldeal/faultinjection/ZoneScriptReplay.java
@@ -127,7 +127,7 @@
                 history.add(
                         "drill",
                         "broken",
-                        "timed out after " + timeoutMs + " ms waiting until: " + description);
+                        "condition not met within " + timeoutMs + " ms: " + description);
                 return;
             }
             Thread.sleep(5);
--- a/src/main/java/reeldeal/fleet/ConfigVersion.java
+++ b/src/main/java/reeldeal/fleet/ConfigVersion.java
@@ -22,7 +22,8 @@
                             .digest(text.getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(digest).substring(0, DIGITS);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("this JVM does not provide SHA-256", e);
+            throw new IllegalStateException(
+                    "SHA-256 is not available, though every Java platform must provide it", e);
         }
     }
 }
--- a/src/main/java/reeldeal/fleet/DisruptionPolicy.java
+++ b/src/main/java/reeldeal/fleet/DisruptionPolicy.java
@@ -10,14 +10,15 @@
  * number, or a percentage such as {@code 25%} of the members it applies to. A percentage is rounded
  * down, but not below one member unless it is {@code 0%}.
  *
- * @param brokersOut the maximum number of brokers out in total
- * @param brokersZoneOut the maximum number of brokers out in one zone
- * @param searchersOut the maximum number of searchers out in total
- * @param searchersZoneOut the maximum number of searchers out in one zone
- * @param searchersKindOut the maximum number of searchers out of one kind
- * @param searchersSetOut the maximum number of searchers out in one set, that is, one cell
+ * @param brokersOut the maximum number of brokers out of service in total
+ * @param brokersZoneOut the maximum number of brokers out of service in one zone
+ * @param searchersOut the maximum number of searchers out of service in total
+ * @param searchersZoneOut the maximum number of searchers out of service in one zone
+ * @param searchersKindOut the maximum number of searchers of one kind that are out of service
+ * @param searchersSetOut the maximum number of searchers out of service in one cell, which the
+ *     settings call a set
  * @param minWarmSearchersPerShard the minimum number of warm, serving searchers of each shard
- * @param minGrantIntervalMs the minimum time between two grants, ms
+ * @param minGrantIntervalMs the minimum time between two grants of a permit, ms
  */
 public record DisruptionPolicy(
         String brokersOut,
@@ -89,7 +90,8 @@
     }
 
     /**
-     * Returns how many of {@code total} members a limit allows to be out; the limit must be valid.
+     * Returns how many of {@code total} members a limit allows to be out of service; the limit must
+     * be valid.
      */
     public static long resolveLimit(String limit, long total) {
         if (!limit.endsWith("%")) {
--- a/src/main/java/reeldeal/fleet/recovery/OutageClassifier.java
+++ b/src/main/java/reeldeal/fleet/recovery/OutageClassifier.java
@@ -181,7 +181,10 @@
         return census;
     }
 
-    /** Whether a lapsed member is a new loss; in a recovery, only if it had returned in it. */
+    /**
+     * Whether a lapsed member counts as missing: it lapsed after the last classification, and the
+     * recovery in progress or the last one does not cover its loss.
+     */
     private boolean isMissing(FleetView fleet, Epoch epoch, Member member) {
         return member.stateVersion() > fleet.version(CLASSIFIED_KEY)
                 && isNewLoss(epoch, member.incarnation(), member.zone());
--- a/src/main/java/reeldeal/fleet/rollout/RolloutHealth.java
+++ b/src/main/java/reeldeal/fleet/rollout/RolloutHealth.java
@@ -97,8 +97,10 @@
     }
 
     /**
-     * Returns what is worse on the changed members after enough consecutive findings, or null. May
-     * be called at any rate: it evaluates the shares every {@link #EVALUATION_INTERVAL_MS} only.
+     * Compares the changed members with the others, and returns a description of what is worse on
+     * the changed ones, or null unless the last {@link #REQUIRED_FINDINGS} comparisons all found
+     * something worse. May be called at any rate: the members are compared at most once every
+     * {@link #EVALUATION_INTERVAL_MS}.
      */
     public String regression(Set<String> changed, Set<String> others, long now) {
         if (now >= nextEvaluationAt) {
--- a/src/main/java/reeldeal/fleet/takeover/DeduplicationWindow.java
+++ b/src/main/java/reeldeal/fleet/takeover/DeduplicationWindow.java
@@ -9,8 +9,8 @@
 /**
  * Checks whether searchers can be shown to drop repeats of a request. Any replica of a shard drops
  * repeats of a request that another replica has run. It therefore suffices that each replica of the
- * request's shards is still the same process as when the request was first sent: it is listed, and
- * it started before.
+ * request's shards is still the same process as when the request was first sent: it is in this
+ * node's endpoint list, and its process started before the request was first sent.
  */
 public final class DeduplicationWindow {
     private DeduplicationWindow() {}
--- a/src/main/java/reeldeal/fleet/takeover/RequestRecord.java
+++ b/src/main/java/reeldeal/fleet/takeover/RequestRecord.java
@@ -156,7 +156,10 @@
                 version);
     }
 
-    /** Returns this record, open again for a client that sent its request again. */
+    /**
+     * Returns an open copy of this record for the run of a repeated request: it has the new owner,
+     * the deadline and body of the repeated request, and no outcome.
+     */
     RequestRecord restartedFor(KeyedRequest request, String newOwner, long newIncarnation) {
         return new RequestRecord(
                 key,
--- a/src/main/java/reeldeal/opensearch/OpenSearchTransport.java
+++ b/src/main/java/reeldeal/opensearch/OpenSearchTransport.java
@@ -124,7 +124,8 @@
         Connection connection = connection(call.searcher());
         if (connection == null) {
             AttemptEnd end =
-                    new AttemptEnd.Broken(Reach.UNSENT, "no free connection to the searcher");
+                    new AttemptEnd.Broken(
+                            Reach.UNSENT, "no connection available: connection limit reached");
             call.sends().forEach(send -> reportEnd(send, end));
             return;
         }
--- a/src/main/java/reeldeal/simulator/BrokerInstance.java
+++ b/src/main/java/reeldeal/simulator/BrokerInstance.java
@@ -69,7 +69,10 @@
         pendingShardRequests.add(shardRequest);
     }
 
-    /** Submits the query or the fetch phase that has been collected, if there is one. */
+    /**
+     * Passes the query or the fetch phase whose shard requests have been collected to the decision
+     * module; does nothing if nothing has been collected.
+     */
     void submitPending(double now) {
         if (pendingQuery == null && pendingShardRequests.isEmpty()) {
             return;
--- a/src/main/java/reeldeal/storage/VoteFile.java
+++ b/src/main/java/reeldeal/storage/VoteFile.java
@@ -9,7 +9,9 @@
 import java.nio.file.Path;
 import java.util.Objects;
 
-/** The file {@code promise}, which contains the current term and the node's vote in it. */
+/**
+ * The file {@code promise}, which contains the current term and the vote of the node in that term.
+ */
 final class VoteFile {
     private static final String FILE = "promise";
 
--- a/src/main/java/reeldeal/store/SnapshotScheduler.java
+++ b/src/main/java/reeldeal/store/SnapshotScheduler.java
@@ -12,7 +12,7 @@
  * taken on the event loop. The scheduler's own state belongs to the event loop.
  */
 final class SnapshotScheduler {
-    /** The size from which on the log is compacted, in bytes. */
+    /** The size of the log above which it is compacted, in bytes. */
     private static final long COMPACTION_THRESHOLD_BYTES = 16 << 20;
 
     private final StoreLoop loop;
--- a/src/main/java/reeldeal/store/StaleStart.java
+++ b/src/main/java/reeldeal/store/StaleStart.java
@@ -27,7 +27,10 @@
         return copy;
     }
 
-    /** Calls a listener with the copy when it is created, or immediately if it exists already. */
+    /**
+     * Calls a listener with each copy that is created, and with the present one immediately if
+     * there is one.
+     */
     void whenServing(Consumer<KeyValueState> listener) {
         listeners.add(listener);
         if (copy != null) {
--- a/src/main/java/reeldeal/store/StoreNode.java
+++ b/src/main/java/reeldeal/store/StoreNode.java
@@ -38,7 +38,7 @@
     /** The prefix of the keys of node addresses, for nodes that configuration files do not list. */
     public static final String NODE_KEY_PREFIX = "node/";
 
-    /** The size of a log file, in bytes, from which on a new one is started. */
+    /** The size of a log file, in bytes, at which a new one is started. */
     static final int SEGMENT_BYTES = 4 << 20;
 
     private static final int TICK_MS = 50;
--- a/src/main/java/reeldeal/takeover/RecordingSubmitter.java
+++ b/src/main/java/reeldeal/takeover/RecordingSubmitter.java
@@ -37,7 +37,7 @@
     /** The maximum length of a request's text whose record fits into the store, in characters. */
     private static final int MAX_TEXT_LENGTH = 40_000;
 
-    /** The length from which on an outcome does not fit into the store, in characters. */
+    /** Only outcomes shorter than this fit into the store, in characters. */
     private static final int OUTCOME_LENGTH_LIMIT = MAX_TEXT_LENGTH * 4;
 
     /** A client that waits while its request is being recorded or runs under a record. */
--- a/src/main/java/reeldeal/takeover/RequestRecordCodec.java
+++ b/src/main/java/reeldeal/takeover/RequestRecordCodec.java
@@ -61,7 +61,7 @@
             return HexFormat.of().formatHex(digest, 0, DIGEST_BYTES);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(
-                    "SHA-256 is not available, which every Java platform has to provide", e);
+                    "SHA-256 is not available, though every Java platform must provide it", e);
         }
     }
 
--- a/src/test/java/reeldeal/store/StoreNodeTest.java
+++ b/src/test/java/reeldeal/store/StoreNodeTest.java
@@ -85,8 +85,12 @@
         group.start(follower);
         assertCommitted(group.write(group.writer(), "j", "3"));
         assertTrue(
-                "the leader logs that it hears no majority",
-                group.log().stream().anyMatch(line -> line.contains("hears no majority")));
+                "the leader logs that it lost contact with a majority",
+                group.log().stream()
+                        .anyMatch(
+                                line ->
+                                        line.contains(
+                                                "lost contact with a majority of the voters")));
     }
 
     @Test
