--- a/src/main/java/reeldeal/cli/ZoneCommands.java
+++ b/src/main/java/reeldeal/cli/ZoneCommands.java
@@ -378,7 +378,7 @@
                 writer.add(2, record.record(Rr.IN, record.ttl()));
                 changes++;
             }
-        } catch (RecordText.InvalidRecordException e) {
+        } catch (RecordText.InvalidRecord e) {
             throw new Commands.CommandFailedException(Commands.EXIT_BAD_INPUT, e.getMessage());
         }
         if (changes == 0) {
--- a/src/main/java/reeldeal/dns/RecordText.java
+++ b/src/main/java/reeldeal/dns/RecordText.java
@@ -9,10 +9,10 @@
 public record RecordText(String name, long ttl, int type, byte[] data) {
 
     /** Thrown for text that is not a record; the message says what was expected. */
-    public static final class InvalidRecordException extends Exception {
+    public static final class InvalidRecord extends Exception {
         private static final long serialVersionUID = 1L;
 
-        InvalidRecordException(String reason) {
+        InvalidRecord(String reason) {
             super(reason);
         }
     }
@@ -22,21 +22,21 @@
      * and data are optional and a TTL is not allowed.
      */
     public static RecordText parse(String text, String origin, boolean complete)
-            throws InvalidRecordException {
+            throws InvalidRecord {
         try {
             List<Rdata.Token> tokens = ZoneFile.tokens(text);
             if (tokens.isEmpty()) {
-                throw new InvalidRecordException("expected a name, found nothing");
+                throw new InvalidRecord("expected a name, found nothing");
             }
             String name = Names.parse(tokens.get(0).text(), origin);
             if (name == null) {
-                throw new InvalidRecordException("expected a name in: " + text);
+                throw new InvalidRecord("expected a name in: " + text);
             }
             int index = 1;
             long ttl = 0;
             if (complete) {
                 if (tokens.size() < 3) {
-                    throw new InvalidRecordException("expected NAME TTL TYPE DATA in: " + text);
+                    throw new InvalidRecord("expected NAME TTL TYPE DATA in: " + text);
                 }
                 ttl = Rdata.parseTime(tokens.get(index++));
             }
@@ -51,7 +51,7 @@
                             ? Rr.ANY
                             : Types.number(tokens.get(index).text());
             if (type < 0 || (complete && Rr.isMeta(type))) {
-                throw new InvalidRecordException(
+                throw new InvalidRecord(
                         "expected a record type, found " + tokens.get(index).text());
             }
             List<Rdata.Token> dataTokens = tokens.subList(index + 1, tokens.size());
@@ -63,9 +63,9 @@
                             ? new byte[0]
                             : Rdata.parse(type, dataTokens, origin));
         } catch (Rdata.InvalidRdata e) {
-            throw new InvalidRecordException(e.getMessage() + " in: " + text);
+            throw new InvalidRecord(e.getMessage() + " in: " + text);
         } catch (ZoneFile.Malformed e) {
-            throw new InvalidRecordException(e.getMessage());
+            throw new InvalidRecord(e.getMessage());
         }
     }
 
--- a/src/main/java/reeldeal/faultinjection/ZoneClient.java
+++ b/src/main/java/reeldeal/faultinjection/ZoneClient.java
@@ -90,7 +90,7 @@
                                 ? record.record(Rr.IN, record.ttl())
                                 : record.record(record.data().length > 0 ? Rr.NONE : Rr.ANY, 0));
             }
-        } catch (RecordText.InvalidRecordException e) {
+        } catch (RecordText.InvalidRecord e) {
             throw new IllegalArgumentException(e.getMessage());
         }
         return writer.toBytes();
