--- a/src/main/java/reeldeal/dns/Rdata.java
+++ b/src/main/java/reeldeal/dns/Rdata.java
@@ -23,7 +23,8 @@
 
     /**
      * Thrown for record data that cannot be parsed. The message says what was expected; {@code
-     * token} is the token at fault, or null if the entry as a whole is, as when data is missing.
+     * token} is the token at fault, or null if no single token is, as when data is missing. Without
+     * a token {@link ZoneFile} reports the start of the entry.
      */
     static final class InvalidRdata extends Exception {
         private static final long serialVersionUID = 1L;
