--- a/src/main/java/reeldeal/decision/RecoveryAdmission.java
+++ b/src/main/java/reeldeal/decision/RecoveryAdmission.java
@@ -6,10 +6,13 @@
 import reeldeal.decision.DecisionModule.QueryClass;
 
 /**
- * Limits the queries that a broker admits while its fleet recovers from an outage: it admits a
- * share of those that arrive, classes of the highest priority first, according to the observed mix
- * of classes. Admitted queries are still subject to load shedding. Admits everything until {@link
- * #setQuota} is called. Used by the engine's thread only.
+ * Limits the queries that a broker admits while its fleet recovers from an outage. {@link
+ * #setQuota} sets the admitted share of all arriving queries. This class divides it among the query
+ * classes in order of priority: each class gets the part of the share that the classes of higher
+ * priority leave, up to all of its queries. For this it needs the fraction of the arriving queries
+ * that belongs to each class, which it estimates with a moving average. Admitted queries are still
+ * subject to load shedding. All queries are admitted until {@link #setQuota} is called. Used by the
+ * engine's thread only.
  */
 public final class RecoveryAdmission {
     /** Weight of one query in the moving average of the class mix. */
--- a/src/main/java/reeldeal/endpoints/ReportSelection.java
+++ b/src/main/java/reeldeal/endpoints/ReportSelection.java
@@ -19,10 +19,16 @@
     private record Candidate(EndpointReport report, String address) {}
 
     /**
-     * Selects one of several reports.
+     * Selects one report, one address and one cell.
+     *
+     * <p>Among all pairs of a report and one of its addresses, this order of criteria decides: the
+     * lowest priority number, the address that is published now, the highest weight, and the lowest
+     * address ({@link #compareAddresses}). The cell is selected separately among the cells of all
+     * reports: the published one if a report has it, otherwise the lowest.
      *
      * @param reports valid reports, at least one
-     * @param published the searcher as it is published, or null
+     * @param published the searcher as it is published now; null if the name is not published, so
+     *     that no address or cell is preferred for being published
      */
     static ReportSelection select(List<EndpointReport> reports, Searcher published) {
         Candidate best = bestCandidate(reports, published == null ? "" : published.address());
--- a/src/main/java/reeldeal/faultinjection/OperatorConsole.java
+++ b/src/main/java/reeldeal/faultinjection/OperatorConsole.java
@@ -96,8 +96,10 @@
     }
 
     /**
-     * Returns the lines of an answer as attributes, or an empty list if no broker answers or the
-     * request is refused.
+     * Sends a request and returns the lines of the answer that are not blank, each parsed as
+     * attributes. Returns an empty list if no broker answers or the request is refused.
+     *
+     * @param text the request
      */
     List<FormAttributes> list(String text) {
         return lines(text).stream().filter(l -> !l.isBlank()).map(FormAttributes::of).toList();
--- a/src/main/java/reeldeal/fleet/recovery/RollbackDetector.java
+++ b/src/main/java/reeldeal/fleet/recovery/RollbackDetector.java
@@ -5,10 +5,21 @@
 
 /**
  * Detects a data directory that was emptied or restored from a backup, and may therefore lack a
- * vote or a write that the node has acknowledged. Before its first vote a node asks its peers how
- * many starts on its data directory they know of. A peer that knows at least as many starts as the
- * directory counts has met a later process of the node. A node's count is in the log, committed or
- * not, before the node serves, and only the node itself writes it.
+ * vote or a write that the node has acknowledged. The detection has these steps:
+ *
+ * <ol>
+ *   <li>At each start, before its store starts, the node increments a start count in a file of its
+ *       data directory. The count includes the current start; the first start is 1.
+ *   <li>When the node registers with the fleet, it writes its count into the replicated log. No
+ *       other node writes it. The peers thus have the count, committed or not, in their logs.
+ *   <li>At the next start the node withholds its votes and asks all other nodes for the highest
+ *       count of this node in their logs.
+ *   <li>The node begins to ask before it registers the current start. With an intact directory, the
+ *       counts that the others know are therefore lower than its own.
+ *   <li>If a peer knows a count that is equal or higher, another process of this node has already
+ *       registered with that count, and the directory does not contain that start: it was emptied
+ *       or restored. The node must then neither vote nor write.
+ * </ol>
  *
  * <p>The detector waits for all other voters, but only for a limited time after the first one was
  * heard: a voter that is down, or runs a version that does not answer, must not prevent the others
--- a/src/main/java/reeldeal/fleet/takeover/InFlightRequests.java
+++ b/src/main/java/reeldeal/fleet/takeover/InFlightRequests.java
@@ -238,7 +238,7 @@
         return running.size() + waiting.size();
     }
 
-    /** Returns the number of open records in this node's copy, of all owners. */
+    /** Returns how many open records, of any broker, this node's copy of the store contains. */
     public int openRecordCount() {
         return openRecords.size();
     }
--- a/src/main/java/reeldeal/fleet/takeover/RecordWrites.java
+++ b/src/main/java/reeldeal/fleet/takeover/RecordWrites.java
@@ -28,7 +28,10 @@
 
     ConditionalWrite replace(RequestRecord current, RequestRecord replacement) {
         return ConditionalWrite.withReason(
-                        "work: " + current.key() + " becomes " + replacement.state().stored())
+                        "work: record of "
+                                + current.key()
+                                + " becomes "
+                                + replacement.state().stored())
                 .expect(RequestRecord.storeKey(current.key()), current.version())
                 .put(RequestRecord.storeKey(current.key()), replacement.toAttributes());
     }
--- a/src/main/java/reeldeal/server/FleetHost.java
+++ b/src/main/java/reeldeal/server/FleetHost.java
@@ -92,7 +92,7 @@
         return shardLayout(config);
     }
 
-    /** Returns the placement of shards on cells that the configuration sets. */
+    /** Returns how shards are placed on cells, as set in the configuration. */
     static DisruptionBudget.ShardLayout shardLayout(BrokerConfig config) {
         Layout layout = config.settings().layout();
         return new DisruptionBudget.ShardLayout(config.shards(), layout.cells(), layout.replicas());
--- a/src/main/java/reeldeal/storage/SegmentedLog.java
+++ b/src/main/java/reeldeal/storage/SegmentedLog.java
@@ -12,7 +12,13 @@
 
 /**
  * The log, stored in files {@code log-EPOCH-INDEX} that each contain the entries from that index
- * on. Files of an earlier epoch than the snapshot's are not part of the log.
+ * on.
+ *
+ * <p>The epoch is a number that starts at 0 and grows by 1 whenever a snapshot replaces the whole
+ * log (see {@link SnapshotFiles}). A file's name contains the epoch in which the file was created,
+ * and the snapshot file contains the current epoch. The entries in files of an earlier epoch were
+ * all replaced by the snapshot. Such files remain if the process ends after the snapshot was
+ * written and before they are deleted; the next start deletes them without reading them.
  */
 final class SegmentedLog implements AutoCloseable {
     static final String PREFIX = "log-";
--- a/src/main/java/reeldeal/storage/SnapshotFiles.java
+++ b/src/main/java/reeldeal/storage/SnapshotFiles.java
@@ -15,7 +15,8 @@
 
 /**
  * The files {@code snapshot-INDEX}, of which only the latest is valid, and the log's epoch, which
- * the snapshot contains. A new epoch begins when a snapshot replaces the log completely.
+ * the snapshot contains. The epoch is 0 at first and grows by 1 when a snapshot replaces the whole
+ * log, including entries after the snapshot's index.
  *
  * <p>{@link #prepare} may run on another thread than the other methods; this object's monitor
  * guards the state that they share.
@@ -128,8 +129,12 @@
     }
 
     /**
-     * Writes a snapshot durably: it is on disk once this returns. It belongs to the next epoch if
-     * it discards the log.
+     * Writes a snapshot durably: it is on disk once this returns.
+     *
+     * @param discardsLog whether the snapshot replaces the whole log: also the entries after its
+     *     index, as in a snapshot from the leader whose last entry this log does not have. The file
+     *     then contains the next epoch, which makes all existing log files invalid. If false, the
+     *     entries after the snapshot's index remain valid, and the file contains the current epoch.
      */
     void write(Snapshot snapshot, boolean discardsLog) throws IOException {
         Path file = files.resolve(PREFIX + snapshot.index());
--- a/src/main/java/reeldeal/zones/AccessList.java
+++ b/src/main/java/reeldeal/zones/AccessList.java
@@ -43,7 +43,8 @@
             if (target.startsWith("key:") && allow) {
                 String name = reeldeal.dns.Names.parse(target.substring(4), ".");
                 if (name == null) {
-                    throw new IllegalArgumentException("expected key:NAME, found " + entry);
+                    throw new IllegalArgumentException(
+                            "expected a valid domain name after key:, found " + entry);
                 }
                 acl.keys.add(name);
             } else if (target.equals("any") || target.equals("loopback")) {
