--- a/src/main/java/reeldeal/config/BrokerConfig.java
+++ b/src/main/java/reeldeal/config/BrokerConfig.java
@@ -69,7 +69,7 @@
      * Parses the content of a configuration file. The environment variables LB_NAME, LB_LISTEN and
      * LB_DISCOVERY override its {@code name}, {@code listen} and {@code discovery}.
      *
-     * @param dnsDiscovery whether searchers are discovered from DNS zones
+     * @param dns whether searchers are discovered from DNS zones
      */
     public static BrokerConfig parse(byte[] bytes, Map<String, String> environment, boolean dns)
             throws InvalidConfigException {
